--- a/source/loam/constants.hpp
+++ b/source/common/constants.hpp
@@ -3,11 +3,11 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
 /// All constants, each with its unit and reason (docs/design.md section 4 has
 /// the sums of the time bounds).
-namespace finchlink::loam::constants {
+namespace finchlink::common::constants {
 
 // --- news and vouching (section 6) ---
 /// A trellis holds a furrow's ask this long when there is no news. Short, so
@@ -290,4 +290,4 @@
 inline constexpr double prefill_start[4] = {0.004, 0.00002, 0.0, 0.0};
 inline constexpr double decode_start[3] = {0.004, 0.002, 0.0003};
 
-}  // namespace finchlink::loam::constants
+}  // namespace finchlink::common::constants
--- a/source/loam/delta/delta.cpp
+++ b/source/common/delta/delta.cpp
@@ -1,6 +1,6 @@
-#include "loam/delta/delta.hpp"
+#include "common/delta/delta.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace {
 /// What one entry adds to the digest; the length keeps name and bytes apart.
@@ -153,4 +153,4 @@
   return good;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/delta/delta.hpp
+++ b/source/common/delta/delta.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// FNV-1a of an entry's bytes, stirred so that sums of them spread well.
 [[nodiscard]] std::uint64_t fingerprint(std::string_view bytes);
@@ -82,4 +82,4 @@
   std::uint64_t digest_ = 0;
 };
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/digest/digest.hpp
+++ b/source/common/digest/digest.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <string_view>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Two 64-bit sums over parts, each part with its length, so that "ab" + "c"
 /// differs from "a" + "bc". Tells honest documents apart; no seal against
@@ -48,4 +48,4 @@
   std::uint64_t second_ = 0x2545f4914f6cdd1dULL;
 };
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/error/error.hpp
+++ b/source/common/error/error.hpp
@@ -5,7 +5,7 @@
 
 #include <absl/status/status.h>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Each layer names its own defects and turns those from below (section 3):
 /// the text keeps the chain, the code is the layer's own choice.
@@ -17,4 +17,4 @@
   return absl::Status(code, std::string(layer) + ": " + std::string(what) + " [" + std::string(below.message()) + "]");
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/freshness_constants.hpp
+++ b/source/common/freshness_constants.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
 /// Constants of what a furrow does while no majority vouches for it (section 13.15), each with its unit and
 /// reason; kept beside the others so that a change of one doesn't build everything anew.
-namespace finchlink::loam::constants {
+namespace finchlink::common::constants {
 
 /// A furrow that has just started puts an unvouched word in force only when none was vouched for this long. One
 /// that can reach a majority hears a vouched word in two rounds of asks: connecting to a machine without power
@@ -15,4 +15,4 @@
 /// (1 s each), one that fails (1.7 s), the pauses between them (0.15 s each) and half a second of ways.
 inline constexpr Span charter_confirmed_bound = milliseconds(4500);
 
-}  // namespace finchlink::loam::constants
+}  // namespace finchlink::common::constants
--- a/source/loam/http/http.cpp
+++ b/source/common/http/http.cpp
@@ -1,4 +1,4 @@
-#include "loam/http/http.hpp"
+#include "common/http/http.hpp"
 
 #include <sys/socket.h>
 
@@ -6,11 +6,11 @@
 #include <boost/beast/core/flat_buffer.hpp>
 #include <cerrno>
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
-#include "loam/json/tree.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
+#include "common/json/tree.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 using boost::system::error_code;
 
@@ -137,4 +137,4 @@
   return parser.release();
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/http/http.hpp
+++ b/source/common/http/http.hpp
@@ -7,9 +7,9 @@
 
 #include <absl/status/statusor.h>
 
-#include "loam/net/net.hpp"
+#include "common/net/net.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace http = boost::beast::http;
 
@@ -47,4 +47,4 @@
 [[nodiscard]] absl::StatusOr<Answer> ask_once(boost::asio::io_context& context, std::string const& address, Ask ask,
                                               Span deadline, std::size_t limit, Yield yield);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/invariant/invariant.cpp
+++ b/source/common/invariant/invariant.cpp
@@ -1,16 +1,16 @@
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 #include <array>
 #include <atomic>
 #include <mutex>
 #include <utility>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace {
 constexpr std::size_t invariant_count = 0
 #define FINCHLINK_INVARIANT(name, meaning) +1
-#include "loam/invariant/invariants.def"
+#include "common/invariant/invariants.def"
 #undef FINCHLINK_INVARIANT
     ;
 
@@ -29,7 +29,7 @@
 std::vector<InvariantEntry> const& invariant_catalogue() {
   static std::vector<InvariantEntry> const entries{
 #define FINCHLINK_INVARIANT(name, meaning) InvariantEntry{Invariant::name, #name, meaning},
-#include "loam/invariant/invariants.def"
+#include "common/invariant/invariants.def"
 #undef FINCHLINK_INVARIANT
   };
   return entries;
@@ -75,4 +75,4 @@
   return text;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/invariant/invariant.hpp
+++ b/source/common/invariant/invariant.hpp
@@ -14,11 +14,11 @@
 /// gives nothing back that a core could depend on. Weighed against it: violations
 /// among the actions that a core returns. Each shell, the simulator and each test
 /// would have to pass them on, and one that forgets hides them.
-namespace finchlink::loam {
+namespace finchlink::common {
 
 #define FINCHLINK_INVARIANT(name, meaning) name,
 enum class Invariant : std::uint8_t {
-#include "loam/invariant/invariants.def"
+#include "common/invariant/invariants.def"
 };
 #undef FINCHLINK_INVARIANT
 
@@ -58,4 +58,4 @@
 /// Lines of the metrics page, one for each invariant also when it was never violated.
 [[nodiscard]] std::string invariant_metrics();
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/json/fault.hpp
+++ b/source/common/json/fault.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// One thing wrong with a document, with the JSON pointer of its place (section 2).
 struct Fault {
@@ -14,4 +14,4 @@
 
 [[nodiscard]] std::string describe(std::vector<Fault> const& faults);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/json/tree.cpp
+++ b/source/common/json/tree.cpp
@@ -1,11 +1,11 @@
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 
 #include <algorithm>
 #include <vector>
 
-#include "loam/json/fault.hpp"
+#include "common/json/fault.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 std::string describe(std::vector<Fault> const& faults) {
   std::string text;
@@ -89,4 +89,4 @@
   return target;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/json/tree.hpp
+++ b/source/common/json/tree.hpp
@@ -8,7 +8,7 @@
 
 #include <absl/status/statusor.h>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 struct TreeRelease {
   void operator()(cJSON* node) const { cJSON_Delete(node); }
@@ -25,4 +25,4 @@
 /// JSON merge patch (RFC 7396); Debian's cJSON comes without its utilities.
 [[nodiscard]] Tree merge_patch(Tree target, cJSON const* patch);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/log/invariant_log.cpp
+++ b/source/common/log/invariant_log.cpp
@@ -1,13 +1,13 @@
-#include "loam/log/invariant_log.hpp"
+#include "common/log/invariant_log.hpp"
 
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <memory>
 
-#include "loam/constants.hpp"
-#include "loam/log/log.hpp"
+#include "common/constants.hpp"
+#include "common/log/log.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace {
 void note_after_pause(std::shared_ptr<boost::asio::steady_timer> const& timer) {
@@ -36,4 +36,4 @@
   note_after_pause(std::make_shared<boost::asio::steady_timer>(context));
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/log/invariant_log.hpp
+++ b/source/common/log/invariant_log.hpp
@@ -3,9 +3,9 @@
 #include <boost/asio/io_context.hpp>
 #include <string>
 
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// What the log says of a violation.
 [[nodiscard]] std::string describe(InvariantViolation const& violation);
@@ -14,4 +14,4 @@
 /// Writes violations to the log every `invariant_log_pause`, for as long as the context runs.
 void note_violations_while_running(boost::asio::io_context& context);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/log/log.cpp
+++ b/source/common/log/log.cpp
@@ -1,4 +1,4 @@
-#include "loam/log/log.hpp"
+#include "common/log/log.hpp"
 
 #include <boost/log/core.hpp>
 #include <boost/log/expressions.hpp>
@@ -8,7 +8,7 @@
 #include <boost/log/utility/setup/console.hpp>
 #include <iostream>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace trivial = boost::log::trivial;
 
@@ -36,7 +36,7 @@
 std::vector<EventEntry> const& event_catalogue() {
   static std::vector<EventEntry> const entries{
 #define FINCHLINK_EVENT(number, name, level, meaning) EventEntry{Event::name, #name, Level::level, meaning},
-#include "loam/log/events.def"
+#include "common/log/events.def"
 #undef FINCHLINK_EVENT
   };
   return entries;
@@ -64,4 +64,4 @@
   }
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/log/log.hpp
+++ b/source/common/log/log.hpp
@@ -4,13 +4,13 @@
 #include <string_view>
 #include <vector>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 enum class Level { debug, info, warning, error };
 
 #define FINCHLINK_EVENT(number, name, level, meaning) name = number,
 enum class Event : int {
-#include "loam/log/events.def"
+#include "common/log/events.def"
 };
 #undef FINCHLINK_EVENT
 
@@ -26,4 +26,4 @@
 /// Writes one numbered event (section 3).
 void note(Event event, std::string const& details);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/net/net.cpp
+++ b/source/common/net/net.cpp
@@ -1,4 +1,4 @@
-#include "loam/net/net.hpp"
+#include "common/net/net.hpp"
 
 #include <netinet/in.h>
 #include <atomic>
@@ -9,14 +9,14 @@
 #include <deque>
 #include <optional>
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
-#include "loam/log/log.hpp"
-#include "loam/net/traffic.hpp"
-#include "loam/relay_constants.hpp"
-#include "loam/wire/frame.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
+#include "common/log/log.hpp"
+#include "common/net/traffic.hpp"
+#include "common/relay_constants.hpp"
+#include "common/wire/frame.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
@@ -422,4 +422,4 @@
   }
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/net/net.hpp
+++ b/source/common/net/net.hpp
@@ -15,10 +15,10 @@
 
 #include <absl/status/statusor.h>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 using Yield = boost::asio::yield_context;
 using Stream = boost::beast::tcp_stream;
@@ -96,4 +96,4 @@
                   Handler const& handler, Yield yield, Span again = 0);
 };
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/net/traffic.cpp
+++ b/source/common/net/traffic.cpp
@@ -1,4 +1,4 @@
-#include "loam/net/traffic.hpp"
+#include "common/net/traffic.hpp"
 
 #include <array>
 #include <atomic>
@@ -8,10 +8,10 @@
 #include <memory>
 #include <variant>
 
-#include "loam/log/log.hpp"
+#include "common/log/log.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace {
 struct Counter {
@@ -64,4 +64,4 @@
   wait_for_signal(std::make_shared<boost::asio::signal_set>(context, SIGUSR1));
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/net/traffic.hpp
+++ b/source/common/net/traffic.hpp
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <string>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Frames of this process by kind of message, counted where they are sent and
 /// received (section 3.2); relaxed counters, so that counting costs nothing.
@@ -15,4 +15,4 @@
 /// Notes the above whenever SIGUSR1 comes.
 void note_traffic_on_signal(boost::asio::io_context& context);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/process/followed.cpp
+++ b/source/common/process/followed.cpp
@@ -1,4 +1,4 @@
-#include "loam/process/followed.hpp"
+#include "common/process/followed.hpp"
 
 #include <sys/stat.h>
 
@@ -6,11 +6,11 @@
 #include <csignal>
 #include <memory>
 
-#include "loam/log/log.hpp"
-#include "loam/net/net.hpp"
-#include "loam/process/process.hpp"
+#include "common/log/log.hpp"
+#include "common/net/net.hpp"
+#include "common/process/process.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 Followed::Stamp Followed::stamp() const {
   struct stat status {};
@@ -80,4 +80,4 @@
   });
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/process/followed.hpp
+++ b/source/common/process/followed.hpp
@@ -8,10 +8,10 @@
 #include <absl/status/status.h>
 #include <absl/status/statusor.h>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/settings.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Settings of a file that someone else writes and changes (section 13.2): what
 /// is in force, read anew on SIGHUP and when the file's stamp changes. A file
@@ -51,4 +51,4 @@
   schema::Settings settings_;
 };
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/process/process.cpp
+++ b/source/common/process/process.cpp
@@ -1,4 +1,4 @@
-#include "loam/process/process.hpp"
+#include "common/process/process.hpp"
 
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -7,16 +7,16 @@
 #include <thread>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
-#include "loam/log/invariant_log.hpp"
-#include "loam/log/log.hpp"
-#include "loam/net/net.hpp"
-#include "loam/net/traffic.hpp"
-#include "loam/process/followed.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
+#include "common/log/invariant_log.hpp"
+#include "common/log/log.hpp"
+#include "common/net/net.hpp"
+#include "common/net/traffic.hpp"
+#include "common/process/followed.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 absl::Status check_bounds(schema::TimeBounds const& bounds) {
   std::uint64_t const round = static_cast<std::uint64_t>(constants::wide_round / 1000);
@@ -154,4 +154,4 @@
   return 0;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/process/process.hpp
+++ b/source/common/process/process.hpp
@@ -8,10 +8,10 @@
 
 #include <absl/status/status.h>
 
-#include "loam/settings/settings.hpp"
-#include "loam/time/moment.hpp"
+#include "common/settings/settings.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Runs one daemon: words before settings (--help …), log, threads, signals.
 /// `begin` starts its loops; `busy` tells whether something still runs, so
@@ -35,4 +35,4 @@
 [[nodiscard]] absl::Status check_bounds(schema::TimeBounds const& bounds);
 [[nodiscard]] int run_daemon(Daemon const& daemon, int count, char const* const* values);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/wall_constants.hpp
+++ b/source/common/prompt_isolation_constants.hpp
@@ -2,10 +2,10 @@
 
 #include <cstddef>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
 /// Constants of tenants' walls (section 14), each with its unit and reason.
-namespace finchlink::loam::constants {
+namespace finchlink::common::constants {
 
 /// Longest name of a tenant, in bytes: it is part of every key and of reports.
 inline constexpr std::size_t tenant_bytes = 128;
@@ -33,4 +33,4 @@
 /// Pause between two looks at the secrets file's stamp.
 inline constexpr Span secrets_pause = seconds(1);
 
-}  // namespace finchlink::loam::constants
+}  // namespace finchlink::common::constants
--- a/source/loam/random/random.hpp
+++ b/source/common/random/random.hpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <random>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Randomness for shells; cores are handed what they need.
 [[nodiscard]] inline std::uint64_t random_number() {
@@ -16,4 +16,4 @@
   return (random_number() >> 12u) + 1;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/relay_constants.hpp
+++ b/source/common/relay_constants.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 
 /// The constants of the relay, each with its unit and reason; kept beside the
 /// others so that a change of one doesn't build everything anew.
-namespace finchlink::loam::constants {
+namespace finchlink::common::constants {
 
 // --- relay (section 13) ---
 /// Parts of the bounds shared by all furrows that are used: the rest covers
@@ -166,4 +166,4 @@
 /// The end of the grace that is kept free for closing.
 inline constexpr Span leave_reserve = milliseconds(700);
 
-}  // namespace finchlink::loam::constants
+}  // namespace finchlink::common::constants
--- a/source/loam/settings/settings.cpp
+++ b/source/common/settings/settings.cpp
@@ -1,15 +1,15 @@
-#include "loam/settings/settings.hpp"
+#include "common/settings/settings.hpp"
 
 #include <boost/program_options.hpp>
 #include <cstdlib>
 #include <fstream>
 #include <sstream>
 
-#include "loam/error/error.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/net/net.hpp"
+#include "common/error/error.hpp"
+#include "common/json/tree.hpp"
+#include "common/net/net.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace options = boost::program_options;
 
@@ -172,4 +172,4 @@
   return invocation;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/settings/settings.hpp
+++ b/source/common/settings/settings.hpp
@@ -7,7 +7,7 @@
 
 #include "schema/settings.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Exit codes of all programs (docs/operating/running.md).
 inline constexpr int exit_usage = 2;
@@ -38,4 +38,4 @@
 /// (section 13.2) stay as they were given.
 void keep_options(schema::Settings const& given, schema::Settings& read);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/time/moment.hpp
+++ b/source/common/time/moment.hpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <ctime>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// Microseconds on the boot-time clock: it goes on while a machine sleeps and
 /// no one can set it (section 3). Cores are handed a Moment, never read one.
@@ -23,4 +23,4 @@
   return static_cast<Moment>(reading.tv_sec) * 1000000 + reading.tv_nsec / 1000;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/wire/frame.cpp
+++ b/source/common/wire/frame.cpp
@@ -1,15 +1,15 @@
-#include "loam/wire/frame.hpp"
+#include "common/wire/frame.hpp"
 
 #include <zlib.h>
 
 #include <boost/crc.hpp>
 #include <cstring>
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
+#include "common/wire/pack.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 namespace {
 std::uint32_t word(std::string_view bytes, std::size_t offset) {
@@ -105,4 +105,4 @@
   return message;
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/wire/frame.hpp
+++ b/source/common/wire/frame.hpp
@@ -7,7 +7,7 @@
 
 #include "schema/wire.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// A frame: mark, length and check of four bytes each, then the packed message
 /// (section 3.2).
@@ -17,4 +17,4 @@
 [[nodiscard]] absl::StatusOr<std::size_t> frame_length(std::string_view header);
 [[nodiscard]] absl::StatusOr<schema::Message> unframe(std::string_view header, std::string_view payload);
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/loam/wire/pack.hpp
+++ b/source/common/wire/pack.hpp
@@ -16,7 +16,7 @@
 
 #include <absl/status/statusor.h>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 
 /// cereal archives over a string. cereal has its users derive from its base
 /// classes; these two are the only inheritance here (section 3). Unlike its
@@ -116,6 +116,6 @@
   }
 }
 
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
 
-CEREAL_SETUP_ARCHIVE_TRAITS(finchlink::loam::PackReader, finchlink::loam::PackWriter)
+CEREAL_SETUP_ARCHIVE_TRAITS(finchlink::common::PackReader, finchlink::common::PackWriter)
--- a/source/config/change/change_marks.hpp
+++ b/source/config/change/change_marks.hpp
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::config {
@@ -30,14 +30,14 @@
 
 /// How marks are kept and read; tests and the simulator change it.
 struct MarkOptions {
-  std::size_t kept = loam::constants::marks_kept;
+  std::size_t kept = common::constants::marks_kept;
   bool found = true;            ///< guard: a change is looked up by its mark
   bool forgotten_known = true;  ///< guard: a mark that may have been dropped counts as such
 };
 
 /// Adds a mark and drops the oldest beyond what is kept.
 void add_mark(schema::Value& value, std::string const& id, std::uint64_t revision,
-              std::size_t kept = loam::constants::marks_kept);
+              std::size_t kept = common::constants::marks_kept);
 [[nodiscard]] std::optional<schema::ChangeMark> find_mark(schema::Value const& value, std::string const& id);
 /// Revisions of the register whose marks were dropped: those up to this one.
 [[nodiscard]] std::uint64_t dropped_marks(schema::Value const& value);
--- a/source/config/change/proposal.cpp
+++ b/source/config/change/proposal.cpp
@@ -2,8 +2,8 @@
 
 #include <charconv>
 
+#include "common/constants.hpp"
 #include "config/setup/setup.hpp"
-#include "loam/constants.hpp"
 
 namespace finchlink::config {
 
@@ -62,10 +62,10 @@
       if (!reading.good()) {
         note->end = SetupProposalOutcome::faults;
         note->faults = reading.faults;
-        return consensus::Reject{loam::describe(reading.faults)};
+        return consensus::Reject{common::describe(reading.faults)};
       }
     }
-    if (content.size() > loam::constants::setup_limit) {
+    if (content.size() > common::constants::setup_limit) {
       note->end = SetupProposalOutcome::size;
       return consensus::Reject{"the setup is larger than allowed"};
     }
--- a/source/config/change/proposal.hpp
+++ b/source/config/change/proposal.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
+#include "common/json/fault.hpp"
 #include "config/change/change_marks.hpp"
 #include "consensus/proposer/proposer.hpp"
-#include "loam/json/fault.hpp"
 
 namespace finchlink::config {
 
@@ -23,7 +23,7 @@
 /// Why a wish was rejected, for the answer to the operator.
 struct SetupProposalReport {
   SetupProposalOutcome end = SetupProposalOutcome::none;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
 };
 
 /// An id ends in the revision that its maker knew: NAME.REVISION. Without one
--- a/source/config/course/course.cpp
+++ b/source/config/disposition/disposition.cpp
@@ -1,4 +1,4 @@
-#include "config/course/course.hpp"
+#include "config/disposition/disposition.hpp"
 
 namespace finchlink::config {
 
--- a/source/config/evacuation/proposal.cpp
+++ b/source/config/evacuation/proposal.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <optional>
 
+#include "common/json/tree.hpp"
 #include "config/change/change_marks.hpp"
-#include "loam/json/tree.hpp"
 
 namespace finchlink::config {
 
 std::vector<std::string> evacuated_zones(std::string const& content) {
   std::vector<std::string> zones;
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(content);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(content);
   if (tree.ok() && cJSON_IsArray(tree->get()) != 0) {
     for (cJSON const* entry = (*tree)->child; entry != nullptr; entry = entry->next) {
       if (cJSON_IsString(entry) != 0) {
@@ -32,11 +32,11 @@
 
 namespace {
 std::string print_zones(std::vector<std::string> const& zones) {
-  loam::Tree list(cJSON_CreateArray());
+  common::Tree list(cJSON_CreateArray());
   for (std::string const& name : zones) {
     cJSON_AddItemToArray(list.get(), cJSON_CreateString(name.c_str()));
   }
-  return loam::print_tree(list.get());
+  return common::print_tree(list.get());
 }
 
 std::string with_zone(std::vector<std::string> zones, std::string const& zone, bool evacuated) {
--- a/source/config/evacuation/proposal.hpp
+++ b/source/config/evacuation/proposal.hpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
+#include "common/constants.hpp"
 #include "consensus/proposer/proposer.hpp"
-#include "loam/constants.hpp"
 
 namespace finchlink::config {
 
@@ -22,7 +22,7 @@
 /// Revision that the newest order about a zone made; 0: there was none. Where
 /// the zone's mark may have been dropped, a revision not below it.
 [[nodiscard]] std::uint64_t newest_order(schema::Value const& value, std::string const& zone,
-                                         std::size_t marks_kept = loam::constants::marks_kept);
+                                         std::size_t marks_kept = common::constants::marks_kept);
 
 /// An operator's order about a zone. It has no identity on the wire and may be
 /// sent again to any node, so a late copy of it must not take effect behind
@@ -47,7 +47,7 @@
   bool fenced = true;          ///< a zone changes only if no order about it came since
   bool orders_counted = true;  ///< an order that finds the zone as wanted counts as one, and fences earlier ones
   bool caller_watched = true;  ///< nothing is changed for a caller that is known to be gone
-  std::size_t marks_kept = loam::constants::marks_kept;
+  std::size_t marks_kept = common::constants::marks_kept;
 };
 
 /// Adds a zone to the evacuated ones or takes it away. Said twice it changes the
--- a/source/config/charter/proposal.cpp
+++ b/source/config/routing/proposal.cpp
@@ -1,13 +1,13 @@
-#include "config/charter/proposal.hpp"
+#include "config/routing/proposal.hpp"
 
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
-#include "loam/invariant/invariant.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
+#include "common/invariant/invariant.hpp"
 
 namespace finchlink::config {
 
 std::string id_of(WantedCharter const& wanted) {
-  loam::Digest digest;
+  common::Digest digest;
   digest.add(wanted.content)
       .add(wanted.patch ? 1 : 0)
       .add(wanted.expected.has_value() ? 1 : 0)
@@ -32,7 +32,7 @@
   if (wanted.patch) {
     absl::StatusOr<std::string> const merged = notation.merge(current, wanted.content);
     if (!merged.ok()) {
-      made.reading.faults.push_back(loam::Fault{"", std::string(merged.status().message())});
+      made.reading.faults.push_back(common::Fault{"", std::string(merged.status().message())});
       return made;
     }
     made.content = *merged;
@@ -107,21 +107,21 @@
     Made const made = change->whole.has_value() ? *change->whole : make(change->wanted, notation, current.content);
     if (!made.reading.good()) {
       note->faults = made.reading.faults;
-      return refuse(*note, CharterProposalOutcome::faults, loam::describe(made.reading.faults));
+      return refuse(*note, CharterProposalOutcome::faults, common::describe(made.reading.faults));
     }
     if (made.reading.charter.number <= note->number) {
       return refuse(*note, CharterProposalOutcome::number, "the number does not rise");
     }
-    if (made.content.size() > loam::constants::charter_limit) {
+    if (made.content.size() > common::constants::charter_limit) {
       return refuse(*note, CharterProposalOutcome::size, "the charter is larger than allowed");
     }
     schema::Value next{current.revision + 1, made.content, current.marks};
     add_mark(next, change->id, made.reading.charter.number, marks.kept);
-    loam::check(loam::Invariant::charter_number_rises, number_of(next) > number_of(current), [&] {
+    common::check(common::Invariant::charter_number_rises, number_of(next) > number_of(current), [&] {
       return "revision " + std::to_string(next.revision) + " brings number " + std::to_string(number_of(next)) +
              " after " + std::to_string(number_of(current));
     });
-    note->valid_digest = loam::Digest().add(next.content).text();
+    note->valid_digest = common::Digest().add(next.content).text();
     return next;
   };
 }
--- a/source/config/charter/proposal.hpp
+++ b/source/config/routing/proposal.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "config/change/change_marks.hpp"
-#include "config/charter/charter.hpp"
+#include "config/routing/routing_config.hpp"
 #include "consensus/proposer/proposer.hpp"
 
 namespace finchlink::config {
@@ -34,7 +34,7 @@
 struct CharterProposalReport {
   CharterProposalOutcome end = CharterProposalOutcome::none;
   std::uint64_t number = 0;  ///< of the charter that was found
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   std::string valid_digest;  ///< of the content that was found valid and proposed
 };
 
--- a/source/config/charter/charter.cpp
+++ b/source/config/routing/routing_config.cpp
@@ -1,12 +1,12 @@
-#include "config/charter/charter.hpp"
+#include "config/routing/routing_config.hpp"
 
 #include <map>
 #include <set>
 #include <utility>
 
-#include "config/charter/tenancy.hpp"
-#include "loam/error/error.hpp"
-#include "loam/json/tree.hpp"
+#include "common/error/error.hpp"
+#include "common/json/tree.hpp"
+#include "config/routing/tenancy.hpp"
 
 namespace finchlink::config {
 
@@ -17,13 +17,13 @@
 
 CharterReading read_own(std::string const& text) {
   CharterReading reading;
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
-    reading.faults.push_back(loam::Fault{"", std::string(tree.status().message())});
+    reading.faults.push_back(common::Fault{"", std::string(tree.status().message())});
     return reading;
   }
   schema::read(tree->get(), "", reading.charter, reading.faults);
-  std::vector<loam::Fault> const more = check(reading.charter);
+  std::vector<common::Fault> const more = check(reading.charter);
   reading.faults.insert(reading.faults.end(), more.begin(), more.end());
   return reading;
 }
@@ -31,11 +31,11 @@
 
 absl::StatusOr<std::string> merge_named(std::string const& current, std::string const& change,
                                         std::string const& number_field, std::vector<std::string> const& lists) {
-  absl::StatusOr<loam::Tree> target =
-      current.empty() ? absl::StatusOr<loam::Tree>(loam::Tree(cJSON_CreateObject())) : loam::read_tree(current);
-  absl::StatusOr<loam::Tree> const delta = loam::read_tree(change);
+  absl::StatusOr<common::Tree> target =
+      current.empty() ? absl::StatusOr<common::Tree>(common::Tree(cJSON_CreateObject())) : common::read_tree(current);
+  absl::StatusOr<common::Tree> const delta = common::read_tree(change);
   if (!target.ok() || !delta.ok() || cJSON_IsObject(target->get()) == 0 || cJSON_IsObject(delta->get()) == 0) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "charter", "not a JSON object");
+    return common::defect(absl::StatusCode::kInvalidArgument, "charter", "not a JSON object");
   }
   cJSON const* const number = cJSON_GetObjectItemCaseSensitive(delta->get(), number_field.c_str());
   if (number != nullptr) {
@@ -45,18 +45,18 @@
   cJSON const* const upsert = cJSON_GetObjectItemCaseSensitive(delta->get(), "upsert");
   cJSON const* const remove = cJSON_GetObjectItemCaseSensitive(delta->get(), "remove");
   if ((upsert != nullptr && cJSON_IsObject(upsert) == 0) || (remove != nullptr && cJSON_IsObject(remove) == 0)) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "charter", "upsert and remove must be objects");
+    return common::defect(absl::StatusCode::kInvalidArgument, "charter", "upsert and remove must be objects");
   }
   for (std::string const& list : lists) {
     cJSON const* const items = cJSON_GetObjectItemCaseSensitive(upsert, list.c_str());
     cJSON const* const names = cJSON_GetObjectItemCaseSensitive(remove, list.c_str());
     if ((items != nullptr && cJSON_IsArray(items) == 0) || (names != nullptr && cJSON_IsArray(names) == 0)) {
-      return loam::defect(absl::StatusCode::kInvalidArgument, "charter", list + " must be a list");
+      return common::defect(absl::StatusCode::kInvalidArgument, "charter", list + " must be a list");
     }
     std::set<std::string> gone;
     for (cJSON const* name = names == nullptr ? nullptr : names->child; name != nullptr; name = name->next) {
       if (cJSON_IsString(name) == 0) {
-        return loam::defect(absl::StatusCode::kInvalidArgument, "charter", "names to remove must be strings");
+        return common::defect(absl::StatusCode::kInvalidArgument, "charter", "names to remove must be strings");
       }
       gone.insert(name->valuestring);
     }
@@ -65,7 +65,7 @@
     for (cJSON const* item = items == nullptr ? nullptr : items->child; item != nullptr; item = item->next) {
       cJSON const* const name = cJSON_GetObjectItemCaseSensitive(item, "name");
       if (cJSON_IsString(name) == 0) {
-        return loam::defect(absl::StatusCode::kInvalidArgument, "charter", "an item of " + list + " has no name");
+        return common::defect(absl::StatusCode::kInvalidArgument, "charter", "an item of " + list + " has no name");
       }
       if (given.count(name->valuestring) == 0) {
         order.emplace_back(name->valuestring);
@@ -80,7 +80,7 @@
     std::set<std::string> placed;
     cJSON* const before = cJSON_GetObjectItemCaseSensitive(target->get(), list.c_str());
     while (before != nullptr && before->child != nullptr) {
-      loam::Tree item(cJSON_DetachItemViaPointer(before, before->child));
+      common::Tree item(cJSON_DetachItemViaPointer(before, before->child));
       cJSON const* const name = cJSON_GetObjectItemCaseSensitive(item.get(), "name");
       std::string const key = cJSON_IsString(name) != 0 ? name->valuestring : "";
       std::map<std::string, cJSON const*>::const_iterator const replacement = given.find(key);
@@ -100,11 +100,11 @@
     cJSON_DeleteItemFromObjectCaseSensitive(target->get(), list.c_str());
     cJSON_AddItemToObject(target->get(), list.c_str(), merged);
   }
-  return loam::print_tree(target->get());
+  return common::print_tree(target->get());
 }
 
 std::optional<std::uint64_t> number_in(std::string const& text, std::string const& number_field) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     return std::nullopt;
   }
@@ -123,15 +123,15 @@
                   [](std::string const& text) { return number_in(text, "number"); }};
 }
 
-std::vector<loam::Fault> check(schema::Charter const& charter) {
-  std::vector<loam::Fault> faults;
+std::vector<common::Fault> check(schema::Charter const& charter) {
+  std::vector<common::Fault> faults;
   if (charter.number == 0) {
-    faults.push_back(loam::Fault{"/number", "must be above 0"});
+    faults.push_back(common::Fault{"/number", "must be above 0"});
   }
   std::set<std::string> services;
   for (std::size_t index = 0; index < charter.services.size(); ++index) {
     if (!services.insert(charter.services[index].name).second) {
-      faults.push_back(loam::Fault{place("services", index, "/name"), "is there twice"});
+      faults.push_back(common::Fault{place("services", index, "/name"), "is there twice"});
     }
   }
   std::set<std::string> names;
@@ -139,23 +139,23 @@
   for (std::size_t index = 0; index < charter.lanes.size(); ++index) {
     schema::Lane const& lane = charter.lanes[index];
     if (!names.insert(lane.name).second) {
-      faults.push_back(loam::Fault{place("lanes", index, "/name"), "is there twice"});
+      faults.push_back(common::Fault{place("lanes", index, "/name"), "is there twice"});
     }
     if (!places.insert(std::make_pair(lane.host, lane.prefix)).second) {
-      faults.push_back(loam::Fault{place("lanes", index, "/prefix"), "another lane has this host and prefix"});
+      faults.push_back(common::Fault{place("lanes", index, "/prefix"), "another lane has this host and prefix"});
     }
     double weights = 0;
     for (schema::Share const& share : lane.shares) {
       weights += share.weight;
       if (services.count(share.service) == 0) {
-        faults.push_back(loam::Fault{place("lanes", index, "/shares"), "names an unknown service: " + share.service});
+        faults.push_back(common::Fault{place("lanes", index, "/shares"), "names an unknown service: " + share.service});
       }
     }
     if (!(weights > 0)) {
-      faults.push_back(loam::Fault{place("lanes", index, "/shares"), "weights add up to nothing"});
+      faults.push_back(common::Fault{place("lanes", index, "/shares"), "weights add up to nothing"});
     }
     if (!(lane.deadline_ms > 0)) {
-      faults.push_back(loam::Fault{place("lanes", index, "/deadline_ms"), "must be above 0"});
+      faults.push_back(common::Fault{place("lanes", index, "/deadline_ms"), "must be above 0"});
     }
   }
   check_tenancies(charter, faults);
--- a/source/config/charter/charter.hpp
+++ b/source/config/routing/routing_config.hpp
@@ -8,7 +8,7 @@
 
 #include <absl/status/statusor.h>
 
-#include "loam/json/fault.hpp"
+#include "common/json/fault.hpp"
 #include "schema/setup.hpp"
 
 namespace finchlink::config {
@@ -16,7 +16,7 @@
 /// A charter as it was read (section 13.1), with every fault by its place.
 struct CharterReading {
   schema::Charter charter;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   [[nodiscard]] bool good() const { return faults.empty(); }
 };
 
@@ -47,6 +47,6 @@
 
 /// What parts say of each other: unknown services, lanes of one host and
 /// prefix, weights that add up to nothing, names that repeat, no deadline.
-[[nodiscard]] std::vector<loam::Fault> check(schema::Charter const& charter);
+[[nodiscard]] std::vector<common::Fault> check(schema::Charter const& charter);
 
 }  // namespace finchlink::config
--- a/source/config/charter/tenancy.cpp
+++ b/source/config/routing/tenancy.cpp
@@ -1,4 +1,4 @@
-#include "config/charter/tenancy.hpp"
+#include "config/routing/tenancy.hpp"
 
 #include <algorithm>
 #include <set>
@@ -25,37 +25,37 @@
   return names.count(name) > 0;
 }
 
-void check_tenancy(schema::Lane const& lane, std::string const& place, std::vector<loam::Fault>& faults) {
+void check_tenancy(schema::Lane const& lane, std::string const& place, std::vector<common::Fault>& faults) {
   schema::Tenancy const& tenancy = *lane.tenancy;
   if (tenancy.header.empty() == (tenancy.path_segment == 0)) {
-    faults.push_back(loam::Fault{place, "must name a header or a path_segment, and not both"});
+    faults.push_back(common::Fault{place, "must name a header or a path_segment, and not both"});
   }
   if (!good_header(tenancy.header)) {
-    faults.push_back(loam::Fault{place + "/header", "is no header's name"});
+    faults.push_back(common::Fault{place + "/header", "is no header's name"});
   } else if (of_connection(tenancy.header)) {
-    faults.push_back(loam::Fault{place + "/header", "concerns connections or hosts, not tenants"});
+    faults.push_back(common::Fault{place + "/header", "concerns connections or hosts, not tenants"});
   }
   // A prefix begins and ends with a slash: between its slashes stand the
   // parts that are alike in all of the lane's paths.
   std::size_t const alike = static_cast<std::size_t>(
       std::max<std::ptrdiff_t>(std::count(lane.prefix.begin(), lane.prefix.end(), '/') - 1, 0));
   if (tenancy.path_segment > 0 && tenancy.path_segment <= alike) {
-    faults.push_back(
-        loam::Fault{place + "/path_segment", "stands in the lane's prefix, so that all queries would name one tenant"});
+    faults.push_back(common::Fault{place + "/path_segment",
+                                   "stands in the lane's prefix, so that all queries would name one tenant"});
   }
   std::set<std::string> parts;
   for (std::size_t index = 0; index < tenancy.public_parts.size(); ++index) {
     std::string const& part = tenancy.public_parts[index];
     if (part.empty() || part.find_first_of(" ,:") != std::string::npos) {
-      faults.push_back(loam::Fault{place + "/public_parts/" + std::to_string(index), "is no part's id"});
+      faults.push_back(common::Fault{place + "/public_parts/" + std::to_string(index), "is no part's id"});
     } else if (!parts.insert(part).second) {
-      faults.push_back(loam::Fault{place + "/public_parts/" + std::to_string(index), "is there twice"});
+      faults.push_back(common::Fault{place + "/public_parts/" + std::to_string(index), "is there twice"});
     }
   }
 }
 }  // namespace
 
-void check_tenancies(schema::Charter const& charter, std::vector<loam::Fault>& faults) {
+void check_tenancies(schema::Charter const& charter, std::vector<common::Fault>& faults) {
   std::set<std::string> names;
   bool any = false;
   for (std::size_t index = 0; index < charter.lanes.size(); ++index) {
@@ -66,13 +66,13 @@
     }
   }
   if (!charter.tenants.empty() && !any) {
-    faults.push_back(loam::Fault{"/tenants", "no lane says where its tenant is named"});
+    faults.push_back(common::Fault{"/tenants", "no lane says where its tenant is named"});
   }
   for (std::size_t index = 0; index < charter.tenants.size(); ++index) {
     schema::Tenant const& tenant = charter.tenants[index];
     std::string const place = "/tenants/" + std::to_string(index);
     if (!names.insert(tenant.name).second) {
-      faults.push_back(loam::Fault{place + "/name", "is there twice"});
+      faults.push_back(common::Fault{place + "/name", "is there twice"});
     }
     for (schema::Lane const& lane : charter.lanes) {
       bool const bound = lane.tenancy.has_value() && !lane.home_regions.empty() && !tenant.home_regions.empty();
@@ -82,7 +82,7 @@
             return std::find(lane.home_regions.begin(), lane.home_regions.end(), region) != lane.home_regions.end();
           });
       if (!meets) {
-        faults.push_back(loam::Fault{place + "/home_regions", "leaves no region on lane " + lane.name});
+        faults.push_back(common::Fault{place + "/home_regions", "leaves no region on lane " + lane.name});
       }
     }
   }
--- a/source/config/charter/tenancy.hpp
+++ b/source/config/routing/tenancy.hpp
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-#include "loam/json/fault.hpp"
+#include "common/json/fault.hpp"
 #include "schema/setup.hpp"
 
 namespace finchlink::config {
@@ -11,6 +11,6 @@
 /// exactly one place where the tenant is named, that place can name more than
 /// one, public parts are named once, tenants too, and no tenant's homes leave a
 /// lane without any.
-void check_tenancies(schema::Charter const& charter, std::vector<loam::Fault>& faults);
+void check_tenancies(schema::Charter const& charter, std::vector<common::Fault>& faults);
 
 }  // namespace finchlink::config
--- a/source/config/setup/setup.cpp
+++ b/source/config/setup/setup.cpp
@@ -2,11 +2,11 @@
 
 #include <map>
 
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 
 namespace finchlink::config {
 
-using loam::Fault;
+using common::Fault;
 
 namespace {
 void check_selector(schema::Selector const& selector, std::string const& path, std::vector<Fault>& faults) {
@@ -71,7 +71,7 @@
 
 SetupReading read_setup(std::string_view text) {
   SetupReading reading;
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     reading.reason = std::string(tree.status().message());
     return reading;
@@ -80,7 +80,7 @@
   schema::read(tree->get(), "", reading.setup, reading.faults);
   std::map<std::string, std::string> seen;
   for (std::pair<std::string const, schema::Region> const& region : reading.setup.regions) {
-    std::string const path = "/regions/" + loam::pointer_part(region.first) + "/halls";
+    std::string const path = "/regions/" + common::pointer_part(region.first) + "/halls";
     if (region.second.halls.empty()) {
       reading.faults.push_back(Fault{path, "must not be empty"});
     }
@@ -93,36 +93,36 @@
   }
   for (std::pair<std::string const, schema::Hall> const& hall : reading.setup.halls) {
     if (seen.count(hall.first) == 0) {
-      reading.faults.push_back(Fault{"/halls/" + loam::pointer_part(hall.first), "is in no region"});
+      reading.faults.push_back(Fault{"/halls/" + common::pointer_part(hall.first), "is in no region"});
     }
   }
   for (std::size_t place = 0; place < reading.setup.labels.size(); ++place) {
     check_selector(reading.setup.labels[place].where, "/labels/" + std::to_string(place) + "/where", reading.faults);
   }
   for (std::pair<std::string const, schema::Rule> const& rule : reading.setup.rules) {
-    check_rule(reading.setup, rule.second, "/rules/" + loam::pointer_part(rule.first), reading.faults);
+    check_rule(reading.setup, rule.second, "/rules/" + common::pointer_part(rule.first), reading.faults);
   }
   return reading;
 }
 
 absl::StatusOr<std::string> canonical(std::string_view text) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     return tree.status();
   }
-  return loam::print_sorted(tree->get());
+  return common::print_sorted(tree->get());
 }
 
 absl::StatusOr<std::string> patched(std::string_view text, std::string_view patch) {
-  absl::StatusOr<loam::Tree> target = loam::read_tree(text.empty() ? std::string_view("{}") : text);
-  absl::StatusOr<loam::Tree> const change = loam::read_tree(patch);
+  absl::StatusOr<common::Tree> target = common::read_tree(text.empty() ? std::string_view("{}") : text);
+  absl::StatusOr<common::Tree> const change = common::read_tree(patch);
   if (!target.ok()) {
     return target.status();
   }
   if (!change.ok()) {
     return change.status();
   }
-  return loam::print_sorted(loam::merge_patch(std::move(*target), change->get()).get());
+  return common::print_sorted(common::merge_patch(std::move(*target), change->get()).get());
 }
 
 }  // namespace finchlink::config
--- a/source/config/setup/setup.hpp
+++ b/source/config/setup/setup.hpp
@@ -6,7 +6,7 @@
 
 #include <absl/status/statusor.h>
 
-#include "loam/json/fault.hpp"
+#include "common/json/fault.hpp"
 #include "schema/setup.hpp"
 
 namespace finchlink::config {
@@ -16,7 +16,7 @@
   bool json = false;  ///< false: not a JSON document at all
   std::string reason;
   schema::Setup setup;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   [[nodiscard]] bool good() const { return json && faults.empty(); }
 };
 
--- a/source/consensus/acceptor/acceptor.cpp
+++ b/source/consensus/acceptor/acceptor.cpp
@@ -3,14 +3,14 @@
 #include <algorithm>
 #include <type_traits>
 
-#include "loam/digest/digest.hpp"
-#include "loam/invariant/invariant.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/digest/digest.hpp"
+#include "common/invariant/invariant.hpp"
+#include "common/wire/pack.hpp"
 
 namespace finchlink::consensus {
 
-Acceptor::Acceptor(std::uint64_t incarnation, std::string address, std::vector<std::string> founders, loam::Moment now,
-                   Guards guards)
+Acceptor::Acceptor(std::uint64_t incarnation, std::string address, std::vector<std::string> founders,
+                   common::Moment now, Guards guards)
     : guards_(guards),
       address_(std::move(address)),
       founders_(std::move(founders)),
@@ -22,7 +22,7 @@
 }
 
 Acceptor::Acceptor(std::vector<schema::Record> const& records, std::string address, std::vector<std::string> founders,
-                   loam::Moment now, Guards guards)
+                   common::Moment now, Guards guards)
     : guards_(guards),
       address_(std::move(address)),
       founders_(std::move(founders)),
@@ -80,7 +80,7 @@
   return schema::Refused{ballot, promised, voting_, founding_.incarnation, set_};
 }
 
-Outcome Acceptor::receive(schema::Message const& message, loam::Moment now) {
+Outcome Acceptor::receive(schema::Message const& message, common::Moment now) {
   sender_.expire(now);
   return std::visit(
       [this, now](auto const& entry) -> Outcome {
@@ -100,21 +100,21 @@
 }
 
 void Acceptor::promise(std::string const& name, schema::Cell& cell, Ballot const& ballot) {
-  loam::check(loam::Invariant::promised_ballot_rises, !before(ballot, cell.promised),
-              [&] { return name + " falls from " + text_of(cell.promised) + " to " + text_of(ballot); });
+  common::check(common::Invariant::promised_ballot_rises, !before(ballot, cell.promised),
+                [&] { return name + " falls from " + text_of(cell.promised) + " to " + text_of(ballot); });
   cell.promised = ballot;
 }
 
 void Acceptor::accept(std::string const& name, schema::Cell& cell, Ballot const& ballot, schema::Value const& value) {
-  loam::check(loam::Invariant::accepted_ballot_rises, !before(ballot, cell.accepted),
-              [&] { return name + " falls from " + text_of(cell.accepted) + " to " + text_of(ballot); });
+  common::check(common::Invariant::accepted_ballot_rises, !before(ballot, cell.accepted),
+                [&] { return name + " falls from " + text_of(cell.accepted) + " to " + text_of(ballot); });
   cell.accepted = ballot;
   cell.value = value;
   inherited_.erase(name);
 }
 
 void Acceptor::check_vote() const {
-  loam::check(loam::Invariant::vote_is_complete, !blank() && names(set_.holders, founding_.incarnation), [&] {
+  common::check(common::Invariant::vote_is_complete, !blank() && names(set_.holders, founding_.incarnation), [&] {
     return "incarnation " + std::to_string(founding_.incarnation) + " votes in epoch " + std::to_string(set_.epoch) +
            (blank() ? " and is blank" : " and is not named in its set");
   });
@@ -184,7 +184,7 @@
   schema::Cell const& cell = cells_.at(name);
   KnownDigest& known = digests_[name];
   if (known.digest.empty() || !(known.accepted == cell.accepted)) {
-    known = KnownDigest{cell.accepted, loam::Digest().add(loam::pack(cell.value)).text()};
+    known = KnownDigest{cell.accepted, common::Digest().add(common::pack(cell.value)).text()};
   }
   return known.digest;
 }
@@ -208,7 +208,7 @@
   return withheld;
 }
 
-Outcome Acceptor::on(schema::PieceRequest const& message, loam::Moment now) {
+Outcome Acceptor::on(schema::PieceRequest const& message, common::Moment now) {
   // Bytes that have the digest are the value, whoever gives them, with a vote
   // or without, and under whatever ballot it was accepted here.
   TransferSource const source = [this](schema::TransferKey const& key) -> std::optional<std::string> {
@@ -216,7 +216,7 @@
     if (key.revision != 0 || cell == cells_.end() || digest_of(key.name) != key.digest) {
       return std::nullopt;
     }
-    return loam::pack(cell->second.value);
+    return common::pack(cell->second.value);
   };
   return Outcome{{}, schema::Message(sender_.answer(message, source, now))};
 }
@@ -277,11 +277,12 @@
   return row_unbroken ? std::max(complete_, span->last) : complete_;
 }
 
-void Acceptor::take_set(VoterSet const& set, bool voting, std::uint64_t complete, loam::Moment now, Outcome& outcome) {
-  loam::check(loam::Invariant::voter_epoch_rises, set.epoch >= set_.epoch, [&] {
+void Acceptor::take_set(VoterSet const& set, bool voting, std::uint64_t complete, common::Moment now,
+                        Outcome& outcome) {
+  common::check(common::Invariant::voter_epoch_rises, set.epoch >= set_.epoch, [&] {
     return "the set falls from epoch " + std::to_string(set_.epoch) + " to " + std::to_string(set.epoch);
   });
-  loam::check(loam::Invariant::vote_is_complete, !voting || complete >= set.epoch, [&] {
+  common::check(common::Invariant::vote_is_complete, !voting || complete >= set.epoch, [&] {
     return "incarnation " + std::to_string(founding_.incarnation) + " takes a vote in epoch " +
            std::to_string(set.epoch) + " without what was chosen before";
   });
@@ -294,7 +295,7 @@
   outcome.records.emplace_back(schema::SetRecord{set_, voting_, complete_, whole_});
 }
 
-Outcome Acceptor::on(schema::Adopt const& message, loam::Moment now) {
+Outcome Acceptor::on(schema::Adopt const& message, common::Moment now) {
   Outcome outcome;
   // A founder that took the first set from here would do so without a vote,
   // and all its colleagues might: it founds, or is told so by one that did (5.4).
@@ -346,7 +347,7 @@
   return pledge;
 }
 
-Outcome Acceptor::founding(std::vector<schema::FoundingAnswer> const& answers, loam::Moment now) {
+Outcome Acceptor::founding(std::vector<schema::FoundingAnswer> const& answers, common::Moment now) {
   Outcome outcome;
   if (!wants_founding()) {
     return outcome;
@@ -383,7 +384,7 @@
   return outcome;
 }
 
-Outcome Acceptor::on(schema::LeaseAsk const& message, loam::Moment now) {
+Outcome Acceptor::on(schema::LeaseAsk const& message, common::Moment now) {
   schema::LeaseAnswer answer{false, founding_.incarnation, message.round, set_};
   if (may_vote(message.epoch)) {
     answer.granted = granter_.ask(message, now);
--- a/source/consensus/acceptor/acceptor.hpp
+++ b/source/consensus/acceptor/acceptor.hpp
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
+#include "common/constants.hpp"
+#include "common/time/moment.hpp"
 #include "consensus/ballot/ballot.hpp"
 #include "consensus/transfer/value_sender.hpp"
 #include "consensus/voter_history/voter_history.hpp"
 #include "lease/lease_granter.hpp"
-#include "loam/constants.hpp"
-#include "loam/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::consensus {
@@ -36,19 +36,19 @@
 class Acceptor {
  public:
   /// A blank holder with a fresh incarnation.
-  Acceptor(std::uint64_t incarnation, std::string address, std::vector<std::string> founders, loam::Moment now,
+  Acceptor(std::uint64_t incarnation, std::string address, std::vector<std::string> founders, common::Moment now,
            Guards guards = {});
   /// A holder read back from its disk.
   Acceptor(std::vector<schema::Record> const& records, std::string address, std::vector<std::string> founders,
-           loam::Moment now, Guards guards = {});
+           common::Moment now, Guards guards = {});
 
-  [[nodiscard]] Outcome receive(schema::Message const& message, loam::Moment now);
+  [[nodiscard]] Outcome receive(schema::Message const& message, common::Moment now);
 
   /// What founding asks for next: the colleagues to ask, when still blank.
   [[nodiscard]] bool wants_founding() const;
   [[nodiscard]] schema::FoundingAsk founding_ask() const;
   /// The answers of all founders but this one, got in one look around.
-  [[nodiscard]] Outcome founding(std::vector<schema::FoundingAnswer> const& answers, loam::Moment now);
+  [[nodiscard]] Outcome founding(std::vector<schema::FoundingAnswer> const& answers, common::Moment now);
 
   /// Enrolment: which holders to ask for images, when one is wanted. One that
   /// was left out before it had its data wants them still: others may need them.
@@ -58,7 +58,7 @@
   /// Whether these images hold all that the vote will stand for (voter_history.hpp).
   [[nodiscard]] bool images_suffice(std::vector<schema::Image> const& images) const;
   /// Takes images that suffice; nothing while a value that they name is missing.
-  [[nodiscard]] Outcome enrol(std::vector<schema::Image> const& images, loam::Moment now);
+  [[nodiscard]] Outcome enrol(std::vector<schema::Image> const& images, common::Moment now);
   /// What enrol() still lacks of these images.
   [[nodiscard]] std::vector<MissingValue> missing(std::vector<schema::Image> const& images) const;
 
@@ -67,7 +67,7 @@
   [[nodiscard]] Outcome take_accepted(std::string const& name, Ballot const& accepted, schema::Value const& value);
 
   /// Bytes of values that one answer carries; more is fetched in pieces, of so many bytes.
-  void limit_inline(std::size_t bytes, std::size_t piece_bytes = loam::constants::transfer_piece_bytes) {
+  void limit_inline(std::size_t bytes, std::size_t piece_bytes = common::constants::transfer_piece_bytes) {
     inline_bytes_ = bytes;
     sender_ = ValueSender(piece_bytes);
   }
@@ -89,11 +89,11 @@
   [[nodiscard]] Outcome on(schema::Prepare const& message);
   [[nodiscard]] Outcome on(schema::Accept const& message);
   [[nodiscard]] Outcome on(schema::Read const& message) const;
-  [[nodiscard]] Outcome on(schema::Adopt const& message, loam::Moment now);
+  [[nodiscard]] Outcome on(schema::Adopt const& message, common::Moment now);
   [[nodiscard]] Outcome on(schema::ImageAsk const& message) const;
-  [[nodiscard]] Outcome on(schema::PieceRequest const& message, loam::Moment now);
+  [[nodiscard]] Outcome on(schema::PieceRequest const& message, common::Moment now);
   [[nodiscard]] Outcome on(schema::FoundingAsk const& message) const;
-  [[nodiscard]] Outcome on(schema::LeaseAsk const& message, loam::Moment now);
+  [[nodiscard]] Outcome on(schema::LeaseAsk const& message, common::Moment now);
   [[nodiscard]] schema::Refused refusal(Ballot const& ballot, Ballot const& promised) const;
   [[nodiscard]] bool blank() const { return set_.epoch == 0; }
   /// Whether this one has, for its part, all that was chosen before the set.
@@ -117,7 +117,7 @@
   /// first; gives their sizes.
   [[nodiscard]] std::map<std::string, schema::Withheld> withhold(std::map<std::string, schema::Cell>& cells) const;
   [[nodiscard]] std::string const& digest_of(std::string const& name) const;
-  void take_set(VoterSet const& set, bool voting, std::uint64_t complete, loam::Moment now, Outcome& outcome);
+  void take_set(VoterSet const& set, bool voting, std::uint64_t complete, common::Moment now, Outcome& outcome);
 
   Guards guards_;
   std::string address_;
@@ -136,7 +136,7 @@
     std::string digest;
   };
   mutable std::map<std::string, KnownDigest> digests_;  ///< of large values, made when first asked for
-  std::size_t inline_bytes_ = loam::constants::inline_register_bytes;
+  std::size_t inline_bytes_ = common::constants::inline_register_bytes;
 };
 
 /// Puts a value that was fetched into the images that name it.
--- a/source/consensus/acceptor/enrolment.cpp
+++ b/source/consensus/acceptor/enrolment.cpp
@@ -4,8 +4,8 @@
 #include <algorithm>
 #include <set>
 
+#include "common/invariant/invariant.hpp"
 #include "consensus/acceptor/acceptor.hpp"
-#include "loam/invariant/invariant.hpp"
 
 namespace finchlink::consensus {
 
@@ -132,13 +132,13 @@
   }
 }
 
-Outcome Acceptor::enrol(std::vector<schema::Image> const& images, loam::Moment now) {
+Outcome Acceptor::enrol(std::vector<schema::Image> const& images, common::Moment now) {
   Outcome outcome;
   // A value that was left out is no empty value: without it there is no vote.
   if (!images_suffice(images) || (guards_.values_whole && !missing(images).empty())) {
     return outcome;
   }
-  loam::check(loam::Invariant::vote_is_complete, missing(images).empty(), [&] {
+  common::check(common::Invariant::vote_is_complete, missing(images).empty(), [&] {
     return "incarnation " + std::to_string(founding_.incarnation) + " is enrolled in epoch " +
            std::to_string(set_.epoch) + " by images that leave values out";
   });
--- a/source/consensus/acceptor/synced_ballots.cpp
+++ b/source/consensus/acceptor/synced_ballots.cpp
@@ -2,16 +2,16 @@
 
 #include <algorithm>
 
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 namespace finchlink::consensus {
 
-using loam::Invariant;
+using common::Invariant;
 
 namespace {
 void check_ballot(Invariant invariant, std::string const& name, Ballot const& synced, Ballot const& recovered) {
-  loam::check(invariant, !before(recovered, synced),
-              [&] { return name + " was synced at " + text_of(synced) + " and read back at " + text_of(recovered); });
+  common::check(invariant, !before(recovered, synced),
+                [&] { return name + " was synced at " + text_of(synced) + " and read back at " + text_of(recovered); });
 }
 }  // namespace
 
@@ -43,7 +43,7 @@
 
 void SyncedBallots::check_recovered(Acceptor const& recovered) {
   restart(recovered.incarnation());
-  loam::check(Invariant::voter_epoch_rises, recovered.set().epoch >= epoch_, [&] {
+  common::check(Invariant::voter_epoch_rises, recovered.set().epoch >= epoch_, [&] {
     return "epoch " + std::to_string(epoch_) + " was synced and " + std::to_string(recovered.set().epoch) +
            " read back";
   });
--- a/source/consensus/acceptor/synced_changes.hpp
+++ b/source/consensus/acceptor/synced_changes.hpp
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <string>
 
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 namespace finchlink::consensus {
 
@@ -24,7 +24,7 @@
   void recovered() { synced_ = made_; }
   /// A reply that tells of changes up to this one is about to leave.
   void check_reply(std::uint64_t change) const {
-    loam::check(loam::Invariant::reply_is_synced, synced_ >= change, [&] {
+    common::check(common::Invariant::reply_is_synced, synced_ >= change, [&] {
       return "a reply tells of change " + std::to_string(change) + ", synced are " + std::to_string(synced_);
     });
   }
--- a/source/consensus/majority_reader/majority_reader.cpp
+++ b/source/consensus/majority_reader/majority_reader.cpp
@@ -2,38 +2,38 @@
 
 #include <algorithm>
 
+#include "common/constants.hpp"
+#include "common/invariant/invariant.hpp"
 #include "consensus/majority_reader/settle_constants.hpp"
-#include "loam/constants.hpp"
-#include "loam/invariant/invariant.hpp"
 
 namespace finchlink::consensus {
 
-namespace constants = loam::constants;
-using loam::Invariant;
+namespace constants = common::constants;
+using common::Invariant;
 
 namespace {
 /// How long a change of a value of this size may look half done while its proposer is at work.
-loam::Span accept_span(std::size_t bytes) {
+common::Span accept_span(std::size_t bytes) {
   return constants::settle_after +
-         static_cast<loam::Span>(bytes / constants::settle_block_bytes) * constants::settle_block_span;
+         static_cast<common::Span>(bytes / constants::settle_block_bytes) * constants::settle_block_span;
 }
 /// How long it may take the voters to spread it among themselves: until then a new ballot would only
 /// overtake the one that they spread.
-loam::Span spread_span(std::size_t bytes) {
-  return accept_span(bytes) + constants::settle_after + static_cast<loam::Span>(bytes) * constants::holder_byte_span;
+common::Span spread_span(std::size_t bytes) {
+  return accept_span(bytes) + constants::settle_after + static_cast<common::Span>(bytes) * constants::holder_byte_span;
 }
 /// A newer ballot brings a value that is no older, and one revision has one content.
 void check_newer(std::string const& name, schema::Value const& held, schema::Value const& taken) {
-  loam::check(Invariant::confirmed_value_rises, taken.revision >= held.revision, [&] {
+  common::check(Invariant::confirmed_value_rises, taken.revision >= held.revision, [&] {
     return name + " falls from revision " + std::to_string(held.revision) + " to " + std::to_string(taken.revision);
   });
-  loam::check(Invariant::revision_has_one_content, taken.revision != held.revision || taken == held,
-              [&] { return name + " revision " + std::to_string(taken.revision) + " has two contents"; });
+  common::check(Invariant::revision_has_one_content, taken.revision != held.revision || taken == held,
+                [&] { return name + " revision " + std::to_string(taken.revision) + " has two contents"; });
 }
 
 /// Of a value under an older ballot: it was chosen before what is held, or is the same.
 void check_older(std::string const& name, schema::Value const& held, schema::Value const& told) {
-  loam::check(Invariant::confirmed_value_rises, told.revision <= held.revision, [&] {
+  common::check(Invariant::confirmed_value_rises, told.revision <= held.revision, [&] {
     return name + " revision " + std::to_string(told.revision) + " was chosen before revision " +
            std::to_string(held.revision);
   });
@@ -45,7 +45,7 @@
   return names(voters, incarnation) && !accepted;
 }
 
-std::vector<MajorityReaderAction> MajorityReader::begin(VoterSet const& set, loam::Moment now) {
+std::vector<MajorityReaderAction> MajorityReader::begin(VoterSet const& set, common::Moment now) {
   set_ = set;
   ++round_;
   started_ = now;
@@ -150,7 +150,7 @@
   for (std::pair<std::string const, Ballot> const& known : known_at_start_) {
     std::map<std::string, Tally>::const_iterator const tally = tallies_.find(known.first);
     Ballot const best = tally == tallies_.end() ? Ballot{} : tally->second.best;
-    loam::check(Invariant::read_includes_chosen, !before(best, known.second), [&] {
+    common::check(Invariant::read_includes_chosen, !before(best, known.second), [&] {
       return known.first + " was chosen under " + text_of(known.second) + ", " + std::to_string(answered_.size()) +
              " of " + std::to_string(set_.holders.size()) + " voters of epoch " + std::to_string(set_.epoch) +
              " know " + text_of(best) + " at most";
@@ -218,7 +218,7 @@
     open.votes = tally.votes;
     open.since = started_;
   }
-  loam::Span const quiet = started_ - open.since;
+  common::Span const quiet = started_ - open.since;
   if (!open.told && open.ballot == tally.best && quiet >= accept_span(tally.bytes)) {
     open.told = true;
     std::map<std::string, schema::Value>::const_iterator const held = values_.find(name);
--- a/source/consensus/majority_reader/majority_reader.hpp
+++ b/source/consensus/majority_reader/majority_reader.hpp
@@ -7,8 +7,8 @@
 #include <variant>
 #include <vector>
 
+#include "common/time/moment.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::consensus {
@@ -19,7 +19,7 @@
 };
 /// A majority confirmed all registers; as of a moment not before the start.
 struct Confirmed {
-  loam::Moment started = 0;
+  common::Moment started = 0;
 };
 /// A register's newest ballot is not known to be at a majority: a sure read
 /// (Proposer with Keep) settles it.
@@ -56,7 +56,7 @@
 class MajorityReader {
  public:
   explicit MajorityReader(Guards guards = {}) : guards_(guards) {}
-  [[nodiscard]] std::vector<MajorityReaderAction> begin(VoterSet const& set, loam::Moment now);
+  [[nodiscard]] std::vector<MajorityReaderAction> begin(VoterSet const& set, common::Moment now);
   [[nodiscard]] std::vector<MajorityReaderAction> receive(schema::Message const& message);
   /// What a Proposer chose counts as known as well.
   void learn(std::string const& name, Ballot const& ballot, schema::Value const& value);
@@ -69,7 +69,7 @@
   /// Registers whose newest ballot stood at no majority when the read under way was last judged.
   [[nodiscard]] std::vector<std::string> const& unsettled() const { return unsettled_; }
   /// Everything chosen before this moment is in values().
-  [[nodiscard]] loam::Moment confirmed_from() const { return confirmed_from_; }
+  [[nodiscard]] common::Moment confirmed_from() const { return confirmed_from_; }
 
  private:
   [[nodiscard]] std::vector<MajorityReaderAction> judge();
@@ -95,8 +95,8 @@
   Guards guards_;
   VoterSet set_;
   std::uint64_t round_ = 0;
-  loam::Moment started_ = 0;
-  loam::Moment confirmed_from_ = 0;
+  common::Moment started_ = 0;
+  common::Moment confirmed_from_ = 0;
   bool open_ = false;
   std::vector<std::string> unsettled_;
   std::set<std::uint64_t> answered_;
@@ -108,7 +108,7 @@
     Ballot ballot;
     Ballot promised;
     std::size_t votes = 0;
-    loam::Moment since = 0;
+    common::Moment since = 0;
     bool told = false;  ///< that it is half accepted
   };
   std::map<std::string, Open> open_ballots_;
--- a/source/consensus/proposer/proposer.cpp
+++ b/source/consensus/proposer/proposer.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <type_traits>
 
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
+#include "common/wire/pack.hpp"
 
 namespace finchlink::consensus {
 
@@ -121,7 +121,7 @@
     return false;
   }
   if (known_digest_.empty()) {
-    known_digest_ = loam::Digest().add(loam::pack(known_value_)).text();
+    known_digest_ = common::Digest().add(common::pack(known_value_)).text();
   }
   return known_digest_ == message.withheld.digest;
 }
--- a/source/consensus/proposer/proposer.hpp
+++ b/source/consensus/proposer/proposer.hpp
@@ -8,8 +8,8 @@
 #include <variant>
 #include <vector>
 
+#include "common/time/moment.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::consensus {
--- a/source/consensus/transfer/transfer_client.cpp
+++ b/source/consensus/transfer/transfer_client.cpp
@@ -1,15 +1,16 @@
 #include "consensus/transfer/transfer_client.hpp"
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 
 namespace finchlink::consensus {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-std::optional<std::string> run_transfer(boost::asio::io_context& context, loam::Caller& caller, ValueReceiver& receiver,
-                                        std::function<bool()> const& wanted, loam::Yield yield) {
-  loam::Moment progressed = loam::boot_now();
-  while (!receiver.source().empty() && wanted() && loam::boot_now() - progressed < constants::transfer_patience) {
+std::optional<std::string> run_transfer(boost::asio::io_context& context, common::Caller& caller,
+                                        ValueReceiver& receiver, std::function<bool()> const& wanted,
+                                        common::Yield yield) {
+  common::Moment progressed = common::boot_now();
+  while (!receiver.source().empty() && wanted() && common::boot_now() - progressed < constants::transfer_patience) {
     std::size_t const before = receiver.received();
     absl::StatusOr<schema::Message> const answer =
         caller.call(receiver.source(), receiver.request(), constants::piece_deadline, yield);
@@ -21,9 +22,9 @@
       return std::nullopt;
     }
     if (receiver.received() > before) {
-      progressed = loam::boot_now();
+      progressed = common::boot_now();
     } else {
-      loam::pause(context, constants::piece_pause, yield);
+      common::pause(context, constants::piece_pause, yield);
     }
   }
   return std::nullopt;
--- a/source/consensus/transfer/transfer_client.hpp
+++ b/source/consensus/transfer/transfer_client.hpp
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
+#include "common/net/net.hpp"
 #include "consensus/transfer/value_receiver.hpp"
-#include "loam/net/net.hpp"
 
 namespace finchlink::consensus {
 
@@ -13,8 +13,8 @@
 /// more, or nothing came for transfer_patience, or `wanted` says no; nothing
 /// in the last three. What has arrived stays in the receiver, so that the same
 /// transfer can be run again and goes on where it stopped.
-[[nodiscard]] std::optional<std::string> run_transfer(boost::asio::io_context& context, loam::Caller& caller,
+[[nodiscard]] std::optional<std::string> run_transfer(boost::asio::io_context& context, common::Caller& caller,
                                                       ValueReceiver& receiver, std::function<bool()> const& wanted,
-                                                      loam::Yield yield);
+                                                      common::Yield yield);
 
 }  // namespace finchlink::consensus
--- a/source/consensus/transfer/value_receiver.cpp
+++ b/source/consensus/transfer/value_receiver.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
 
 namespace finchlink::consensus {
 
@@ -42,7 +42,7 @@
 TransferState ValueReceiver::no_answer() {
   ++silences_;
   next_source();
-  bool const lost = silences_ >= loam::constants::transfer_silences_most || superseded_;
+  bool const lost = silences_ >= common::constants::transfer_silences_most || superseded_;
   return lost && guards_.given_up ? TransferState::gone : TransferState::under_way;
 }
 
@@ -64,7 +64,7 @@
     next_source();
     return TransferState::under_way;
   }
-  if (piece->total == 0 || piece->total > loam::constants::frame_limit) {
+  if (piece->total == 0 || piece->total > common::constants::frame_limit) {
     return drop_source();
   }
   if (total_ == 0) {
@@ -84,7 +84,7 @@
   if (bytes_.size() < total_) {
     return TransferState::under_way;
   }
-  if (guards_.digest_checked && loam::Digest().add(bytes_).text() != digest_) {
+  if (guards_.digest_checked && common::Digest().add(bytes_).text() != digest_) {
     begin_anew();
     next_source();
     return TransferState::under_way;
--- a/source/consensus/transfer/value_sender.cpp
+++ b/source/consensus/transfer/value_sender.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
 
 namespace finchlink::consensus {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-void ValueSender::expire(loam::Moment now) {
+void ValueSender::expire(common::Moment now) {
   std::erase_if(kept_, [now](Kept const& entry) { return now - entry.asked >= constants::transfer_kept_span; });
 }
 
@@ -27,12 +27,13 @@
     kept_.erase(std::min_element(kept_.begin(), kept_.end(),
                                  [](Kept const& left, Kept const& right) { return left.asked < right.asked; }));
   }
-  std::string digest = loam::Digest().add(*bytes).text();
+  std::string digest = common::Digest().add(*bytes).text();
   kept_.push_back(Kept{key, std::move(*bytes), std::move(digest), 0});
   return &kept_.back();
 }
 
-schema::Piece ValueSender::answer(schema::PieceRequest const& request, TransferSource const& source, loam::Moment now) {
+schema::Piece ValueSender::answer(schema::PieceRequest const& request, TransferSource const& source,
+                                  common::Moment now) {
   expire(now);
   Kept* const entry = find(request.key, source);
   if (entry == nullptr) {
--- a/source/consensus/transfer/value_sender.hpp
+++ b/source/consensus/transfer/value_sender.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/time/moment.hpp"
+#include "common/constants.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::consensus {
@@ -19,12 +19,12 @@
 /// meanwhile does not end a transfer. Plain state.
 class ValueSender {
  public:
-  explicit ValueSender(std::size_t piece_bytes = loam::constants::transfer_piece_bytes) : piece_bytes_(piece_bytes) {}
+  explicit ValueSender(std::size_t piece_bytes = common::constants::transfer_piece_bytes) : piece_bytes_(piece_bytes) {}
   /// The piece that is asked for; its total is 0 when the bytes are not here.
   [[nodiscard]] schema::Piece answer(schema::PieceRequest const& request, TransferSource const& source,
-                                     loam::Moment now);
+                                     common::Moment now);
   /// Forgets what nobody has asked for lately.
-  void expire(loam::Moment now);
+  void expire(common::Moment now);
   [[nodiscard]] std::size_t kept() const { return kept_.size(); }
 
  private:
@@ -32,7 +32,7 @@
     schema::TransferKey key;
     std::string bytes;
     std::string digest;
-    loam::Moment asked = 0;
+    common::Moment asked = 0;
   };
   [[nodiscard]] Kept* find(schema::TransferKey const& key, TransferSource const& source);
 
--- a/source/consensus/write_ahead_log/file_device.cpp
+++ b/source/consensus/write_ahead_log/file_device.cpp
@@ -11,8 +11,8 @@
 #include <memory>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
 
 namespace finchlink::consensus {
 
@@ -34,7 +34,7 @@
 };
 
 absl::Status system_defect(std::string const& what) {
-  return loam::defect(absl::StatusCode::kUnavailable, "files", what + ": " + std::strerror(errno));
+  return common::defect(absl::StatusCode::kUnavailable, "files", what + ": " + std::strerror(errno));
 }
 }  // namespace
 
@@ -48,7 +48,7 @@
     return system_defect(folder + "/lock");
   }
   if (flock(descriptors->lock, LOCK_EX | LOCK_NB) != 0) {
-    return loam::defect(absl::StatusCode::kFailedPrecondition, "files", folder + " is in use by another process");
+    return common::defect(absl::StatusCode::kFailedPrecondition, "files", folder + " is in use by another process");
   }
   for (std::size_t index = 0; index < files; ++index) {
     std::string const path = folder + "/ring-" + std::to_string(index);
@@ -59,7 +59,7 @@
     descriptors->files.push_back(file);
     int const allocated = posix_fallocate(file, 0, static_cast<off_t>(file_bytes));
     if (allocated != 0) {
-      return loam::defect(absl::StatusCode::kUnavailable, "files", path + ": " + std::strerror(allocated));
+      return common::defect(absl::StatusCode::kUnavailable, "files", path + ": " + std::strerror(allocated));
     }
     if (fsync(file) != 0) {
       return system_defect(path);
@@ -75,7 +75,7 @@
   // piece by piece, so that reading takes no more memory than was written.
   device.read = [descriptors, file_bytes](std::size_t file) -> absl::StatusOr<std::string> {
     std::string bytes;
-    std::string piece(std::min(file_bytes, loam::constants::ring_piece_bytes), '\0');
+    std::string piece(std::min(file_bytes, common::constants::ring_piece_bytes), '\0');
     std::size_t done = 0;
     while (done < file_bytes) {
       ssize_t const count = pread(descriptors->files[file], piece.data(), std::min(piece.size(), file_bytes - done),
--- a/source/consensus/write_ahead_log/write_ahead_log.cpp
+++ b/source/consensus/write_ahead_log/write_ahead_log.cpp
@@ -4,8 +4,8 @@
 #include <boost/crc.hpp>
 #include <cstring>
 
-#include "loam/error/error.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/error/error.hpp"
+#include "common/wire/pack.hpp"
 
 namespace finchlink::consensus {
 
@@ -36,7 +36,7 @@
 
 std::string WriteAheadLog::encode(std::vector<schema::Record> const& records, std::uint64_t generation,
                                   std::uint64_t sequence) const {
-  std::string const payload = loam::pack(records);
+  std::string const payload = common::pack(records);
   std::string checked;
   put(checked, static_cast<std::uint32_t>(payload.size()));
   put(checked, generation);
@@ -101,7 +101,7 @@
   for (std::size_t index = 0; index < files_; ++index) {
     absl::StatusOr<std::string> file = device_.read(index);
     if (!file.ok()) {
-      return loam::turned(absl::StatusCode::kUnavailable, "ring", "a file can't be read", file.status());
+      return common::turned(absl::StatusCode::kUnavailable, "ring", "a file can't be read", file.status());
     }
     Found image;
     Found seal;
@@ -113,7 +113,7 @@
           newest = std::move(*file);
         }
       } else if (later_record(*file, 1, image.generation, 0)) {
-        return loam::defect(absl::StatusCode::kDataLoss, "ring", "the seal of a file is broken");
+        return common::defect(absl::StatusCode::kDataLoss, "ring", "the seal of a file is broken");
       }
       // Without a seal the file was only being begun: the one before is whole.
     } else {
@@ -127,7 +127,7 @@
     }
   }
   if (suspect > newest_generation) {
-    return loam::defect(absl::StatusCode::kDataLoss, "ring", "the image of a file is broken");
+    return common::defect(absl::StatusCode::kDataLoss, "ring", "the image of a file is broken");
   }
   std::vector<schema::Record> records;
   if (newest_generation == 0) {
@@ -138,19 +138,19 @@
   Found found;
   while (parse(newest, offset, found) && found.generation == newest_generation && found.sequence == expected) {
     absl::StatusOr<std::vector<schema::Record>> const entries =
-        loam::unpack<std::vector<schema::Record>>(found.payload);
+        common::unpack<std::vector<schema::Record>>(found.payload);
     if (!entries.ok()) {
       // Its check is right, so nothing is lost: a newer program wrote it, and the
       // disk must not be taken for a blank one.
-      return loam::turned(absl::StatusCode::kFailedPrecondition, "ring", "a record is of another version of the format",
-                          entries.status());
+      return common::turned(absl::StatusCode::kFailedPrecondition, "ring",
+                            "a record is of another version of the format", entries.status());
     }
     records.insert(records.end(), entries->begin(), entries->end());
     offset = found.end;
     ++expected;
   }
   if (later_record(newest, offset, newest_generation, expected)) {
-    return loam::defect(absl::StatusCode::kDataLoss, "ring", "a record before good ones is broken");
+    return common::defect(absl::StatusCode::kDataLoss, "ring", "a record before good ones is broken");
   }
   generation_ = newest_generation;
   sequence_ = expected;
@@ -164,7 +164,7 @@
   std::string const first = encode(image, generation, 0);
   std::string const seal = encode({}, generation, seal_sequence);
   if (first.size() + seal.size() > file_bytes_) {
-    return loam::defect(absl::StatusCode::kResourceExhausted, "ring", "the image does not fit into a file");
+    return common::defect(absl::StatusCode::kResourceExhausted, "ring", "the image does not fit into a file");
   }
   absl::Status status = device_.write(file, 0, first);
   if (status.ok()) {
@@ -177,7 +177,7 @@
     status = device_.sync(file);
   }
   if (!status.ok()) {
-    return loam::turned(absl::StatusCode::kUnavailable, "ring", "a new file can't be begun", status);
+    return common::turned(absl::StatusCode::kUnavailable, "ring", "a new file can't be begun", status);
   }
   generation_ = generation;
   sequence_ = seal_sequence + 1;
@@ -188,7 +188,7 @@
 absl::Status WriteAheadLog::append(std::vector<schema::Record> const& records,
                                    std::function<std::vector<schema::Record>()> const& image) {
   if (broken_) {
-    return loam::defect(absl::StatusCode::kUnavailable, "ring", "the disk failed before");
+    return common::defect(absl::StatusCode::kUnavailable, "ring", "the disk failed before");
   }
   // After a failed write nothing is known of the file's end: the ring is used
   // no more until it is recovered anew.
@@ -205,7 +205,7 @@
     status = device_.sync(file);
   }
   if (!status.ok()) {
-    return loam::turned(absl::StatusCode::kUnavailable, "ring", "a record can't be written", status);
+    return common::turned(absl::StatusCode::kUnavailable, "ring", "a record can't be written", status);
   }
   offset_ += bytes.size();
   ++sequence_;
--- a/source/trellis/acceptor/acceptor_service.cpp
+++ b/source/control_plane/acceptor/acceptor_service.cpp
@@ -1,18 +1,18 @@
-#include "trellis/acceptor/acceptor_service.hpp"
+#include "control_plane/acceptor/acceptor_service.hpp"
 
 #include <cstdio>
 
+#include "common/constants.hpp"
+#include "common/log/log.hpp"
+#include "common/random/random.hpp"
+#include "common/wire/pack.hpp"
 #include "consensus/transfer/transfer_client.hpp"
 #include "consensus/write_ahead_log/fault_device.hpp"
 #include "consensus/write_ahead_log/file_device.hpp"
-#include "loam/constants.hpp"
-#include "loam/log/log.hpp"
-#include "loam/random/random.hpp"
-#include "loam/wire/pack.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 /// Bytes of the values that these records write.
@@ -27,7 +27,7 @@
 }
 }  // namespace
 
-AcceptorService::AcceptorService(boost::asio::io_context& context, loam::Caller& caller, std::string folder,
+AcceptorService::AcceptorService(boost::asio::io_context& context, common::Caller& caller, std::string folder,
                                  std::string address, std::vector<std::string> founders)
     : context_(context),
       caller_(caller),
@@ -62,7 +62,7 @@
   if (!records.ok() && absl::IsDataLoss(records.status())) {
     // What is left can't be told from what was acknowledged: the disk counts
     // as lost and this holder as a new one (section 5.5).
-    loam::note(loam::Event::DiskCorrupt, std::string(records.status().message()));
+    common::note(common::Event::DiskCorrupt, std::string(records.status().message()));
     std::string const blank(constants::ring_file_bytes, '\0');
     for (std::size_t index = 0; index < constants::ring_files; ++index) {
       if (!device->write(index, 0, blank).ok() || !device->sync(index).ok()) {
@@ -77,12 +77,12 @@
     defect_ = std::string(records.status().message());
     return false;
   }
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   std::lock_guard<std::mutex> const guard(lock_);
   ring_ = std::move(ring);
   if (records->empty()) {
-    holder_.emplace(loam::random_identity(), address_, founders_, now);
-    loam::note(loam::Event::HolderBlank, "incarnation " + std::to_string(holder_->incarnation()));
+    holder_.emplace(common::random_identity(), address_, founders_, now);
+    common::note(common::Event::HolderBlank, "incarnation " + std::to_string(holder_->incarnation()));
     std::vector<schema::Record> const image = holder_->image();
     if (!ring_->append(image, [&image] { return image; }).ok()) {
       holder_.reset();
@@ -98,9 +98,9 @@
       defect_ = std::string(renewed.message());
       return false;
     }
-    loam::note(loam::Event::HolderRecovered, "incarnation " + std::to_string(holder_->incarnation()) + " epoch " +
-                                                 std::to_string(holder_->set().epoch) +
-                                                 (holder_->voting() ? " voting" : " without a vote"));
+    common::note(common::Event::HolderRecovered, "incarnation " + std::to_string(holder_->incarnation()) + " epoch " +
+                                                     std::to_string(holder_->set().epoch) +
+                                                     (holder_->voting() ? " voting" : " without a vote"));
   }
   changes_.recovered();
   silent_ = false;
@@ -120,14 +120,14 @@
       std::unique_lock<std::mutex> guard(lock_);
       if (!stopping_ && told != defect_) {
         told = defect_;
-        loam::note(loam::Event::HolderSilent, defect_);
+        common::note(common::Event::HolderSilent, defect_);
       }
-      if (wake_.wait_for(guard, loam::duration(constants::disk_reopen_pause), [this] { return stopping_; })) {
+      if (wake_.wait_for(guard, common::duration(constants::disk_reopen_pause), [this] { return stopping_; })) {
         return;
       }
     }
   });
-  loam::start(context_, [this](loam::Yield yield) { stand_up(yield); });
+  common::start(context_, [this](common::Yield yield) { stand_up(yield); });
 }
 
 void AcceptorService::work() {
@@ -180,7 +180,7 @@
 }
 
 std::optional<consensus::Outcome> AcceptorService::apply(
-    std::function<consensus::Outcome(consensus::Acceptor&)> const& step, loam::Yield yield) {
+    std::function<consensus::Outcome(consensus::Acceptor&)> const& step, common::Yield yield) {
   std::shared_ptr<Ticket> const ticket = std::make_shared<Ticket>(yield.get_executor());
   consensus::Outcome outcome;
   std::uint64_t change = 0;
@@ -195,8 +195,8 @@
     std::uint64_t const epoch = holder_->set().epoch;
     outcome = step(*holder_);
     if (holder_->set().epoch != epoch) {
-      loam::note(loam::Event::HolderAdopted,
-                 "epoch " + std::to_string(holder_->set().epoch) + (holder_->voting() ? " voting" : " without a vote"));
+      common::note(common::Event::HolderAdopted, "epoch " + std::to_string(holder_->set().epoch) +
+                                                     (holder_->voting() ? " voting" : " without a vote"));
     }
     // Even a reply without records waits for what is being synced: it may tell
     // of state that is not lasting yet.
@@ -208,7 +208,7 @@
     std::size_t const bytes = value_bytes(outcome.records);
     // A large value takes a slow disk longer, as it does a slow link.
     ticket->timer.expires_after(
-        loam::duration(constants::holder_deadline + static_cast<loam::Span>(bytes) * constants::holder_byte_span));
+        common::duration(constants::holder_deadline + static_cast<common::Span>(bytes) * constants::holder_byte_span));
     jobs_.push_back(Job{outcome.records, bytes, change, ticket});
     ++open_jobs_;
     open_bytes_ += bytes;
@@ -225,25 +225,25 @@
   return outcome;
 }
 
-std::optional<schema::Message> AcceptorService::receive(schema::Message const& message, loam::Yield yield) {
+std::optional<schema::Message> AcceptorService::receive(schema::Message const& message, common::Yield yield) {
   std::optional<consensus::Outcome> const outcome =
-      apply([&message](consensus::Acceptor& holder) { return holder.receive(message, loam::boot_now()); }, yield);
+      apply([&message](consensus::Acceptor& holder) { return holder.receive(message, common::boot_now()); }, yield);
   return outcome.has_value() ? outcome->reply : std::nullopt;
 }
 
 void AcceptorService::take_accepted(std::string const& name, schema::Ballot const& accepted, schema::Value const& value,
-                                    loam::Yield yield) {
+                                    common::Yield yield) {
   (void)apply([&](consensus::Acceptor& acceptor) { return acceptor.take_accepted(name, accepted, value); }, yield);
 }
 
-void AcceptorService::stand_up(loam::Yield yield) {
+void AcceptorService::stand_up(common::Yield yield) {
   while (true) {
-    loam::pause(context_, constants::founding_pause, yield);
+    common::pause(context_, constants::founding_pause, yield);
     stand_up_once(yield);
   }
 }
 
-void AcceptorService::stand_up_once(loam::Yield yield) {
+void AcceptorService::stand_up_once(common::Yield yield) {
   std::vector<std::pair<std::string, schema::Message>> founding;
   std::vector<schema::Voter> sources;
   std::optional<schema::ImageAsk> image;
@@ -270,9 +270,9 @@
   }
 }
 
-void AcceptorService::found(std::vector<std::pair<std::string, schema::Message>> const& calls, loam::Yield yield) {
+void AcceptorService::found(std::vector<std::pair<std::string, schema::Message>> const& calls, common::Yield yield) {
   std::vector<schema::FoundingAnswer> answers;
-  loam::Gather::run(
+  common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
       [&answers](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
@@ -284,9 +284,9 @@
       },
       yield);
   std::optional<consensus::Outcome> const outcome =
-      apply([&answers](consensus::Acceptor& holder) { return holder.founding(answers, loam::boot_now()); }, yield);
+      apply([&answers](consensus::Acceptor& holder) { return holder.founding(answers, common::boot_now()); }, yield);
   if (outcome.has_value() && !outcome->records.empty() && this->set().epoch > 0) {
-    loam::note(loam::Event::HolderFounded, "epoch 1");
+    common::note(common::Event::HolderFounded, "epoch 1");
   }
 }
 
@@ -296,14 +296,14 @@
 }
 
 void AcceptorService::ask_images(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask,
-                                 loam::Yield yield) {
+                                 common::Yield yield) {
   std::vector<std::pair<std::string, schema::Message>> calls;
   calls.reserve(sources.size());
   for (schema::Voter const& source : sources) {
     calls.emplace_back(source.address, ask);
   }
   images_.clear();
-  loam::Gather::run(
+  common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
       [this](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
@@ -316,7 +316,8 @@
       yield);
 }
 
-void AcceptorService::enrol(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, loam::Yield yield) {
+void AcceptorService::enrol(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask,
+                            common::Yield yield) {
   // An image stays true while the epoch does: what is chosen later, this holder
   // is not needed for. So a change made meanwhile does not end a transfer.
   if (!images_suffice()) {
@@ -338,15 +339,15 @@
   }
   std::size_t const count = images_.size();
   std::optional<consensus::Outcome> const outcome =
-      apply([this](consensus::Acceptor& holder) { return holder.enrol(images_, loam::boot_now()); }, yield);
+      apply([this](consensus::Acceptor& holder) { return holder.enrol(images_, common::boot_now()); }, yield);
   images_.clear();
   if (outcome.has_value() && !outcome->records.empty() && voting()) {
-    loam::note(loam::Event::HolderEnrolled, "images of " + std::to_string(count) + " holders taken");
+    common::note(common::Event::HolderEnrolled, "images of " + std::to_string(count) + " holders taken");
   }
 }
 
 bool AcceptorService::fetch(std::vector<schema::Voter> const& sources, consensus::MissingValue const& missing,
-                            loam::Yield yield) {
+                            common::Yield yield) {
   schema::TransferKey const key{missing.name, missing.digest, 0};
   if (!receiver_.has_value() || !(receiver_->key() == key) || receiver_->source().empty()) {
     receiver_.emplace(key, std::vector<std::string>());
@@ -364,7 +365,7 @@
     return false;
   }
   receiver_.reset();
-  absl::StatusOr<schema::Value> const value = loam::unpack<schema::Value>(*bytes);
+  absl::StatusOr<schema::Value> const value = common::unpack<schema::Value>(*bytes);
   if (!value.ok()) {
     return false;
   }
@@ -393,4 +394,4 @@
   return silent_;
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/acceptor/acceptor_service.hpp
+++ b/source/control_plane/acceptor/acceptor_service.hpp
@@ -11,21 +11,21 @@
 
 #include <absl/status/status.h>
 
+#include "common/net/net.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/acceptor/synced_ballots.hpp"
 #include "consensus/acceptor/synced_changes.hpp"
 #include "consensus/transfer/value_receiver.hpp"
 #include "consensus/write_ahead_log/write_ahead_log.hpp"
-#include "loam/net/net.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// Runs a Holder on a disk (section 5.3): records are synced on a thread of
 /// their own before a reply goes out; a disk that fails, stalls or is slow
 /// makes the holder silent and nothing else.
 class AcceptorService {
  public:
-  AcceptorService(boost::asio::io_context& context, loam::Caller& caller, std::string folder, std::string address,
+  AcceptorService(boost::asio::io_context& context, common::Caller& caller, std::string folder, std::string address,
                   std::vector<std::string> founders);
   ~AcceptorService();
   AcceptorService(AcceptorService const&) = delete;
@@ -34,10 +34,10 @@
   /// Opens the disk and starts the loops of founding and enrolment.
   void begin();
   /// Nothing: this holder stays silent.
-  [[nodiscard]] std::optional<schema::Message> receive(schema::Message const& message, loam::Yield yield);
+  [[nodiscard]] std::optional<schema::Message> receive(schema::Message const& message, common::Yield yield);
   /// Takes a value that other voters accepted (section 5.10); returns when it is synced.
   void take_accepted(std::string const& name, schema::Ballot const& accepted, schema::Value const& value,
-                     loam::Yield yield);
+                     common::Yield yield);
 
   [[nodiscard]] std::uint64_t incarnation();
   [[nodiscard]] bool voting();
@@ -61,24 +61,24 @@
   };
   [[nodiscard]] bool open_disk();
   void work();
-  void stand_up(loam::Yield yield);
-  void stand_up_once(loam::Yield yield);
-  void found(std::vector<std::pair<std::string, schema::Message>> const& calls, loam::Yield yield);
+  void stand_up(common::Yield yield);
+  void stand_up_once(common::Yield yield);
+  void found(std::vector<std::pair<std::string, schema::Message>> const& calls, common::Yield yield);
   /// One step towards a vote: images are asked for, then the values that they
   /// leave out are fetched (section 5.9).
-  void enrol(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, loam::Yield yield);
-  void ask_images(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, loam::Yield yield);
+  void enrol(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, common::Yield yield);
+  void ask_images(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, common::Yield yield);
   [[nodiscard]] bool images_suffice();
   /// Fetches the value; false when nobody gives it.
   [[nodiscard]] bool fetch(std::vector<schema::Voter> const& sources, consensus::MissingValue const& missing,
-                           loam::Yield yield);
+                           common::Yield yield);
   /// One step of the core; its outcome once it is lasting, nothing when this
   /// holder is silent.
   [[nodiscard]] std::optional<consensus::Outcome> apply(
-      std::function<consensus::Outcome(consensus::Acceptor&)> const& step, loam::Yield yield);
+      std::function<consensus::Outcome(consensus::Acceptor&)> const& step, common::Yield yield);
 
   boost::asio::io_context& context_;
-  loam::Caller& caller_;
+  common::Caller& caller_;
   std::string folder_;
   std::string address_;
   std::vector<std::string> founders_;
@@ -99,4 +99,4 @@
   std::thread worker_;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/command/command.cpp
+++ b/source/control_plane/command/command.cpp
@@ -1,4 +1,4 @@
-#include "trellis/command/command.hpp"
+#include "control_plane/command/command.hpp"
 
 #include <boost/program_options.hpp>
 #include <fstream>
@@ -7,16 +7,16 @@
 #include <map>
 #include <sstream>
 
-#include "loam/constants.hpp"
-#include "loam/http/http.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/settings/settings.hpp"
-#include "trellis/operator/paths.hpp"
+#include "common/constants.hpp"
+#include "common/http/http.hpp"
+#include "common/json/tree.hpp"
+#include "common/settings/settings.hpp"
+#include "control_plane/operator/paths.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 namespace options = boost::program_options;
-namespace http = loam::http;
+namespace http = common::http;
 
 namespace {
 std::string const words_help =
@@ -48,7 +48,7 @@
 /// Adds what one relay tells of its tenants (section 14.4).
 bool add_tenants(std::string const& body, std::map<std::string, std::map<std::string, double>>& sums,
                  double& crossings) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(body);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(body);
   if (!tree.ok()) {
     return false;
   }
@@ -153,15 +153,15 @@
     options::store(options::command_line_parser(count, values).options(all).positional(positional).run(), found);
   } catch (options::error const& error) {
     std::cerr << "trellis: " << error.what() << "\n";
-    return loam::exit_usage;
+    return common::exit_usage;
   }
   Plan plan;
   if (found.count("help") > 0 || !plan_of(found["words"].as<std::vector<std::string>>(), plan) ||
       found.count("at") == 0) {
     std::cerr << words_help;
-    return found.count("help") > 0 ? 0 : loam::exit_usage;
+    return found.count("help") > 0 ? 0 : common::exit_usage;
   }
-  loam::Ask ask{plan.verb, plan.target, 11};
+  common::Ask ask{plan.verb, plan.target, 11};
   if (!plan.file.empty()) {
     std::stringstream content;
     if (plan.file == "-") {
@@ -170,7 +170,7 @@
       std::ifstream file(plan.file);
       if (!file) {
         std::cerr << "trellis: " << plan.file << " can't be read\n";
-        return loam::exit_usage;
+        return common::exit_usage;
       }
       content << file.rdbuf();
     }
@@ -187,9 +187,9 @@
   }
   bool const own_id = plan.target == "/setup" && found.count("id") == 0 &&
                       (plan.verb == http::verb::put || plan.verb == http::verb::patch);
-  int code = loam::exit_unreachable;
+  int code = common::exit_unreachable;
   boost::asio::io_context context;
-  loam::start(context, [&](loam::Yield yield) {
+  common::start(context, [&](common::Yield yield) {
     std::stringstream addresses(found["at"].as<std::string>());
     std::string address;
     std::string revision;
@@ -197,8 +197,8 @@
     double crossings = 0;
     bool all = true;
     while (plan.sum && std::getline(addresses, address, ',')) {
-      absl::StatusOr<loam::Answer> const answer = loam::ask_once(
-          context, address, ask, loam::constants::change_deadline * 3, loam::constants::list_limit, yield);
+      absl::StatusOr<common::Answer> const answer = common::ask_once(
+          context, address, ask, common::constants::change_deadline * 3, common::constants::list_limit, yield);
       if (!answer.ok() || !add_tenants(answer->body(), sums, crossings)) {
         std::cerr << "trellis: " << address << " tells of no tenants\n";
         all = false;
@@ -206,14 +206,14 @@
     }
     if (plan.sum) {
       print_tenants(sums, crossings);
-      code = !all ? loam::exit_unreachable : crossings > 0 ? loam::exit_refused : 0;
+      code = !all ? common::exit_unreachable : crossings > 0 ? common::exit_refused : 0;
       return;
     }
     while (std::getline(addresses, address, ',')) {
       if (own_id && revision.empty()) {  // an id ends in the revision that its maker knew (section 5.7)
-        absl::StatusOr<loam::Answer> const now =
-            loam::ask_once(context, address, loam::Ask{http::verb::get, "/setup", 11},
-                           loam::constants::change_deadline * 3, loam::constants::list_limit, yield);
+        absl::StatusOr<common::Answer> const now =
+            common::ask_once(context, address, common::Ask{http::verb::get, "/setup", 11},
+                             common::constants::change_deadline * 3, common::constants::list_limit, yield);
         if (!now.ok() || now->result_int() >= 500) {
           std::cerr << "trellis: " << address << " does not know the setup\n";
           continue;
@@ -221,10 +221,10 @@
         std::string const tag((*now)[http::field::etag]);
         revision = tag.size() > 2 ? tag.substr(1, tag.size() - 2) : "0";
         ask.set("Change-Id",
-                "command-" + std::to_string(loam::boot_now()) + "-" + std::to_string(getpid()) + "." + revision);
+                "command-" + std::to_string(common::boot_now()) + "-" + std::to_string(getpid()) + "." + revision);
       }
-      absl::StatusOr<loam::Answer> const answer = loam::ask_once(
-          context, address, ask, loam::constants::change_deadline * 3, loam::constants::list_limit, yield);
+      absl::StatusOr<common::Answer> const answer = common::ask_once(
+          context, address, ask, common::constants::change_deadline * 3, common::constants::list_limit, yield);
       if (!answer.ok()) {
         std::cerr << "trellis: " << answer.status().message() << "\n";
         continue;
@@ -238,7 +238,7 @@
         code = status == 200 ? 0 : exit_degraded;
         return;
       }
-      code = status < 300 ? 0 : (status >= 500 ? loam::exit_unreachable : loam::exit_refused);
+      code = status < 300 ? 0 : (status >= 500 ? common::exit_unreachable : common::exit_refused);
       return;
     }
   });
@@ -246,4 +246,4 @@
   return code;
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/command/command.hpp
+++ b/source/control_plane/command/command.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// Exit code of `trellis check` when something is not as it should be.
 inline constexpr int exit_degraded = 1;
@@ -10,4 +10,4 @@
 [[nodiscard]] bool is_command(int count, char const* const* values);
 [[nodiscard]] int run_command(int count, char const* const* values);
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/departure/departure_service.cpp
+++ b/source/control_plane/departure/departure_service.cpp
@@ -1,22 +1,22 @@
-#include "trellis/departure/departure_service.hpp"
+#include "control_plane/departure/departure_service.hpp"
 
-#include "loam/constants.hpp"
-#include "loam/log/log.hpp"
+#include "common/constants.hpp"
+#include "common/log/log.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-void DepartureService::begin(loam::Moment until) {
+void DepartureService::begin(common::Moment until) {
   bool const voting_disk = acceptor_ != nullptr && !acceptor_->silent();
   departure_.emplace(voting_disk ? acceptor_->incarnation() : 0, until);
   news_.set_leaving();
   duties_.release();
-  loam::start(context_, [this](loam::Yield yield) {
+  common::start(context_, [this](common::Yield yield) {
     while (true) {
       // Each telling runs by itself: a peer that is silent holds none up.
       news_.announce(false);
-      loam::pause(context_, constants::departure_pause, yield);
+      common::pause(context_, constants::departure_pause, yield);
     }
   });
 }
@@ -25,10 +25,10 @@
   if (!departure_.has_value()) {
     return false;
   }
-  membership::DepartureStep const step = departure_->decide(newest_set(), news_.peers(), loam::boot_now());
+  membership::DepartureStep const step = departure_->decide(newest_set(), news_.peers(), common::boot_now());
   if (step_ != step) {
     step_ = step;
-    loam::note(loam::Event::VoterLeaving, membership::name_of(step));
+    common::note(common::Event::VoterLeaving, membership::name_of(step));
   }
   return membership::stays(step) || duties_.releasing();
 }
@@ -39,4 +39,4 @@
   return own.epoch > known.epoch ? own : known;
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/departure/departure_service.hpp
+++ b/source/control_plane/departure/departure_service.hpp
@@ -2,13 +2,13 @@
 
 #include <optional>
 
+#include "control_plane/acceptor/acceptor_service.hpp"
+#include "control_plane/leased_tasks/leased_tasks.hpp"
+#include "control_plane/register_client/register_client.hpp"
+#include "control_plane/updates/updates.hpp"
 #include "membership/departure/departure.hpp"
-#include "trellis/acceptor/acceptor_service.hpp"
-#include "trellis/duty/duties.hpp"
-#include "trellis/news/news.hpp"
-#include "trellis/register_client/register_client.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// Leaves by agreement (section 5.8): tells the peers that this process ends,
 /// gives its leases back, and holds the end up while the core wants it to stay.
@@ -22,7 +22,7 @@
       : context_(context), register_(register_client), news_(news), duties_(duties), acceptor_(acceptor) {}
 
   /// The process was told to end and is stopped at `until`.
-  void begin(loam::Moment until);
+  void begin(common::Moment until);
   /// Whether it stays on.
   [[nodiscard]] bool busy();
 
@@ -38,4 +38,4 @@
   std::optional<membership::DepartureStep> step_;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/duty/duties.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -1,22 +1,22 @@
-#include "trellis/duty/duties.hpp"
+#include "control_plane/leased_tasks/leased_tasks.hpp"
 
 #include <algorithm>
 #include <set>
 
-#include "config/charter/proposal.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
+#include "common/relay_constants.hpp"
 #include "config/evacuation/proposal.hpp"
 #include "config/label/selector.hpp"
+#include "config/routing/proposal.hpp"
 #include "config/setup/setup.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
-#include "loam/relay_constants.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-Duties::Duties(boost::asio::io_context& context, loam::Caller& caller, RegisterClient& register_client, News& news,
+Duties::Duties(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client, News& news,
                AcceptorService* holder, std::uint64_t identity, schema::Settings const& settings,
                config::Notation notation)
     : context_(context),
@@ -31,13 +31,13 @@
       wanted_holders_(membership::wanted_holders(settings.tolerated_machines)) {}
 
 void Duties::begin() {
-  loam::start(context_, [this](loam::Yield yield) {
+  common::start(context_, [this](common::Yield yield) {
     while (true) {
       spread_set(yield);
-      loam::pause(context_, constants::founding_pause, yield);
+      common::pause(context_, constants::founding_pause, yield);
     }
   });
-  loam::start(context_, [this](loam::Yield yield) {
+  common::start(context_, [this](common::Yield yield) {
     std::map<std::string, bool> started;
     while (true) {
       for (std::pair<std::string const, schema::Region> const& region : setup().regions) {
@@ -52,10 +52,10 @@
                    on_duty(name, [&known](std::string const& hall) { return config::region_of(known, hall); });
           };
           run("scaler/" + name, wanted,
-              [this, name](std::function<bool()> const& held, loam::Yield inner) { scale(name, held, inner); });
+              [this, name](std::function<bool()> const& held, common::Yield inner) { scale(name, held, inner); });
         }
       }
-      for (std::pair<std::string const, tilth::Pool> const& pool : pools()) {
+      for (std::pair<std::string const, scheduling::Pool> const& pool : pools()) {
         std::string const region = pool.second.region;
         if (!started[region]) {
           started[region] = true;
@@ -66,8 +66,8 @@
                      return found == known.regions.end() ? std::string() : found->second;
                    });
           };
-          run("scaler/" + region, wanted, [this, region](std::function<bool()> const& held, loam::Yield inner) {
-            for (std::pair<std::string const, tilth::Pool> const& entry : pools()) {
+          run("scaler/" + region, wanted, [this, region](std::function<bool()> const& held, common::Yield inner) {
+            for (std::pair<std::string const, scheduling::Pool> const& entry : pools()) {
               if (entry.second.region == region) {
                 scale_pool(entry.first, entry.second, held, inner);
               }
@@ -76,11 +76,11 @@
         }
       }
       feed_scalers();
-      loam::pause(context_, constants::tell_pause, yield);
+      common::pause(context_, constants::tell_pause, yield);
     }
   });
   if (holder_ != nullptr) {
-    loam::start(context_, [this](loam::Yield yield) {
+    common::start(context_, [this](common::Yield yield) {
       while (true) {
         std::uint64_t const seen = news_.departures().count();
         join(yield);
@@ -98,38 +98,38 @@
 }
 
 void Duties::run(std::string const& name, std::function<bool()> const& wanted,
-                 std::function<void(std::function<bool()> const&, loam::Yield)> const& step) {
+                 std::function<void(std::function<bool()> const&, common::Yield)> const& step) {
   std::shared_ptr<lease::LeaseHolder> const tenant = std::make_shared<lease::LeaseHolder>("duty/" + name, identity_);
   std::shared_ptr<std::mutex> const tenant_lock = std::make_shared<std::mutex>();
   {
     std::lock_guard<std::mutex> const guard(lock_);
     tenants_.push_back(Tenant{tenant, tenant_lock});
   }
-  loam::start(context_, [this, name, tenant, tenant_lock, wanted](loam::Yield yield) {
+  common::start(context_, [this, name, tenant, tenant_lock, wanted](common::Yield yield) {
     while (true) {
       std::vector<std::pair<std::string, schema::Message>> calls;
       if (wanted()) {
         schema::VoterSet const set = register_.set();
         std::lock_guard<std::mutex> const guard(*tenant_lock);
-        for (lease::LeaseHolderAction const& action : tenant->tick(set, loam::boot_now())) {
+        for (lease::LeaseHolderAction const& action : tenant->tick(set, common::boot_now())) {
           if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
             calls.emplace_back(send->to.address, send->ask);
           } else if (std::holds_alternative<lease::Lost>(action)) {
-            loam::note(loam::Event::LeaseLost, name);
+            common::note(common::Event::LeaseLost, name);
           }
         }
       }
       if (!calls.empty()) {
-        loam::Gather::run(
+        common::Gather::run(
             context_, caller_, calls, constants::holder_deadline,
             [tenant, tenant_lock, name](std::size_t, absl::StatusOr<schema::Message> const& answer) {
               schema::LeaseAnswer const* const given =
                   answer.ok() ? std::get_if<schema::LeaseAnswer>(&*answer) : nullptr;
               if (given != nullptr) {
                 std::lock_guard<std::mutex> const guard(*tenant_lock);
-                for (lease::LeaseHolderAction const& action : tenant->receive(*given, loam::boot_now())) {
+                for (lease::LeaseHolderAction const& action : tenant->receive(*given, common::boot_now())) {
                   if (std::holds_alternative<lease::Gained>(action)) {
-                    loam::note(loam::Event::LeaseTaken, name);
+                    common::note(common::Event::LeaseTaken, name);
                   }
                 }
               }
@@ -137,13 +137,13 @@
             },
             yield);
       }
-      loam::pause(context_, constants::tell_pause, yield);
+      common::pause(context_, constants::tell_pause, yield);
     }
   });
-  loam::start(context_, [this, name, tenant, tenant_lock, step](loam::Yield yield) {
+  common::start(context_, [this, name, tenant, tenant_lock, step](common::Yield yield) {
     std::function<bool()> const held = [tenant, tenant_lock] {
       std::lock_guard<std::mutex> const guard(*tenant_lock);
-      return tenant->holds(loam::boot_now());
+      return tenant->holds(common::boot_now());
     };
     while (true) {
       bool const now_held = held();
@@ -154,7 +154,7 @@
       if (now_held) {
         step(held, yield);
       }
-      loam::pause(context_, constants::duty_pause, yield);
+      common::pause(context_, constants::duty_pause, yield);
     }
   });
 }
@@ -187,14 +187,14 @@
   return !any || region_of(settings().hall) == region;
 }
 
-std::map<std::string, tilth::Pool> Duties::pools() {
+std::map<std::string, scheduling::Pool> Duties::pools() {
   schema::Settings const known = settings();
   if (known.scaler != "on") {
     return {};
   }
   schema::Value charter;
   schema::Value evacuated;
-  register_.look([&charter, &evacuated, this](std::map<std::string, schema::Value> const& values, loam::Moment) {
+  register_.look([&charter, &evacuated, this](std::map<std::string, schema::Value> const& values, common::Moment) {
     std::map<std::string, schema::Value>::const_iterator const found = values.find(config::charter_register);
     if (found != values.end() && found->second.revision != charter_revision_) {
       charter = found->second;
@@ -217,19 +217,20 @@
   std::vector<std::string> const halls = config::evacuated_zones(evacuated.content);
   schema::PlatformList const list = news_.list();
   std::lock_guard<std::mutex> const guard(lock_);
-  return tilth::pools_of(list, charter_, known.regions, std::set<std::string>(halls.begin(), halls.end()));
+  return scheduling::pools_of(list, charter_, known.regions, std::set<std::string>(halls.begin(), halls.end()));
 }
 
 void Duties::feed_scalers() {
-  std::map<std::string, tilth::Pool> const there = pools();
+  std::map<std::string, scheduling::Pool> const there = pools();
   if (!there.empty()) {
     schema::Settings const known = settings();
     std::vector<schema::Session> const told = news_.take_reports();
     std::lock_guard<std::mutex> const guard(lock_);
     for (schema::Session const& session : told) {
       for (schema::FurrowReport const& report : session.reports) {
-        for (std::pair<std::string const, schema::FurrowReport> const& part : tilth::apart(report, there)) {
-          scalers_[part.first].report(part.second, tilth::aims_of(known, there.at(part.first)), loam::boot_now());
+        for (std::pair<std::string const, schema::FurrowReport> const& part : scheduling::apart(report, there)) {
+          scalers_[part.first].report(part.second, scheduling::aims_of(known, there.at(part.first)),
+                                      common::boot_now());
         }
       }
     }
@@ -241,18 +242,18 @@
   for (schema::Session const& session : sessions) {
     std::string const region = config::region_of(known, session.member.hall);
     for (schema::FurrowReport const& report : session.reports) {
-      scalers_[region].report(report, known.scaler, loam::boot_now());
+      scalers_[region].report(report, known.scaler, common::boot_now());
     }
   }
 }
 
-void Duties::scale(std::string const& region, std::function<bool()> const& held, loam::Yield yield) {
+void Duties::scale(std::string const& region, std::function<bool()> const& held, common::Yield yield) {
   schema::Setup const known = setup();
   std::string const name = consensus::split_register(region);
   schema::Value const value = register_.value(name);
   schema::Split current;
-  std::vector<loam::Fault> faults;
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(value.content);
+  std::vector<common::Fault> faults;
+  absl::StatusOr<common::Tree> const tree = common::read_tree(value.content);
   if (value.revision > 0 && tree.ok()) {
     schema::read(tree->get(), "", current, faults);
   }
@@ -264,58 +265,58 @@
       workers.push_back(worker.id);
     }
   }
-  tilth::ScalerAction action = tilth::Rest{"no workers"};
+  scheduling::ScalerAction action = scheduling::Rest{"no workers"};
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    action = scalers_[region].tick(current, value.revision, workers, known.scaler, known.workers, loam::boot_now());
-    if (tilth::Rest const* const rest = std::get_if<tilth::Rest>(&action)) {
+    action = scalers_[region].tick(current, value.revision, workers, known.scaler, known.workers, common::boot_now());
+    if (scheduling::Rest const* const rest = std::get_if<scheduling::Rest>(&action)) {
       reasons_["scaler/" + region] = rest->reason;
     }
   }
-  if (tilth::WriteSplit const* const write = std::get_if<tilth::WriteSplit>(&action)) {
+  if (scheduling::WriteSplit const* const write = std::get_if<scheduling::WriteSplit>(&action)) {
     write_split(region, value.revision, write->split, held, yield);
   }
 }
 
-void Duties::scale_pool(std::string const& name, tilth::Pool const& pool, std::function<bool()> const& held,
-                        loam::Yield yield) {
+void Duties::scale_pool(std::string const& name, scheduling::Pool const& pool, std::function<bool()> const& held,
+                        common::Yield yield) {
   schema::Value const value = register_.value(consensus::split_register(name));
-  absl::StatusOr<schema::Split> const read = tilth::read_split(value.content);
+  absl::StatusOr<schema::Split> const read = scheduling::read_split(value.content);
   schema::Split const current = value.revision > 0 && read.ok() ? *read : schema::Split();
-  schema::ScalerAims const aims = tilth::aims_of(settings(), pool);
+  schema::ScalerAims const aims = scheduling::aims_of(settings(), pool);
   schema::WorkerBounds bounds;
   bounds.limit = std::max<std::uint64_t>(1, pool.capacity);
-  tilth::ScalerAction action = tilth::Rest{""};
+  scheduling::ScalerAction action = scheduling::Rest{""};
   {
     std::lock_guard<std::mutex> const guard(lock_);
     scalers_[name].aim_at(pool.set_point, constants::long_share_least, constants::long_share_most);
-    action = scalers_[name].tick(current, value.revision, pool.workers, aims, bounds, loam::boot_now(), pool.fixed);
-    if (tilth::Rest const* const rest = std::get_if<tilth::Rest>(&action)) {
+    action = scalers_[name].tick(current, value.revision, pool.workers, aims, bounds, common::boot_now(), pool.fixed);
+    if (scheduling::Rest const* const rest = std::get_if<scheduling::Rest>(&action)) {
       reasons_["scaler/" + pool.region] = pool.service + ": " + rest->reason;
     }
   }
-  if (tilth::WriteSplit const* const write = std::get_if<tilth::WriteSplit>(&action)) {
-    write_split(name, value.revision, tilth::pruned(write->split, pool.listed), held, yield);
+  if (scheduling::WriteSplit const* const write = std::get_if<scheduling::WriteSplit>(&action)) {
+    write_split(name, value.revision, scheduling::pruned(write->split, pool.listed), held, yield);
   }
 }
 
 void Duties::write_split(std::string const& name, std::uint64_t revision, schema::Split const& split,
-                         std::function<bool()> const& held, loam::Yield yield) {
+                         std::function<bool()> const& held, common::Yield yield) {
   if (!held()) {
     return;
   }
-  std::string const text = tilth::print_split(split);
+  std::string const text = scheduling::print_split(split);
   // The expectation fences: whoever lost the lease meanwhile writes nothing.
   RegisterClient::Result const result = register_.change(
       consensus::split_register(name), consensus::replace_at(revision, text), constants::change_deadline, yield);
   bool const chosen = std::holds_alternative<consensus::Chosen>(result);
-  loam::note(chosen ? loam::Event::SplitWritten : loam::Event::SplitDefect, name + ": " + split.reason);
+  common::note(chosen ? common::Event::SplitWritten : common::Event::SplitDefect, name + ": " + split.reason);
   std::lock_guard<std::mutex> const guard(lock_);
   reasons_["scaler/" + name.substr(0, name.find('/'))] = split.reason;
 }
 
 /// Tells holders that lag, our own first, of a newer holder set.
-void Duties::spread_set(loam::Yield yield) {
+void Duties::spread_set(common::Yield yield) {
   // All seeds may have moved: the own disk and whoever told us of himself
   // know the holder set as well (section 5.5).
   if (holder_ != nullptr) {
@@ -336,12 +337,12 @@
   }
   // A holders register that was chosen but told to no one yet (section 5.5).
   schema::Value const value = register_.value(consensus::holders_register);
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(value.content);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(value.content);
   if (value.revision == 0 || !tree.ok()) {
     return;
   }
   schema::VoterSet next;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   schema::read(tree->get(), "", next, faults);
   if (!faults.empty() || next.epoch <= set.epoch) {
     return;
@@ -354,7 +355,7 @@
     calls.emplace_back(entry.address, schema::Adopt{next});
   }
   std::size_t adopted = 0;
-  loam::Gather::run(
+  common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
       [&adopted, &next](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         schema::Adopted const* const given = answer.ok() ? std::get_if<schema::Adopted>(&*answer) : nullptr;
@@ -367,7 +368,7 @@
   }
 }
 
-void Duties::join(loam::Yield yield) {
+void Duties::join(common::Yield yield) {
   schema::VoterSet const set = register_.set();
   schema::Voter const self{holder_->silent() ? 0 : holder_->incarnation(), address_};
   if (set.epoch == 0 || self.incarnation == 0 || consensus::names(set.holders, self.incarnation) || news_.leaving()) {
@@ -393,7 +394,7 @@
       asked.push_back(entry.incarnation);
     }
   }
-  loam::Gather::run(
+  common::Gather::run(
       context_, caller_, calls, constants::join_look,
       [this, &asked](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         schema::Adopted const* const given = answer.ok() ? std::get_if<schema::Adopted>(&*answer) : nullptr;
@@ -408,13 +409,13 @@
   if (!next.has_value()) {
     return;
   }
-  loam::note(loam::Event::RepairProposed, "epoch " + std::to_string(next->epoch));
+  common::note(common::Event::RepairProposed, "epoch " + std::to_string(next->epoch));
   // No lease is needed: of all who want a place, what they expect of the
   // register lets one of them have it (section 5.5).
   RegisterClient::Result const result = register_.change(
       consensus::holders_register, membership::reconfiguration_proposal(set, *next), constants::change_deadline, yield);
   if (!std::holds_alternative<consensus::Chosen>(result)) {
-    loam::note(loam::Event::RepairDefect, "not chosen");
+    common::note(common::Event::RepairDefect, "not chosen");
   }
   spread_set(yield);
 }
@@ -438,8 +439,8 @@
     return;
   }
   releasing_ = true;
-  loam::start(context_, [this, calls](loam::Yield yield) {
-    loam::Gather::run(
+  common::start(context_, [this, calls](common::Yield yield) {
+    common::Gather::run(
         context_, caller_, calls, constants::lease_release_patience,
         [](std::size_t, absl::StatusOr<schema::Message> const&) { return false; }, yield);
     releasing_ = false;
@@ -448,13 +449,13 @@
 
 std::string Duties::describe() {
   std::lock_guard<std::mutex> const guard(lock_);
-  loam::Tree object(cJSON_CreateObject());
+  common::Tree object(cJSON_CreateObject());
   for (std::pair<std::string const, bool> const& duty : held_) {
     cJSON* const entry = cJSON_AddObjectToObject(object.get(), duty.first.c_str());
     cJSON_AddBoolToObject(entry, "held_here", duty.second ? 1 : 0);
     cJSON_AddStringToObject(entry, "reason", reasons_[duty.first].c_str());
   }
-  return loam::print_tree(object.get(), true);
+  return common::print_tree(object.get(), true);
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/duty/duties.hpp
+++ b/source/control_plane/leased_tasks/leased_tasks.hpp
@@ -6,23 +6,23 @@
 #include <mutex>
 #include <string>
 
-#include "config/charter/charter.hpp"
+#include "config/routing/routing_config.hpp"
+#include "control_plane/acceptor/acceptor_service.hpp"
+#include "control_plane/register_client/register_client.hpp"
+#include "control_plane/updates/updates.hpp"
 #include "lease/lease_holder.hpp"
 #include "membership/reconfiguration/voter_looks.hpp"
-#include "tilth/scaler/pools.hpp"
-#include "tilth/scaler/scaler.hpp"
-#include "trellis/acceptor/acceptor_service.hpp"
-#include "trellis/news/news.hpp"
-#include "trellis/register_client/register_client.hpp"
+#include "scheduling/scaler/pools.hpp"
+#include "scheduling/scaler/scaler.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// Duties that one trellis does at a time, each under a lease (section 7.2): the
 /// scaler of each region. And what each trellis with a disk does for itself: it
 /// takes a place in the holder set when one is free or lost (section 5.5).
 class Duties {
  public:
-  Duties(boost::asio::io_context& context, loam::Caller& caller, RegisterClient& register_client, News& news,
+  Duties(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client, News& news,
          AcceptorService* holder, std::uint64_t identity, schema::Settings const& settings, config::Notation notation);
   void begin();
   /// Settings that changed.
@@ -37,26 +37,26 @@
  private:
   /// Runs the lease of one duty; `step` is called again and again while held.
   void run(std::string const& name, std::function<bool()> const& wanted,
-           std::function<void(std::function<bool()> const&, loam::Yield)> const& step);
-  void join(loam::Yield yield);
-  void spread_set(loam::Yield yield);
+           std::function<void(std::function<bool()> const&, common::Yield)> const& step);
+  void join(common::Yield yield);
+  void spread_set(common::Yield yield);
   void feed_scalers();
-  void scale(std::string const& region, std::function<bool()> const& held, loam::Yield yield);
+  void scale(std::string const& region, std::function<bool()> const& held, common::Yield yield);
   [[nodiscard]] schema::Setup setup();
   /// Whose a region's scaler is: of the trellises inside it, and from outside
   /// only when none of them is left to do it.
   [[nodiscard]] bool on_duty(std::string const& region,
                              std::function<std::string(std::string const&)> const& region_of);
   /// The pools of the charter in force; none while the scaler is off (section 13.11).
-  [[nodiscard]] std::map<std::string, tilth::Pool> pools();
-  void scale_pool(std::string const& name, tilth::Pool const& pool, std::function<bool()> const& held,
-                  loam::Yield yield);
+  [[nodiscard]] std::map<std::string, scheduling::Pool> pools();
+  void scale_pool(std::string const& name, scheduling::Pool const& pool, std::function<bool()> const& held,
+                  common::Yield yield);
   void write_split(std::string const& name, std::uint64_t revision, schema::Split const& split,
-                   std::function<bool()> const& held, loam::Yield yield);
+                   std::function<bool()> const& held, common::Yield yield);
   [[nodiscard]] schema::Settings settings();
 
   boost::asio::io_context& context_;
-  loam::Caller& caller_;
+  common::Caller& caller_;
   RegisterClient& register_;
   News& news_;
   AcceptorService* holder_;
@@ -74,7 +74,7 @@
   std::atomic<bool> releasing_ = false;
   std::map<std::string, bool> held_;
   std::map<std::string, std::string> reasons_;
-  std::map<std::string, tilth::Scaler> scalers_;
+  std::map<std::string, scheduling::Scaler> scalers_;
   std::uint64_t setup_revision_ = 0;
   schema::Setup setup_;
   std::uint64_t charter_revision_ = 0;
@@ -82,4 +82,4 @@
   membership::VoterLooks looks_;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/main.cpp
+++ b/source/control_plane/main.cpp
@@ -1,78 +1,78 @@
 #include <memory>
 
-#include "loam/constants.hpp"
-#include "loam/process/process.hpp"
-#include "loam/random/random.hpp"
+#include "common/constants.hpp"
+#include "common/process/process.hpp"
+#include "common/random/random.hpp"
+#include "control_plane/command/command.hpp"
+#include "control_plane/departure/departure_service.hpp"
+#include "control_plane/leased_tasks/leased_tasks.hpp"
+#include "control_plane/operator/operator.hpp"
 #include "platform/listing.hpp"
 #include "platform/notation.hpp"
 #include "platform/operator.hpp"
 #include "platform/settings.hpp"
-#include "trellis/command/command.hpp"
-#include "trellis/departure/departure_service.hpp"
-#include "trellis/duty/duties.hpp"
-#include "trellis/operator/operator.hpp"
 
 namespace {
 using namespace finchlink;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 /// The control plane of one machine.
 struct Program {
-  std::unique_ptr<loam::Caller> caller;
-  std::unique_ptr<trellis::AcceptorService> holder;
-  std::unique_ptr<trellis::RegisterClient> register_client;
-  std::unique_ptr<trellis::News> news;
-  std::unique_ptr<trellis::Duties> duties;
-  std::unique_ptr<trellis::DepartureService> departure;
-  std::unique_ptr<trellis::Operator> operators;
+  std::unique_ptr<common::Caller> caller;
+  std::unique_ptr<control_plane::AcceptorService> holder;
+  std::unique_ptr<control_plane::RegisterClient> register_client;
+  std::unique_ptr<control_plane::News> news;
+  std::unique_ptr<control_plane::Duties> duties;
+  std::unique_ptr<control_plane::DepartureService> departure;
+  std::unique_ptr<control_plane::Operator> operators;
 };
 
-loam::Span span(std::uint64_t milliseconds) {
-  return loam::milliseconds(static_cast<std::int64_t>(milliseconds));
+common::Span span(std::uint64_t milliseconds) {
+  return common::milliseconds(static_cast<std::int64_t>(milliseconds));
 }
 }  // namespace
 
 int main(int count, char** values) {
-  if (trellis::is_command(count, values)) {
-    return trellis::run_command(count, values);
+  if (control_plane::is_command(count, values)) {
+    return control_plane::run_command(count, values);
   }
   Program program;
-  loam::Daemon daemon;
+  common::Daemon daemon;
   daemon.program = "trellis";
   daemon.needed = {"name", "hall", "http_address", "colleague_address", "seeds"};
   daemon.begin = [&program](boost::asio::io_context& context, schema::Settings const& settings) -> absl::Status {
-    std::uint64_t const identity = loam::random_identity();
+    std::uint64_t const identity = common::random_identity();
     bool const platform = platform::settings_path().has_value();
     schema::TimeBounds const& bounds = settings.bounds;
-    program.caller = std::make_unique<loam::Caller>(context);
+    program.caller = std::make_unique<common::Caller>(context);
     if (!settings.data_folder.empty()) {
-      program.holder = std::make_unique<trellis::AcceptorService>(
+      program.holder = std::make_unique<control_plane::AcceptorService>(
           context, *program.caller, settings.data_folder, settings.colleague_address,
           settings.founding ? settings.seeds : std::vector<std::string>());
     }
-    program.register_client = std::make_unique<trellis::RegisterClient>(context, *program.caller, identity,
-                                                                        settings.seeds, span(bounds.confirm_pause_ms));
+    program.register_client = std::make_unique<control_plane::RegisterClient>(
+        context, *program.caller, identity, settings.seeds, span(bounds.confirm_pause_ms));
     if (program.holder != nullptr) {
-      program.register_client->spread_to(trellis::RegisterClient::OwnVoter{
+      program.register_client->spread_to(control_plane::RegisterClient::OwnVoter{
           [&program] { return program.holder->incarnation(); },
           [&program](std::string const& name, schema::Ballot const& accepted, schema::Value const& value,
-                     loam::Yield yield) { program.holder->take_accepted(name, accepted, value, yield); }});
+                     common::Yield yield) { program.holder->take_accepted(name, accepted, value, yield); }});
     }
-    program.news = std::make_unique<trellis::News>(
+    program.news = std::make_unique<control_plane::News>(
         context, *program.caller, *program.register_client, program.holder.get(), settings, identity,
-        platform ? trellis::ListReader(platform::read_list) : trellis::ListReader());
-    program.duties = std::make_unique<trellis::Duties>(context, *program.caller, *program.register_client,
-                                                       *program.news, program.holder.get(), identity, settings,
-                                                       platform ? platform::notation() : config::own_notation());
-    program.departure = std::make_unique<trellis::DepartureService>(context, *program.register_client, *program.news,
-                                                                    *program.duties, program.holder.get());
-    program.operators = std::make_unique<trellis::Operator>(
+        platform ? control_plane::ListReader(platform::read_list) : control_plane::ListReader());
+    program.duties = std::make_unique<control_plane::Duties>(context, *program.caller, *program.register_client,
+                                                             *program.news, program.holder.get(), identity, settings,
+                                                             platform ? platform::notation() : config::own_notation());
+    program.departure = std::make_unique<control_plane::DepartureService>(
+        context, *program.register_client, *program.news, *program.duties, program.holder.get());
+    program.operators = std::make_unique<control_plane::Operator>(
         context, *program.register_client, *program.news, program.holder.get(),
         [&program] { return program.duties->describe(); }, platform ? platform::notation() : config::own_notation(),
-        platform ? platform::operator_paths() : trellis::OperatorPaths(), span(bounds.acknowledge_wait_ms));
-    absl::Status status = loam::serve_frames(
+        platform ? platform::operator_paths() : control_plane::OperatorPaths(), span(bounds.acknowledge_wait_ms));
+    absl::Status status = common::serve_frames(
         context, settings.colleague_address, settings.connections,
-        [&program](schema::Message const& message, loam::Yield yield) -> std::optional<schema::Message> {
+        [&program](schema::Message const& message, common::Yield yield) -> std::optional<schema::Message> {
           if (schema::NewsAsk const* const ask = std::get_if<schema::NewsAsk>(&message)) {
             return program.news->ask(*ask, yield);
           }
@@ -91,9 +91,10 @@
     if (!status.ok()) {
       return status;
     }
-    status = loam::serve_asks(context, settings.http_address, settings.connections, constants::charter_limit,
-                              [&program](loam::Ask const& ask, loam::CallerConnection const& caller,
-                                         loam::Yield yield) { return program.operators->answer(ask, caller, yield); });
+    status =
+        common::serve_asks(context, settings.http_address, settings.connections, constants::charter_limit,
+                           [&program](common::Ask const& ask, common::CallerConnection const& caller,
+                                      common::Yield yield) { return program.operators->answer(ask, caller, yield); });
     if (!status.ok()) {
       return status;
     }
@@ -113,11 +114,11 @@
     program.duties->follow(settings);
     program.operators->follow(span(settings.bounds.acknowledge_wait_ms));
   };
-  daemon.drain = [&program](loam::Moment until) { program.departure->begin(until); };
+  daemon.drain = [&program](common::Moment until) { program.departure->begin(until); };
   daemon.busy = [&program] {
     // Both are asked each time: the departure counts on being asked without gaps.
     bool const departing = program.departure->busy();
     return departing || program.operators->busy();
   };
-  return loam::run_daemon(daemon, count, values);
+  return common::run_daemon(daemon, count, values);
 }
--- a/source/trellis/operator/answer_check.cpp
+++ b/source/control_plane/operator/answer_check.cpp
@@ -1,26 +1,26 @@
-#include "trellis/operator/answer_check.hpp"
+#include "control_plane/operator/answer_check.hpp"
 
-#include "config/charter/proposal.hpp"
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
-#include "loam/invariant/invariant.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
+#include "common/invariant/invariant.hpp"
+#include "config/routing/proposal.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-using loam::Invariant;
+using common::Invariant;
 
-ToldFloor AnswerCheck::begin(std::string const& name, loam::Moment arrival) {
+ToldFloor AnswerCheck::begin(std::string const& name, common::Moment arrival) {
   std::lock_guard<std::mutex> const guard(lock_);
   return ToldFloor{arrival, told_[name].revision};
 }
 
 void AnswerCheck::answered(std::string const& name, ToldFloor const& floor, schema::Value const& value,
-                           loam::Moment confirmed_from) {
-  loam::check(Invariant::read_after_request, confirmed_from >= floor.arrival, [&] {
+                           common::Moment confirmed_from) {
+  common::check(Invariant::read_after_request, confirmed_from >= floor.arrival, [&] {
     return name + " is answered by a read that began " + std::to_string(floor.arrival - confirmed_from) +
            " us before the request";
   });
-  loam::check(Invariant::answer_not_older, value.revision >= floor.revision, [&] {
+  common::check(Invariant::answer_not_older, value.revision >= floor.revision, [&] {
     return name + " revision " + std::to_string(value.revision) + " is answered after revision " +
            std::to_string(floor.revision);
   });
@@ -34,7 +34,7 @@
   std::uint64_t const number = charter ? config::number_of(value) : value.revision;
   bool const rises = value.revision == told.revision || (value.revision > told.revision) == (number > told.number);
   bool const same = value.revision != told.revision || number == told.number;
-  loam::check(Invariant::charter_number_rises, !charter || (rises && same), [&] {
+  common::check(Invariant::charter_number_rises, !charter || (rises && same), [&] {
     return "revision " + std::to_string(value.revision) + " has number " + std::to_string(number) + ", revision " +
            std::to_string(told.revision) + " had " + std::to_string(told.number);
   });
@@ -45,7 +45,7 @@
 }
 
 void AnswerCheck::acknowledged(std::string const& name, schema::Value const& chosen, std::string const& valid_digest) {
-  loam::check(Invariant::acknowledged_as_validated, loam::Digest().add(chosen.content).text() == valid_digest, [&] {
+  common::check(Invariant::acknowledged_as_validated, common::Digest().add(chosen.content).text() == valid_digest, [&] {
     return name + " revision " + std::to_string(chosen.revision) + " is not the content that was found valid";
   });
   acknowledged(name, chosen);
@@ -60,13 +60,13 @@
   std::lock_guard<std::mutex> const guard(lock_);
   std::map<std::uint64_t, std::string>& taken = told_[name].taken;
   std::string const& first = taken.emplace(base, change).first->second;
-  loam::check(Invariant::base_taken_once, first == change, [&] {
+  common::check(Invariant::base_taken_once, first == change, [&] {
     return name + ": changes " + first + " and " + change + " of version " + std::to_string(base) +
            " were both acknowledged";
   });
-  if (taken.size() > loam::constants::marks_kept) {
+  if (taken.size() > common::constants::marks_kept) {
     taken.erase(taken.begin());
   }
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/operator/answer_check.hpp
+++ b/source/control_plane/operator/answer_check.hpp
@@ -5,14 +5,14 @@
 #include <mutex>
 #include <string>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// What a register's operators were told so far, when a request came.
 struct ToldFloor {
-  loam::Moment arrival = 0;
+  common::Moment arrival = 0;
   std::uint64_t revision = 0;
 };
 
@@ -22,10 +22,10 @@
 class AnswerCheck {
  public:
   /// A request about the register came.
-  [[nodiscard]] ToldFloor begin(std::string const& name, loam::Moment arrival);
+  [[nodiscard]] ToldFloor begin(std::string const& name, common::Moment arrival);
   /// The value is told; a majority read that began at `confirmed_from` stands behind it.
   void answered(std::string const& name, ToldFloor const& floor, schema::Value const& value,
-                loam::Moment confirmed_from);
+                common::Moment confirmed_from);
   /// Yes is said to a change that was chosen now.
   void acknowledged(std::string const& name, schema::Value const& chosen);
   /// The same, where the digest of the content that was found valid is known.
@@ -45,4 +45,4 @@
   std::map<std::string, Told> told_;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/operator/health.cpp
+++ b/source/control_plane/operator/health.cpp
@@ -1,16 +1,16 @@
-#include "trellis/operator/health.hpp"
+#include "control_plane/operator/health.hpp"
 
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace http = loam::http;
+namespace http = common::http;
 
 namespace {
 
 /// Whole milliseconds of a span, as a number of JSON.
-double whole_milliseconds(loam::Span span) {
-  loam::Span const count = span / loam::milliseconds(1);
+double whole_milliseconds(common::Span span) {
+  common::Span const count = span / common::milliseconds(1);
   return static_cast<double>(count);
 }
 
@@ -27,8 +27,8 @@
   }
 }
 
-loam::Tree holders_tree(membership::HealthView const& view) {
-  loam::Tree tree(schema::write(view.set));
+common::Tree holders_tree(membership::HealthView const& view) {
+  common::Tree tree(schema::write(view.set));
   cJSON* const list = cJSON_GetObjectItemCaseSensitive(tree.get(), "holders");
   int index = 0;
   for (membership::VoterStatus const& status : view.voters) {
@@ -43,14 +43,14 @@
 }  // namespace
 
 membership::HealthView HealthPages::view() {
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   std::vector<membership::Peer> peers = news_.peers();
   peers.push_back(membership::Peer{news_.trellises().front(), now});
   membership::HealthView view;
   view.set = register_.set();
   view.voters = membership::voter_statuses(view.set, peers, now);
   view.majority_age = now - register_.confirmed_from();
-  loam::Span const list_age = news_.list_age();
+  common::Span const list_age = news_.list_age();
   if (list_age >= 0) {
     view.list_age = list_age;
   }
@@ -60,14 +60,14 @@
   return view;
 }
 
-loam::Answer HealthPages::holders() {
-  return loam::answer_text(http::status::ok, loam::print_tree(holders_tree(view()).get(), true));
+common::Answer HealthPages::holders() {
+  return common::answer_text(http::status::ok, common::print_tree(holders_tree(view()).get(), true));
 }
 
-loam::Answer HealthPages::check() {
+common::Answer HealthPages::check() {
   membership::HealthView const seen = view();
   std::vector<membership::HealthProblem> const problems = membership::find_problems(seen);
-  loam::Tree object(cJSON_CreateObject());
+  common::Tree object(cJSON_CreateObject());
   cJSON_AddBoolToObject(object.get(), "healthy", problems.empty() ? 1 : 0);
   cJSON* const list = cJSON_AddArrayToObject(object.get(), "problems");
   for (membership::HealthProblem const& problem : problems) {
@@ -80,8 +80,8 @@
                           static_cast<double>(membership::losses_to_spare(seen.set, seen.voters)));
   cJSON_AddNumberToObject(object.get(), "majority_age_ms", whole_milliseconds(seen.majority_age));
   cJSON_AddItemToObject(object.get(), "voters", holders_tree(seen).release());
-  return loam::answer_text(problems.empty() ? http::status::ok : http::status::service_unavailable,
-                           loam::print_tree(object.get(), true));
+  return common::answer_text(problems.empty() ? http::status::ok : http::status::service_unavailable,
+                             common::print_tree(object.get(), true));
 }
 
 std::string HealthPages::metrics() {
@@ -107,4 +107,4 @@
   return text;
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/operator/health.hpp
+++ b/source/control_plane/operator/health.hpp
@@ -2,12 +2,12 @@
 
 #include <string>
 
-#include "loam/http/http.hpp"
+#include "common/http/http.hpp"
+#include "control_plane/register_client/register_client.hpp"
+#include "control_plane/updates/updates.hpp"
 #include "membership/status/voter_status.hpp"
-#include "trellis/news/news.hpp"
-#include "trellis/register_client/register_client.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// What operators ask of the control plane's own state: the voters, a check of
 /// the whole, and metrics of both (docs/operating/recovery.md).
@@ -18,9 +18,9 @@
       : register_(register_client), news_(news), acceptor_(acceptor) {}
 
   /// GET /holders: the voter set, and of each voter its vote, epoch, last contact and whether it leaves.
-  [[nodiscard]] loam::Answer holders();
+  [[nodiscard]] common::Answer holders();
   /// GET /check: 200 when healthy, else 503; what is wrong stands in `problems`.
-  [[nodiscard]] loam::Answer check();
+  [[nodiscard]] common::Answer check();
   /// Lines of the metrics page.
   [[nodiscard]] std::string metrics();
 
@@ -32,4 +32,4 @@
   AcceptorService* acceptor_;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/operator/operator.cpp
+++ b/source/control_plane/operator/operator.cpp
@@ -1,39 +1,39 @@
-#include "trellis/operator/operator.hpp"
+#include "control_plane/operator/operator.hpp"
 
 #include <charconv>
 
+#include "common/constants.hpp"
+#include "common/invariant/invariant.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
+#include "common/random/random.hpp"
 #include "config/label/selector.hpp"
 #include "config/setup/setup.hpp"
-#include "loam/constants.hpp"
-#include "loam/invariant/invariant.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
-#include "loam/random/random.hpp"
-#include "trellis/operator/late_answer.hpp"
+#include "control_plane/operator/late_answer.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
-namespace http = loam::http;
+namespace constants = common::constants;
+namespace http = common::http;
 
 namespace {
-loam::Answer faults_answer(std::vector<loam::Fault> const& faults) {
-  loam::Tree object(cJSON_CreateObject());
+common::Answer faults_answer(std::vector<common::Fault> const& faults) {
+  common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "error", "invalid");
   cJSON_AddStringToObject(object.get(), "outcome", "rejected");
   cJSON* list = cJSON_AddArrayToObject(object.get(), "faults");
-  for (loam::Fault const& fault : faults) {
+  for (common::Fault const& fault : faults) {
     cJSON* entry = cJSON_CreateObject();
     cJSON_AddStringToObject(entry, "path", fault.path.c_str());
     cJSON_AddStringToObject(entry, "reason", fault.reason.c_str());
     cJSON_AddItemToArray(list, entry);
   }
-  return loam::answer_text(http::status::unprocessable_entity, loam::print_tree(object.get()));
+  return common::answer_text(http::status::unprocessable_entity, common::print_tree(object.get()));
 }
 
-loam::Answer outcome_answer(http::status status, std::string const& outcome, std::string const& id,
-                            std::uint64_t revision, std::string const& message = "") {
-  loam::Tree object(cJSON_CreateObject());
+common::Answer outcome_answer(http::status status, std::string const& outcome, std::string const& id,
+                              std::uint64_t revision, std::string const& message = "") {
+  common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "outcome", outcome.c_str());
   cJSON_AddStringToObject(object.get(), "id", id.c_str());
   if (revision > 0 || outcome == "rejected") {
@@ -42,7 +42,7 @@
   if (!message.empty()) {
     cJSON_AddStringToObject(object.get(), "message", message.c_str());
   }
-  loam::Answer answer = loam::answer_text(status, loam::print_tree(object.get()));
+  common::Answer answer = common::answer_text(status, common::print_tree(object.get()));
   answer.set("Change-Id", id);
   if (revision > 0) {
     answer.set(http::field::etag, "\"" + std::to_string(revision) + "\"");
@@ -83,11 +83,11 @@
 
 template <class Entry>
 std::string print_list(std::vector<Entry> const& entries) {
-  loam::Tree list(cJSON_CreateArray());
+  common::Tree list(cJSON_CreateArray());
   for (Entry const& entry : entries) {
     cJSON_AddItemToArray(list.get(), schema::write(entry));
   }
-  return loam::print_tree(list.get(), true);
+  return common::print_tree(list.get(), true);
 }
 }  // namespace
 
@@ -104,11 +104,11 @@
 }
 }  // namespace
 
-loam::Answer Operator::answer(loam::Ask const& ask, loam::CallerConnection const& caller, loam::Yield yield) {
+common::Answer Operator::answer(common::Ask const& ask, common::CallerConnection const& caller, common::Yield yield) {
   ++open_;
-  loam::Moment const arrival = loam::boot_now();
+  common::Moment const arrival = common::boot_now();
   std::string const target(ask.target().substr(0, ask.target().find('?')));
-  loam::Answer answer = loam::answer_error(http::status::not_found, "unknown_path", "see docs/operating/setup.md");
+  common::Answer answer = common::answer_error(http::status::not_found, "unknown_path", "see docs/operating/setup.md");
   http::verb const verb = ask.method();
   // Where the platform has paths of its own, ours work as well: the commands use them.
   static OperatorPaths const own;
@@ -128,63 +128,65 @@
     } else if (verb == http::verb::put || verb == http::verb::patch) {
       answer = change_setup(ask, verb == http::verb::patch, yield);
     } else {
-      answer = loam::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
+      answer = common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
     }
   } else if (target.rfind("/changes/", 0) == 0 && verb == http::verb::get) {
     answer = outcome(target.substr(9), yield);
   } else if (target.rfind("/halls/", 0) == 0 && verb == http::verb::post) {
     answer = hall(target.substr(7), yield);
   } else if (target == "/members" && verb == http::verb::get) {
-    answer = loam::answer_text(http::status::ok, print_list(news_.members()));
+    answer = common::answer_text(http::status::ok, print_list(news_.members()));
   } else if (target == "/trellises" && verb == http::verb::get) {
-    answer = loam::answer_text(http::status::ok, print_list(news_.trellises()));
+    answer = common::answer_text(http::status::ok, print_list(news_.trellises()));
   } else if (target == "/workers" && verb == http::verb::get) {
-    loam::Tree list(schema::write(news_.list()));
+    common::Tree list(schema::write(news_.list()));
     cJSON_AddNumberToObject(list.get(), "age_ms", static_cast<double>(news_.list_age()) / 1000);
-    answer = loam::answer_text(http::status::ok, loam::print_tree(list.get(), true));
+    answer = common::answer_text(http::status::ok, common::print_tree(list.get(), true));
   } else if (target == "/holders" && verb == http::verb::get) {
     answer = health_.holders();
   } else if (target == "/check" && verb == http::verb::get) {
     answer = health_.check();
   } else if (target == "/split" && verb == http::verb::get) {
-    loam::Tree object(cJSON_CreateObject());
+    common::Tree object(cJSON_CreateObject());
     for (std::pair<std::string const, schema::Value> const& value : register_.values()) {
       if (value.first.rfind("split/", 0) == 0) {
-        absl::StatusOr<loam::Tree> content = loam::read_tree(value.second.content);
+        absl::StatusOr<common::Tree> content = common::read_tree(value.second.content);
         if (content.ok()) {
           cJSON_AddNumberToObject(content->get(), "revision", static_cast<double>(value.second.revision));
           cJSON_AddItemToObject(object.get(), value.first.substr(6).c_str(), content->release());
         }
       }
     }
-    answer = loam::answer_text(http::status::ok, loam::print_tree(object.get(), true));
+    answer = common::answer_text(http::status::ok, common::print_tree(object.get(), true));
   } else if (target == "/duties" && verb == http::verb::get) {
-    answer = loam::answer_text(http::status::ok, duties_());
+    answer = common::answer_text(http::status::ok, duties_());
   } else if (target == "/alive") {
-    answer = loam::answer_text(http::status::ok, "{\"alive\":true}");
+    answer = common::answer_text(http::status::ok, "{\"alive\":true}");
   } else if (target == "/ready") {
-    bool const ready = loam::boot_now() - register_.confirmed_from() < constants::vouch_bound;
-    answer = ready ? loam::answer_text(http::status::ok, "{\"ready\":true}")
-                   : loam::answer_error(http::status::service_unavailable, "no_majority",
-                                        "no majority of holders answered of late");
+    bool const ready = common::boot_now() - register_.confirmed_from() < constants::vouch_bound;
+    answer = ready ? common::answer_text(http::status::ok, "{\"ready\":true}")
+                   : common::answer_error(http::status::service_unavailable, "no_majority",
+                                          "no majority of holders answered of late");
   } else if (target == "/metrics") {
     answer = metrics();
   }
   --open_;
-  return unless_late(std::move(answer), verb, loam::boot_now() - arrival, acknowledge_wait_);
+  return unless_late(std::move(answer), verb, common::boot_now() - arrival, acknowledge_wait_);
 }
 
-std::optional<schema::Value> Operator::confirmed(std::string const& path, std::string const& name, loam::Yield yield) {
-  loam::Moment const arrival = loam::boot_now();
+std::optional<schema::Value> Operator::confirmed(std::string const& path, std::string const& name,
+                                                 common::Yield yield) {
+  common::Moment const arrival = common::boot_now();
   ToldFloor const floor = answer_check_.begin(name, arrival);
   bool const sure = await_confirmation(arrival, yield);
-  loam::Moment const now = loam::boot_now();
-  loam::Moment const last = register_.confirmed_from();
+  common::Moment const now = common::boot_now();
+  common::Moment const last = register_.confirmed_from();
   read_latency_.record(now - arrival);
   if (!sure) {
-    loam::note(loam::Event::ReadRefused,
-               path + " waited " + std::to_string((now - arrival) / loam::milliseconds(1)) + " ms, last confirmation " +
-                   (last == 0 ? "never" : std::to_string((now - last) / loam::milliseconds(1)) + " ms old"));
+    common::note(common::Event::ReadRefused,
+                 path + " waited " + std::to_string((now - arrival) / common::milliseconds(1)) +
+                     " ms, last confirmation " +
+                     (last == 0 ? "never" : std::to_string((now - last) / common::milliseconds(1)) + " ms old"));
     return std::nullopt;
   }
   schema::Value const value = register_.value(name);
@@ -192,11 +194,11 @@
   return value;
 }
 
-bool Operator::await_confirmation(loam::Moment arrival, loam::Yield yield) {
+bool Operator::await_confirmation(common::Moment arrival, common::Yield yield) {
   // A read that is sure: a majority confirms it after the ask came.
   register_.hurry();
   while (register_.confirmed_from() < arrival) {
-    if (loam::boot_now() - arrival > constants::change_deadline) {
+    if (common::boot_now() - arrival > constants::change_deadline) {
       return false;
     }
     std::uint64_t const seen = register_.bell().count();
@@ -207,15 +209,15 @@
   return true;
 }
 
-void Operator::spread(loam::Yield yield) {
+void Operator::spread(common::Yield yield) {
   register_.hurry();
   news_.announce(true);
   // From here every vouch brings this revision; when the bound is over, whoever
   // lacks it has stopped by itself (section 4.1).
-  loam::pause(context_, acknowledge_wait_, yield);
+  common::pause(context_, acknowledge_wait_, yield);
 }
 
-loam::Answer Operator::answer_charter(loam::Ask const& ask, loam::Yield yield) {
+common::Answer Operator::answer_charter(common::Ask const& ask, common::Yield yield) {
   http::verb const verb = ask.method();
   if (verb == http::verb::get) {
     return get_charter(yield);
@@ -223,29 +225,29 @@
   if (verb == http::verb::put || verb == http::verb::patch) {
     return change_charter(ask, verb == http::verb::patch, yield);
   }
-  return loam::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
+  return common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
 }
 
-loam::Answer Operator::get_charter(loam::Yield yield) {
+common::Answer Operator::get_charter(common::Yield yield) {
   std::optional<schema::Value> const value = confirmed(paths_.charter, config::charter_register, yield);
   if (!value.has_value()) {
-    return loam::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
+    return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
   if (value->revision == 0) {
-    return loam::answer_error(http::status::not_found, "no_charter", "no charter was put yet");
+    return common::answer_error(http::status::not_found, "no_charter", "no charter was put yet");
   }
-  loam::Answer answer = loam::answer_text(http::status::ok, value->content);
+  common::Answer answer = common::answer_text(http::status::ok, value->content);
   answer.set(http::field::etag, "\"" + std::to_string(config::number_of(*value)) + "\"");
   return answer;
 }
 
-loam::Answer Operator::change_charter(loam::Ask const& ask, bool patch, loam::Yield yield) {
+common::Answer Operator::change_charter(common::Ask const& ask, bool patch, common::Yield yield) {
   config::WantedCharter wanted{ask.body(), patch, std::nullopt};
   std::string const match(ask[http::field::if_match]);
   if (!match.empty() && match != "*") {
     wanted.expected = tag_revision(match);
     if (!wanted.expected.has_value()) {
-      return loam::answer_error(http::status::bad_request, "if_match", "If-Match takes one number, or *");
+      return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one number, or *");
     }
   }
   std::shared_ptr<config::CharterProposalReport> const note = std::make_shared<config::CharterProposalReport>();
@@ -257,13 +259,13 @@
     note->end = config::CharterProposalOutcome::done;
     answer_check_.acknowledged(config::charter_register, done->value, note->valid_digest);
     ++accepted_;
-    loam::note(loam::Event::CharterChosen, std::to_string(number));
+    common::note(common::Event::CharterChosen, std::to_string(number));
   } else if (std::holds_alternative<RegisterClient::Unknown>(result)) {
-    loam::note(loam::Event::CharterUnknown, config::id_of(wanted));
+    common::note(common::Event::CharterUnknown, config::id_of(wanted));
     return unknown("no majority of holders answered in time; send the same again");
   }
   if (note->end == config::CharterProposalOutcome::forgotten) {
-    loam::note(loam::Event::CharterUnknown, config::id_of(wanted) + " is too old");
+    common::note(common::Event::CharterUnknown, config::id_of(wanted) + " is too old");
     return unknown("too old to tell whether it was taken before; nothing was done now");
   }
   std::string const tag = "\"" + std::to_string(number) + "\"";
@@ -272,37 +274,37 @@
       answer_check_.acknowledged_on(config::charter_register, *wanted.expected, config::id_of(wanted));
     }
     spread(yield);
-    loam::Answer answer = loam::answer_text(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
+    common::Answer answer = common::answer_text(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
     answer.set(http::field::etag, tag);
     return answer;
   }
   ++rejected_;
-  loam::note(loam::Event::CharterRejected, loam::describe(note->faults));
+  common::note(common::Event::CharterRejected, common::describe(note->faults));
   if (note->end == config::CharterProposalOutcome::faults) {
-    loam::Answer answer = faults_answer(note->faults);
+    common::Answer answer = faults_answer(note->faults);
     answer.result(http::status::bad_request);
     return answer;
   }
   if (note->end == config::CharterProposalOutcome::number) {
-    return loam::answer_error(http::status::bad_request, "number",
-                              "the number must be above the one in place, " + std::to_string(number));
+    return common::answer_error(http::status::bad_request, "number",
+                                "the number must be above the one in place, " + std::to_string(number));
   }
   if (note->end == config::CharterProposalOutcome::size) {
-    return loam::answer_error(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
+    return common::answer_error(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
   }
-  loam::Answer answer = loam::answer_error(http::status::precondition_failed, "another",
-                                           "charter " + std::to_string(number) + " is in place");
+  common::Answer answer = common::answer_error(http::status::precondition_failed, "another",
+                                               "charter " + std::to_string(number) + " is in place");
   answer.set(http::field::etag, tag);
   return answer;
 }
 
-loam::Answer Operator::unknown(std::string const& message) {
+common::Answer Operator::unknown(std::string const& message) {
   ++unknown_;
-  return loam::answer_error(http::status::gateway_timeout, "unknown", message);
+  return common::answer_error(http::status::gateway_timeout, "unknown", message);
 }
 
-loam::Answer Operator::evacuate(std::string const& zone, bool evacuated, loam::CallerConnection const& caller,
-                                loam::Yield yield) {
+common::Answer Operator::evacuate(std::string const& zone, bool evacuated, common::CallerConnection const& caller,
+                                  common::Yield yield) {
   // Known before anything else happens: what comes later may be newer than this order (section 13.3).
   config::EvacuationOrder const order{zone, evacuated,
                                       config::newest_order(register_.value(config::evacuated_register), zone)};
@@ -323,64 +325,64 @@
     answer_check_.acknowledged(config::evacuated_register, done->value);
   }
   ++accepted_;
-  loam::note(loam::Event::EvacuationChosen, zone + (evacuated ? " is emptied" : " is taken back"));
+  common::note(common::Event::EvacuationChosen, zone + (evacuated ? " is emptied" : " is taken back"));
   spread(yield);
-  return loam::answer_text(http::status::ok, "{}");
+  return common::answer_text(http::status::ok, "{}");
 }
 
-loam::Answer Operator::get_evacuated(loam::Yield yield) {
+common::Answer Operator::get_evacuated(common::Yield yield) {
   std::optional<schema::Value> const value = confirmed("/evacuated", config::evacuated_register, yield);
   if (!value.has_value()) {
-    return loam::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
+    return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
   std::string const& content = value->content;
-  return loam::answer_text(http::status::ok, content.empty() ? "[]" : content);
+  return common::answer_text(http::status::ok, content.empty() ? "[]" : content);
 }
 
-loam::Answer Operator::get_setup(loam::Yield yield) {
+common::Answer Operator::get_setup(common::Yield yield) {
   std::optional<schema::Value> const value = confirmed("/setup", consensus::setup_register, yield);
   if (!value.has_value()) {
-    return loam::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
+    return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
   if (value->content.empty()) {
-    return loam::answer_error(http::status::not_found, "no_setup", "no setup was put yet");
+    return common::answer_error(http::status::not_found, "no_setup", "no setup was put yet");
   }
-  loam::Answer answer = loam::answer_text(http::status::ok, value->content);
+  common::Answer answer = common::answer_text(http::status::ok, value->content);
   answer.set(http::field::etag, "\"" + std::to_string(value->revision) + "\"");
   return answer;
 }
 
-std::string Operator::fresh_id(std::string const& name, loam::Yield yield) {
+std::string Operator::fresh_id(std::string const& name, common::Yield yield) {
   // Right after its start a trellis knows no revision yet; an id born at none
   // would count as forgotten.
-  loam::Moment const until = loam::boot_now() + constants::change_deadline;
-  while (register_.confirmed_from() == 0 && loam::boot_now() < until) {
-    loam::pause(context_, constants::confirm_pause, yield);
+  common::Moment const until = common::boot_now() + constants::change_deadline;
+  while (register_.confirmed_from() == 0 && common::boot_now() < until) {
+    common::pause(context_, constants::confirm_pause, yield);
   }
-  return name + "-" + std::to_string(loam::random_identity()) + "." +
+  return name + "-" + std::to_string(common::random_identity()) + "." +
          std::to_string(register_.value(consensus::setup_register).revision);
 }
 
-loam::Answer Operator::change_setup(loam::Ask const& ask, bool patch, loam::Yield yield) {
+common::Answer Operator::change_setup(common::Ask const& ask, bool patch, common::Yield yield) {
   config::WantedChange wanted;
   wanted.patch = patch;
   wanted.id = std::string(ask["Change-Id"]);
   if (wanted.id.empty()) {
     wanted.id = fresh_id("change", yield);
   } else if (!good_id(wanted.id)) {
-    return loam::answer_error(http::status::bad_request, "change_id",
-                              "Change-Id takes up to 64 letters, digits, '-', '_' and '.'");
+    return common::answer_error(http::status::bad_request, "change_id",
+                                "Change-Id takes up to 64 letters, digits, '-', '_' and '.'");
   }
   std::string const match(ask[http::field::if_match]);
   if (!match.empty() && match != "*") {
     wanted.expected = tag_revision(match);
     if (!wanted.expected.has_value()) {
-      return loam::answer_error(http::status::bad_request, "if_match", "If-Match takes one revision in quotes, or *");
+      return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one revision in quotes, or *");
     }
   }
   absl::StatusOr<std::string> const content = config::canonical(ask.body());
   if (!content.ok()) {
-    return loam::answer_error(http::status::bad_request, "malformed", std::string(content.status().message()));
+    return common::answer_error(http::status::bad_request, "malformed", std::string(content.status().message()));
   }
   wanted.content = *content;
   if (!patch) {
@@ -392,7 +394,7 @@
   return apply(wanted, yield);
 }
 
-loam::Answer Operator::apply(config::WantedChange const& wanted, loam::Yield yield) {
+common::Answer Operator::apply(config::WantedChange const& wanted, common::Yield yield) {
   std::shared_ptr<config::SetupProposalReport> const note = std::make_shared<config::SetupProposalReport>();
   RegisterClient::Result const result = register_.change(
       consensus::setup_register, config::setup_proposal(wanted, note), constants::change_deadline, yield);
@@ -415,7 +417,7 @@
                             "revision that you know: NAME.REVISION");
     }
     ++rejected_;
-    loam::note(loam::Event::SetupRejected, wanted.id + " " + rejected->reason);
+    common::note(common::Event::SetupRejected, wanted.id + " " + rejected->reason);
     if (known.standing == config::Standing::rejected) {
       return outcome_answer(http::status::conflict, "rejected", wanted.id, rejected->current.revision,
                             "this id was given up before");
@@ -431,41 +433,41 @@
       return outcome_answer(http::status::payload_too_large, "rejected", wanted.id, rejected->current.revision,
                             rejected->reason);
     }
-    loam::Answer answer = outcome_answer(http::status::precondition_failed, "rejected", wanted.id,
-                                         rejected->current.revision, rejected->reason);
+    common::Answer answer = outcome_answer(http::status::precondition_failed, "rejected", wanted.id,
+                                           rejected->current.revision, rejected->reason);
     answer.set(http::field::etag, "\"" + std::to_string(rejected->current.revision) + "\"");
     return answer;
   }
   ++unknown_;
-  loam::note(loam::Event::SetupUnknown, wanted.id);
+  common::note(common::Event::SetupUnknown, wanted.id);
   return outcome_answer(http::status::gateway_timeout, "unknown", wanted.id, 0, "ask GET /changes/" + wanted.id);
 }
 
-loam::Answer Operator::chosen(std::string const& id, std::uint64_t revision, loam::Yield yield) {
+common::Answer Operator::chosen(std::string const& id, std::uint64_t revision, common::Yield yield) {
   ++accepted_;
-  loam::note(loam::Event::SetupChosen, "revision " + std::to_string(revision) + " " + id);
+  common::note(common::Event::SetupChosen, "revision " + std::to_string(revision) + " " + id);
   spread(yield);
   return outcome_answer(http::status::ok, "accepted", id, revision);
 }
 
-loam::Answer Operator::outcome(std::string const& id, loam::Yield yield) {
+common::Answer Operator::outcome(std::string const& id, common::Yield yield) {
   if (!good_id(id)) {
-    return loam::answer_error(http::status::bad_request, "change_id", "not an id of a change");
+    return common::answer_error(http::status::bad_request, "change_id", "not an id of a change");
   }
   // A change may still be under way; once its own time is over, a veto under
   // the same id makes "rejected" final (section 5.7).
-  loam::Moment const until = loam::boot_now() + constants::change_deadline;
-  while (loam::boot_now() < until) {
+  common::Moment const until = common::boot_now() + constants::change_deadline;
+  while (common::boot_now() < until) {
     config::IdStanding const known = config::standing_of(register_.value(consensus::setup_register), id);
     if (known.standing != config::Standing::open && known.standing != config::Standing::unborn) {
       return told(known, id, yield);
     }
-    loam::pause(context_, constants::confirm_pause, yield);
+    common::pause(context_, constants::confirm_pause, yield);
   }
   if (++outcomes_ > constants::outcomes_most) {
     --outcomes_;
-    loam::Answer answer =
-        loam::answer_error(http::status::service_unavailable, "busy", "too many outcomes are looked up at once");
+    common::Answer answer =
+        common::answer_error(http::status::service_unavailable, "busy", "too many outcomes are looked up at once");
     answer.set(http::field::retry_after, std::to_string(constants::retry_after_seconds));
     return answer;
   }
@@ -478,12 +480,12 @@
   return outcome_answer(http::status::gateway_timeout, "unknown", id, 0, "no majority of holders answered");
 }
 
-loam::Answer Operator::told(config::IdStanding const& known, std::string const& id, loam::Yield yield) {
+common::Answer Operator::told(config::IdStanding const& known, std::string const& id, common::Yield yield) {
   switch (known.standing) {
     case config::Standing::accepted:
       // "Accepted" promises the same here as after a PUT (section 4.1); when
       // it was chosen is not known, so the whole wait counts from now.
-      loam::pause(context_, acknowledge_wait_, yield);
+      common::pause(context_, acknowledge_wait_, yield);
       return outcome_answer(http::status::ok, "accepted", id, known.revision);
     case config::Standing::rejected:
       return outcome_answer(http::status::ok, "rejected", id, 0);
@@ -494,24 +496,25 @@
   }
 }
 
-loam::Answer Operator::hall(std::string const& target, loam::Yield yield) {
+common::Answer Operator::hall(std::string const& target, common::Yield yield) {
   std::size_t const slash = target.rfind('/');
   std::string const name = target.substr(0, slash);
   std::string const deed = slash == std::string::npos ? "" : target.substr(slash + 1);
   if (name.empty() || (deed != "drain" && deed != "restore")) {
-    return loam::answer_error(http::status::not_found, "unknown_path", "POST /halls/NAME/drain or /halls/NAME/restore");
+    return common::answer_error(http::status::not_found, "unknown_path",
+                                "POST /halls/NAME/drain or /halls/NAME/restore");
   }
-  loam::Tree patch(cJSON_CreateObject());
+  common::Tree patch(cJSON_CreateObject());
   cJSON* const entry = cJSON_AddObjectToObject(cJSON_AddObjectToObject(patch.get(), "halls"), name.c_str());
   cJSON_AddBoolToObject(entry, "evacuated", deed == "drain" ? 1 : 0);
   config::WantedChange wanted;
   wanted.id = fresh_id("hall", yield);
   wanted.patch = true;
-  wanted.content = loam::print_tree(patch.get());
+  wanted.content = common::print_tree(patch.get());
   return apply(wanted, yield);
 }
 
-loam::Answer Operator::metrics() {
+common::Answer Operator::metrics() {
   std::string text;
   text += "# TYPE trellis_changes_total counter\n";
   text += "trellis_changes_total{outcome=\"accepted\"} " + std::to_string(accepted_) + "\n";
@@ -523,14 +526,14 @@
   text += "# TYPE trellis_list_age_seconds gauge\ntrellis_list_age_seconds " +
           std::to_string(static_cast<double>(news_.list_age()) / 1e6) + "\n";
   text += "# TYPE trellis_confirmed_age_seconds gauge\ntrellis_confirmed_age_seconds " +
-          std::to_string(static_cast<double>(loam::boot_now() - register_.confirmed_from()) / 1e6) + "\n";
-  text += loam::invariant_metrics();
+          std::to_string(static_cast<double>(common::boot_now() - register_.confirmed_from()) / 1e6) + "\n";
+  text += common::invariant_metrics();
   text += metrics_of(register_.read_outcomes());
   text += read_latency_.metrics();
   text += "# TYPE trellis_holder_voting gauge\ntrellis_holder_voting " +
           std::to_string(holder_ != nullptr && holder_->voting() ? 1 : 0) + "\n";
   text += health_.metrics();
-  return loam::answer_text(http::status::ok, text, "text/plain; version=0.0.4");
+  return common::answer_text(http::status::ok, text, "text/plain; version=0.0.4");
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/operator/paths.hpp
+++ b/source/control_plane/operator/paths.hpp
@@ -2,7 +2,7 @@
 
 #include <string>
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// Under which paths operators reach the charter and evacuations (section 13.3).
 struct OperatorPaths {
@@ -11,4 +11,4 @@
   std::string evacuation = "/evacuate";  ///< behind it
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/operator/read_latency.hpp
+++ b/source/control_plane/operator/read_latency.hpp
@@ -5,22 +5,22 @@
 #include <cstdint>
 #include <string>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// How long operators' reads of a confirmed state took: a histogram for the
 /// metrics page. Safe from any thread.
 class ReadLatency {
  public:
-  void record(loam::Span took) {
+  void record(common::Span took) {
     std::size_t index = 0;
     while (index < bounds.size() && took > bounds[index]) {
       ++index;
     }
     ++buckets_[index];
     sum_ += took;
-    loam::Span seen = longest_;
+    common::Span seen = longest_;
     while (seen < took && !longest_.compare_exchange_weak(seen, took)) {
     }
   }
@@ -39,12 +39,13 @@
 
  private:
   /// Upper bounds of the buckets, in microseconds; the last is the deadline of a read.
-  static constexpr std::array<loam::Span, 7> bounds{50'000, 100'000, 250'000, 500'000, 1'000'000, 2'000'000, 4'000'000};
-  static std::string seconds(loam::Span span) { return std::to_string(static_cast<double>(span) / 1e6); }
+  static constexpr std::array<common::Span, 7> bounds{50'000,    100'000,   250'000,  500'000,
+                                                      1'000'000, 2'000'000, 4'000'000};
+  static std::string seconds(common::Span span) { return std::to_string(static_cast<double>(span) / 1e6); }
 
   std::array<std::atomic<std::uint64_t>, bounds.size() + 1> buckets_{};
-  std::atomic<loam::Span> sum_ = 0;
-  std::atomic<loam::Span> longest_ = 0;
+  std::atomic<common::Span> sum_ = 0;
+  std::atomic<common::Span> longest_ = 0;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/register_client/read_outcomes.cpp
+++ b/source/control_plane/register_client/read_outcomes.cpp
@@ -1,11 +1,11 @@
-#include "trellis/register_client/read_outcomes.hpp"
+#include "control_plane/register_client/read_outcomes.hpp"
 
-#include "loam/constants.hpp"
-#include "loam/log/log.hpp"
+#include "common/constants.hpp"
+#include "common/log/log.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 constexpr std::array<char const*, read_outcome_count> labels{"confirmed",   "unsettled",    "missing",
@@ -26,19 +26,19 @@
   return text.empty() ? "none" : text;
 }
 
-std::string milliseconds(loam::Span span) {
-  return std::to_string(span / loam::milliseconds(1)) + " ms";
+std::string milliseconds(common::Span span) {
+  return std::to_string(span / common::milliseconds(1)) + " ms";
 }
 
 struct NoteReads {
   void operator()(ReadsLost const& lost) const {
-    loam::note(loam::Event::ReadsLost, "none confirmed for " + milliseconds(lost.unconfirmed) + ", rounds " +
-                                           std::to_string(lost.rounds) + ", rest before this " +
-                                           milliseconds(lost.rest) + ", " + describe(lost.round));
+    common::note(common::Event::ReadsLost, "none confirmed for " + milliseconds(lost.unconfirmed) + ", rounds " +
+                                               std::to_string(lost.rounds) + ", rest before this " +
+                                               milliseconds(lost.rest) + ", " + describe(lost.round));
   }
   void operator()(ReadsRegained const& regained) const {
-    loam::note(loam::Event::ReadsRegained,
-               "after " + milliseconds(regained.unconfirmed) + " and " + std::to_string(regained.rounds) + " rounds");
+    common::note(common::Event::ReadsRegained,
+                 "after " + milliseconds(regained.unconfirmed) + " and " + std::to_string(regained.rounds) + " rounds");
   }
 };
 }  // namespace
@@ -81,7 +81,7 @@
 
 std::optional<ReadsEvent> ReadOutcomes::record(ReadRound const& round) {
   ++counts_[static_cast<std::size_t>(outcome_of(round))];
-  loam::Span const rest = last_ended_ == 0 ? 0 : round.began - last_ended_;
+  common::Span const rest = last_ended_ == 0 ? 0 : round.began - last_ended_;
   last_ended_ = round.ended;
   if (!since_.has_value()) {
     since_ = round.began;
@@ -90,7 +90,7 @@
     return confirm(round);
   }
   ++unconfirmed_rounds_;
-  loam::Span const unconfirmed = round.ended - *since_;
+  common::Span const unconfirmed = round.ended - *since_;
   bool const told_lately = told_ != 0 && round.ended - told_ < constants::reads_lost_again;
   if (unconfirmed <= constants::reads_lost_after || told_lately) {
     return std::nullopt;
@@ -122,4 +122,4 @@
   return text;
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/register_client/read_outcomes.hpp
+++ b/source/control_plane/register_client/read_outcomes.hpp
@@ -7,10 +7,10 @@
 #include <variant>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// How one majority read of the registers ended (section 5.6).
 enum class ReadOutcome {
@@ -45,8 +45,8 @@
 
 /// One majority read as it went.
 struct ReadRound {
-  loam::Moment began = 0;
-  loam::Moment ended = 0;
+  common::Moment began = 0;
+  common::Moment ended = 0;
   std::uint64_t epoch = 0;  ///< of the set that was asked; 0: none is known
   bool confirmed = false;
   bool newer_voters = false;
@@ -60,14 +60,14 @@
 
 /// No read was confirmed for longer than `reads_lost_after`; told again every `reads_lost_again`.
 struct ReadsLost {
-  loam::Span unconfirmed = 0;  ///< since the start of the last confirmed read, or of the first read of all
-  std::uint64_t rounds = 0;    ///< that ended otherwise since then
-  loam::Span rest = 0;         ///< between the round before and this one
+  common::Span unconfirmed = 0;  ///< since the start of the last confirmed read, or of the first read of all
+  std::uint64_t rounds = 0;      ///< that ended otherwise since then
+  common::Span rest = 0;         ///< between the round before and this one
   ReadRound round;
 };
 /// A read is confirmed after reads were told lost.
 struct ReadsRegained {
-  loam::Span unconfirmed = 0;
+  common::Span unconfirmed = 0;
   std::uint64_t rounds = 0;
 };
 using ReadsEvent = std::variant<ReadsLost, ReadsRegained>;
@@ -83,9 +83,9 @@
   [[nodiscard]] std::optional<ReadsEvent> confirm(ReadRound const& round);
 
   std::array<std::uint64_t, read_outcome_count> counts_{};
-  std::optional<loam::Moment> since_;  ///< start of the last confirmed read, or of the first of all
-  loam::Moment last_ended_ = 0;
-  loam::Moment told_ = 0;  ///< when the loss was last told; 0: reads are not lost
+  std::optional<common::Moment> since_;  ///< start of the last confirmed read, or of the first of all
+  common::Moment last_ended_ = 0;
+  common::Moment told_ = 0;  ///< when the loss was last told; 0: reads are not lost
   std::uint64_t unconfirmed_rounds_ = 0;
 };
 
@@ -94,4 +94,4 @@
 /// Lines of the metrics page.
 [[nodiscard]] std::string metrics_of(ReadOutcomes const& outcomes);
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/register_client/register_client.cpp
+++ b/source/control_plane/register_client/register_client.cpp
@@ -1,13 +1,13 @@
-#include "trellis/register_client/register_client.hpp"
+#include "control_plane/register_client/register_client.hpp"
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
-#include "loam/random/random.hpp"
+#include "common/constants.hpp"
+#include "common/random/random.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using consensus::MajorityReaderAction;
 using consensus::ProposerAction;
 
@@ -25,8 +25,8 @@
 }
 }  // namespace
 
-RegisterClient::RegisterClient(boost::asio::io_context& context, loam::Caller& caller, std::uint64_t identity,
-                               std::vector<std::string> seeds, loam::Span confirm_pause)
+RegisterClient::RegisterClient(boost::asio::io_context& context, common::Caller& caller, std::uint64_t identity,
+                               std::vector<std::string> seeds, common::Span confirm_pause)
     : context_(context),
       caller_(caller),
       identity_(identity),
@@ -46,24 +46,24 @@
   hurry_.ring();  // the next read names it as known, and confirms it
 }
 
-void RegisterClient::follow(std::vector<std::string> const& seeds, loam::Span confirm_pause) {
+void RegisterClient::follow(std::vector<std::string> const& seeds, common::Span confirm_pause) {
   std::lock_guard<std::mutex> const guard(lock_);
   seeds_ = seeds;
   confirm_pause_ = confirm_pause;
 }
 
 void RegisterClient::look(
-    std::function<void(std::map<std::string, schema::Value> const&, loam::Moment)> const& looker) {
+    std::function<void(std::map<std::string, schema::Value> const&, common::Moment)> const& looker) {
   std::lock_guard<std::mutex> const guard(lock_);
   looker(confirm_.values(), confirm_.confirmed_from());
 }
 
 void RegisterClient::begin() {
-  loam::start(context_, [this](loam::Yield yield) {
+  common::start(context_, [this](common::Yield yield) {
     while (true) {
       // Counted before the read begins: who hurries it meanwhile wants a newer one.
       std::uint64_t const seen = hurry_.count();
-      loam::Span rest = constants::confirm_pause;
+      common::Span rest = constants::confirm_pause;
       if (set().epoch == 0) {
         discover(yield);
       } else {
@@ -106,14 +106,14 @@
   return found == confirm_.values().end() ? schema::Value{} : found->second;
 }
 
-loam::Moment RegisterClient::confirmed_from() {
+common::Moment RegisterClient::confirmed_from() {
   std::lock_guard<std::mutex> const guard(lock_);
   return confirm_.confirmed_from();
 }
 
-void RegisterClient::discover(loam::Yield yield) {
+void RegisterClient::discover(common::Yield yield) {
   ReadRound round;
-  round.began = loam::boot_now();
+  round.began = common::boot_now();
   std::vector<std::pair<std::string, schema::Message>> calls;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -124,7 +124,7 @@
       calls.emplace_back(colleague, schema::Read{0, {}, 0});
     }
   }
-  loam::Gather::run(
+  common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
       [this](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
@@ -144,7 +144,7 @@
 }
 
 void RegisterClient::record(ReadRound round) {
-  round.ended = loam::boot_now();
+  round.ended = common::boot_now();
   std::optional<ReadsEvent> event;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -198,10 +198,10 @@
   return done;
 }
 
-RegisterClient::ReadResult RegisterClient::read_once(loam::Yield yield) {
+RegisterClient::ReadResult RegisterClient::read_once(common::Yield yield) {
   std::vector<std::pair<std::string, schema::Message>> calls;
   ReadRound round;
-  round.began = loam::boot_now();
+  round.began = common::boot_now();
   {
     std::lock_guard<std::mutex> const guard(lock_);
     round.epoch = set_.epoch;
@@ -212,7 +212,7 @@
     }
   }
   ReadResult result;
-  loam::Gather::run(
+  common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
       [this, &round, &result](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         round.voters[index].reaction = answer.ok() ? reaction_of(*answer) : VoterReaction(VoterFailed{});
@@ -223,7 +223,7 @@
   return result;
 }
 
-bool RegisterClient::confirm_once(loam::Yield yield) {
+bool RegisterClient::confirm_once(common::Yield yield) {
   ReadResult const result = read_once(yield);
   schema::VoterSet const holders = set();
   for (consensus::MissingChosen const& value : result.missing) {
@@ -235,7 +235,7 @@
   // Someone's change is half done, and the voters don't spread it: a sure read settles it (section 5.6). The
   // next round then finds it at a majority. All trellises see it at the same time, and would take each other's
   // ballots: whose lot it is not looks again.
-  if (loam::random_number() % constants::settle_lots == 0) {
+  if (common::random_number() % constants::settle_lots == 0) {
     for (std::string const& name : result.unsettled) {
       settle(name);
     }
@@ -257,14 +257,14 @@
   if (!own_voter_.has_value() || !consensus::lacks(set().holders, half, own_voter_->incarnation())) {
     return;
   }
-  loam::start(context_, [this, half](loam::Yield yield) { spread_now(half, yield); });
+  common::start(context_, [this, half](common::Yield yield) { spread_now(half, yield); });
 }
 
-void RegisterClient::spread_now(consensus::HalfAccepted const& half, loam::Yield yield) {
+void RegisterClient::spread_now(consensus::HalfAccepted const& half, common::Yield yield) {
   std::optional<schema::Value> value = half.value;
   if (!value.has_value()) {
     value = fetch(half.name, consensus::NeededValue{half.accepted, half.digest, half.sources}, set(),
-                  loam::boot_now() + constants::transfer_patience, yield);
+                  common::boot_now() + constants::transfer_patience, yield);
   }
   if (!value.has_value()) {
     return;
@@ -284,8 +284,8 @@
       return;
     }
   }
-  loam::start(context_, [this, name](loam::Yield yield) {
-    loam::Moment const begun = loam::boot_now();
+  common::start(context_, [this, name](common::Yield yield) {
+    common::Moment const begun = common::boot_now();
     (void)change(
         name, [](schema::Value const&) -> consensus::Proposal { return consensus::Keep{}; }, constants::change_deadline,
         yield, [this, begun] { return confirmed_from() > begun; });
@@ -295,8 +295,8 @@
 }
 
 std::optional<schema::Value> RegisterClient::fetch(std::string const& name, consensus::NeededValue const& needed,
-                                                   schema::VoterSet const& holders, loam::Moment until,
-                                                   loam::Yield yield) {
+                                                   schema::VoterSet const& holders, common::Moment until,
+                                                   common::Yield yield) {
   transfers_.want(name, needed.digest, addresses_of(holders, needed.sources), std::nullopt);
   while (true) {
     std::uint64_t const seen = bell_.count();
@@ -309,7 +309,7 @@
         value = known->second;
       }
     }
-    loam::Span const left = until - loam::boot_now();
+    common::Span const left = until - common::boot_now();
     if (value.has_value() || left <= 0 || !under_way) {
       return value;
     }
@@ -318,17 +318,17 @@
 }
 
 RegisterClient::Result RegisterClient::change(std::string const& name, consensus::ProposalFunction propose,
-                                              loam::Span deadline, loam::Yield yield,
+                                              common::Span deadline, common::Yield yield,
                                               std::function<bool()> const& over) {
-  loam::Moment const until = loam::boot_now() + deadline;
-  consensus::Proposer core(name, loam::random_identity(), std::move(propose));
-  loam::Span range = constants::ballot_pause_most - constants::ballot_pause_least;
-  loam::Span longest_ballot = 0;
+  common::Moment const until = common::boot_now() + deadline;
+  consensus::Proposer core(name, common::random_identity(), std::move(propose));
+  common::Span range = constants::ballot_pause_most - constants::ballot_pause_least;
+  common::Span longest_ballot = 0;
   bool fetched = false;  // the next ballot goes on from a value that was fetched for it
-  while (loam::boot_now() < until && !(over && over())) {
+  while (common::boot_now() < until && !(over && over())) {
     schema::VoterSet const holders = set();
     if (holders.epoch == 0) {
-      loam::pause(context_, constants::confirm_pause, yield);
+      common::pause(context_, constants::confirm_pause, yield);
       continue;
     }
     {
@@ -341,13 +341,13 @@
       }
     }
     fetched = false;
-    loam::Moment const begun = loam::boot_now();
+    common::Moment const begun = common::boot_now();
     std::vector<ProposerAction> actions = core.begin(holders);
     std::optional<Result> result;
     bool again = false;
     // One that was frozen after its first round doesn't begin the second behind its deadline: whoever asked for the
     // change has given it up, and may have undone it through another trellis (section 4.2).
-    while (!result.has_value() && !again && !actions.empty() && loam::boot_now() < until) {
+    while (!result.has_value() && !again && !actions.empty() && common::boot_now() < until) {
       std::vector<std::pair<std::string, schema::Message>> calls;
       std::vector<std::uint64_t> incarnations;
       std::size_t bytes = 0;
@@ -361,10 +361,10 @@
         }
       }
       actions.clear();
-      loam::Span const patience =
-          std::min(constants::holder_deadline + static_cast<loam::Span>(bytes) * constants::holder_byte_span,
-                   std::max<loam::Span>(until - loam::boot_now(), 1000));
-      loam::Gather::run(
+      common::Span const patience =
+          std::min(constants::holder_deadline + static_cast<common::Span>(bytes) * constants::holder_byte_span,
+                   std::max<common::Span>(until - common::boot_now(), 1000));
+      common::Gather::run(
           context_, caller_, calls, patience,
           [&](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
             if (!answer.ok()) {
@@ -410,11 +410,11 @@
         continue;
       }
     }
-    longest_ballot = std::max(longest_ballot, loam::boot_now() - begun);
-    loam::pause(context_,
-                constants::ballot_pause_least +
-                    static_cast<loam::Span>(loam::random_number() % static_cast<std::uint64_t>(range)),
-                yield);
+    longest_ballot = std::max(longest_ballot, common::boot_now() - begun);
+    common::pause(context_,
+                  constants::ballot_pause_least +
+                      static_cast<common::Span>(common::random_number() % static_cast<std::uint64_t>(range)),
+                  yield);
     // Two that race over a long way take each other's ballots until one of
     // them waits for longer than the other's two rounds take.
     range = std::min(range * 2, std::max(constants::ballot_pause_longest, longest_ballot * 2));
@@ -422,4 +422,4 @@
   return Unknown{"no majority of holders answered in time"};
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
