--- a/source/trellis/register_client/register_transfers.cpp
+++ b/source/control_plane/register_client/register_transfers.cpp
@@ -1,12 +1,12 @@
-#include "trellis/register_client/register_transfers.hpp"
+#include "control_plane/register_client/register_transfers.hpp"
 
 #include <algorithm>
 
+#include "common/log/log.hpp"
+#include "common/wire/pack.hpp"
 #include "consensus/transfer/transfer_client.hpp"
-#include "loam/log/log.hpp"
-#include "loam/wire/pack.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 namespace {
 /// Transfers of one register at once: one that is read, and one that a change
@@ -14,7 +14,7 @@
 constexpr std::ptrdiff_t transfers_of_one_register = 2;
 }  // namespace
 
-RegisterTransfers::RegisterTransfers(boost::asio::io_context& context, loam::Caller& caller, Ended ended)
+RegisterTransfers::RegisterTransfers(boost::asio::io_context& context, common::Caller& caller, Ended ended)
     : context_(context), caller_(caller), ended_(std::move(ended)) {}
 
 void RegisterTransfers::want(std::string const& name, std::string const& digest,
@@ -38,7 +38,7 @@
     }
     under_way_.push_back(begun);
   }
-  loam::start(context_, [this, begun, addresses](loam::Yield yield) { run(begun, addresses, yield); });
+  common::start(context_, [this, begun, addresses](common::Yield yield) { run(begun, addresses, yield); });
 }
 
 bool RegisterTransfers::go_on(Transfer& transfer, consensus::ValueReceiver& receiver) {
@@ -52,7 +52,7 @@
 }
 
 void RegisterTransfers::run(std::shared_ptr<Transfer> const& transfer, std::vector<std::string> const& addresses,
-                            loam::Yield yield) {
+                            common::Yield yield) {
   consensus::ValueReceiver receiver(transfer->key, addresses);
   finish(transfer, consensus::run_transfer(
                        context_, caller_, receiver, [&] { return go_on(*transfer, receiver); }, yield));
@@ -61,7 +61,7 @@
 void RegisterTransfers::finish(std::shared_ptr<Transfer> const& transfer, std::optional<std::string> const& bytes) {
   absl::StatusOr<schema::Value> value = absl::NotFoundError("no source has it any more");
   if (bytes.has_value()) {
-    value = loam::unpack<schema::Value>(*bytes);
+    value = common::unpack<schema::Value>(*bytes);
   }
   std::optional<schema::Ballot> chosen;
   {
@@ -73,8 +73,8 @@
     }
   }
   if (value.ok()) {
-    loam::note(loam::Event::ValueFetched, transfer->key.name + " revision " + std::to_string(value->revision) + ", " +
-                                              std::to_string(bytes->size()) + " bytes");
+    common::note(common::Event::ValueFetched, transfer->key.name + " revision " + std::to_string(value->revision) +
+                                                  ", " + std::to_string(bytes->size()) + " bytes");
   }
   ended_(transfer->key.name, value.ok() ? std::optional<schema::Value>(*value) : std::nullopt, chosen);
 }
@@ -109,4 +109,4 @@
   return left;
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/register_client/register_transfers.hpp
+++ b/source/control_plane/register_client/register_transfers.hpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
+#include "common/net/net.hpp"
 #include "consensus/transfer/value_receiver.hpp"
-#include "loam/net/net.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
 /// Fetches values of registers that were too large for an answer, in pieces
 /// (section 5.9), each in a coroutine of its own. A transfer under way is not
@@ -24,7 +24,7 @@
   using Ended = std::function<void(std::string const& name, std::optional<schema::Value> const& value,
                                    std::optional<schema::Ballot> const& chosen)>;
 
-  RegisterTransfers(boost::asio::io_context& context, loam::Caller& caller, Ended ended);
+  RegisterTransfers(boost::asio::io_context& context, common::Caller& caller, Ended ended);
 
   /// Starts fetching the value, or adds sources to the transfer under way.
   /// `chosen`: the ballot under which a majority named it, so that it may be told
@@ -50,17 +50,17 @@
     std::string digest;
     schema::Value value;
   };
-  void run(std::shared_ptr<Transfer> const& transfer, std::vector<std::string> const& addresses, loam::Yield yield);
+  void run(std::shared_ptr<Transfer> const& transfer, std::vector<std::string> const& addresses, common::Yield yield);
   /// Whether to go on; takes over new sources on the way.
   [[nodiscard]] bool go_on(Transfer& transfer, consensus::ValueReceiver& receiver);
   void finish(std::shared_ptr<Transfer> const& transfer, std::optional<std::string> const& bytes);
 
   boost::asio::io_context& context_;
-  loam::Caller& caller_;
+  common::Caller& caller_;
   Ended ended_;
   std::mutex lock_;
   std::vector<std::shared_ptr<Transfer>> under_way_;
   std::map<std::string, Fetched> fetched_;
 };
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/trellis/news/news.cpp
+++ b/source/control_plane/updates/updates.cpp
@@ -1,21 +1,21 @@
-#include "trellis/news/news.hpp"
+#include "control_plane/updates/updates.hpp"
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
-#include "loam/http/http.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
-#include "membership/copy/copy.hpp"
-#include "membership/responder/news_responder.hpp"
-#include "tilth/scaler/pools.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
+#include "common/http/http.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
+#include "membership/replica/replica.hpp"
+#include "membership/responder/update_responder.hpp"
+#include "scheduling/scaler/pools.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-News::News(boost::asio::io_context& context, loam::Caller& caller, RegisterClient& register_client,
+News::News(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
            AcceptorService* holder, schema::Settings const& settings, std::uint64_t identity, ListReader reader)
     : context_(context),
       caller_(caller),
@@ -23,18 +23,18 @@
       holder_(holder),
       settings_(settings),
       identity_(identity),
-      sessions_(self(), loam::milliseconds(static_cast<std::int64_t>(settings.bounds.session_bound_ms))),
+      sessions_(self(), common::milliseconds(static_cast<std::int64_t>(settings.bounds.session_bound_ms))),
       reader_(std::move(reader)) {}
 
 void News::follow(schema::Settings const& settings) {
   std::lock_guard<std::mutex> const guard(lock_);
   settings_ = settings;
-  sessions_.set_bound(loam::milliseconds(static_cast<std::int64_t>(settings.bounds.session_bound_ms)));
+  sessions_.set_bound(common::milliseconds(static_cast<std::int64_t>(settings.bounds.session_bound_ms)));
 }
 
-loam::Span News::bound(std::uint64_t schema::TimeBounds::*field) {
+common::Span News::bound(std::uint64_t schema::TimeBounds::*field) {
   std::lock_guard<std::mutex> const guard(lock_);
-  return loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.*field));
+  return common::milliseconds(static_cast<std::int64_t>(settings_.bounds.*field));
 }
 
 schema::TrellisEntry News::self() {
@@ -57,89 +57,89 @@
 }
 
 void News::begin() {
-  loam::start(context_, [this](loam::Yield yield) {
+  common::start(context_, [this](common::Yield yield) {
     while (true) {
       // A round of its own: one silent peer must not delay the next round to
       // the others, whose copies of our sessions would end meanwhile.
       announce(false);
-      loam::pause(context_, bound(&schema::TimeBounds::tell_pause_ms), yield);
+      common::pause(context_, bound(&schema::TimeBounds::tell_pause_ms), yield);
     }
   });
   if (!settings_.platform_address.empty()) {
-    loam::start(context_, [this](loam::Yield yield) {
+    common::start(context_, [this](common::Yield yield) {
       while (true) {
-        loam::Span const rest = list_rest();
-        loam::pause(context_, rest > 0 ? rest : read_platform(yield), yield);
+        common::Span const rest = list_rest();
+        common::pause(context_, rest > 0 ? rest : read_platform(yield), yield);
       }
     });
   }
 }
 
 void News::announce(bool confirm) {
-  loam::start(context_, [this, confirm](loam::Yield yield) { tell_colleagues(confirm, "", yield); });
+  common::start(context_, [this, confirm](common::Yield yield) { tell_colleagues(confirm, "", yield); });
 }
 
-void News::keep_list(schema::PlatformList const& list, loam::Moment as_of) {
+void News::keep_list(schema::PlatformList const& list, common::Moment as_of) {
   bool changed = false;
   {
     std::lock_guard<std::mutex> const guard(lock_);
     std::uint64_t const before = listing_.digest();
-    changed = listing_.keep(list, as_of, loam::boot_now()) && listing_.digest() != before;
+    changed = listing_.keep(list, as_of, common::boot_now()) && listing_.digest() != before;
   }
   if (changed) {
     register_.bell().ring();
   }
 }
 
-loam::Span News::list_rest() {
+common::Span News::list_rest() {
   std::lock_guard<std::mutex> const guard(lock_);
   if (!reader_) {
     return 0;
   }
   // Calls to the platform are priced: the first by name reads, and the others
   // are told; whoever misses that for long enough reads itself (section 13.4).
-  loam::Span rank = 0;
+  common::Span rank = 0;
   for (schema::TrellisEntry const& trellis : sessions_.trellises()) {
     rank += trellis.name < settings_.name && !trellis.leaving ? 1 : 0;
   }
-  loam::Span const pause = loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.list_pause_ms));
-  loam::Span const tell = loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms));
-  loam::Span const turn = rank == 0 ? pause : pause + tell + rank * constants::list_stagger;
-  loam::Span const age = listing_.age(loam::boot_now());
-  return age < 0 ? 0 : std::max<loam::Span>(turn - age, 0);
+  common::Span const pause = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.list_pause_ms));
+  common::Span const tell = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms));
+  common::Span const turn = rank == 0 ? pause : pause + tell + rank * constants::list_stagger;
+  common::Span const age = listing_.age(common::boot_now());
+  return age < 0 ? 0 : std::max<common::Span>(turn - age, 0);
 }
 
-absl::StatusOr<schema::PlatformList> News::read_own_list(std::string const& address, loam::Yield yield) {
-  loam::Ask ask{loam::http::verb::get, "/workers", 11};
-  absl::StatusOr<loam::Answer> const answer =
-      loam::ask_once(context_, address, ask, constants::list_deadline, constants::list_limit, yield);
+absl::StatusOr<schema::PlatformList> News::read_own_list(std::string const& address, common::Yield yield) {
+  common::Ask ask{common::http::verb::get, "/workers", 11};
+  absl::StatusOr<common::Answer> const answer =
+      common::ask_once(context_, address, ask, constants::list_deadline, constants::list_limit, yield);
   if (!answer.ok()) {
     return answer.status();
   }
-  if (answer->result() != loam::http::status::ok) {
-    return loam::defect(absl::StatusCode::kUnavailable, "list", "status " + std::to_string(answer->result_int()));
+  if (answer->result() != common::http::status::ok) {
+    return common::defect(absl::StatusCode::kUnavailable, "list", "status " + std::to_string(answer->result_int()));
   }
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(answer->body());
+  absl::StatusOr<common::Tree> const tree = common::read_tree(answer->body());
   if (!tree.ok()) {
     return tree.status();
   }
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   schema::PlatformList list;
   schema::read(tree->get(), "", list, faults);
   if (!faults.empty()) {
-    return loam::defect(absl::StatusCode::kDataLoss, "list", loam::describe(faults));
+    return common::defect(absl::StatusCode::kDataLoss, "list", common::describe(faults));
   }
   return list;
 }
 
-loam::Span News::read_platform(loam::Yield yield) {
-  loam::Moment const asked = loam::boot_now();
+common::Span News::read_platform(common::Yield yield) {
+  common::Moment const asked = common::boot_now();
   std::string address;
   {
     std::lock_guard<std::mutex> const guard(lock_);
     address = settings_.platform_address;
   }
-  loam::Span const pause = bound(&schema::TimeBounds::list_pause_ms);
+  common::Span const pause = bound(&schema::TimeBounds::list_pause_ms);
   absl::StatusOr<schema::PlatformList> const list =
       reader_ ? reader_(context_, address, constants::list_deadline, yield) : read_own_list(address, yield);
   if (list.ok()) {
@@ -151,7 +151,7 @@
     }
     return reader_ ? constants::bell_pause : pause;  // with a reader, list_rest() tells the rest
   }
-  loam::note(loam::Event::ListDefect, std::string(list.status().message()));
+  common::note(common::Event::ListDefect, std::string(list.status().message()));
   list_pause_after_defect_ = absl::IsResourceExhausted(list.status())
                                  ? std::min(std::max(pause, list_pause_after_defect_ * 2), constants::list_rest_most)
                                  : pause;
@@ -159,7 +159,7 @@
 }
 
 void News::keep_reports(schema::Member const& member, std::vector<schema::FurrowReport> const& reports,
-                        loam::Moment now) {
+                        common::Moment now) {
   for (schema::FurrowReport const& report : reports) {
     std::uint64_t& newest = newest_slice_[member.incarnation];
     if (report.slice <= newest) {
@@ -169,7 +169,7 @@
     reports_.push_back(Kept{member, report, now});
     fresh_reports_.push_back(schema::Session{member, 0, {report}});
   }
-  while (!reports_.empty() && now - reports_.front().at > loam::seconds(1)) {
+  while (!reports_.empty() && now - reports_.front().at > common::seconds(1)) {
     reports_.pop_front();
   }
   while (fresh_reports_.size() > 4096) {
@@ -198,7 +198,7 @@
   return more;
 }
 
-void News::add_reports(schema::Tell& tell, loam::Moment now) {
+void News::add_reports(schema::Tell& tell, common::Moment now) {
   std::map<std::uint64_t, std::size_t> places;
   for (std::size_t place = 0; place < tell.sessions.size(); ++place) {
     places[tell.sessions[place].member.incarnation] = place;
@@ -221,19 +221,19 @@
   }
 }
 
-void News::tell_colleagues(bool confirm, std::string const& only, loam::Yield yield) {
+void News::tell_colleagues(bool confirm, std::string const& only, common::Yield yield) {
   schema::Tell tell;
   std::vector<std::pair<std::string, schema::Message>> calls;
-  loam::Span patience = 0;
+  common::Span patience = 0;
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    loam::Moment const now = loam::boot_now();
+    common::Moment const now = common::boot_now();
     sessions_.set_self(self());
     for (std::string const& ended : sessions_.expire(now)) {
-      loam::note(loam::Event::SessionEnded, ended);
+      common::note(common::Event::SessionEnded, ended);
     }
     judge_members();
-    patience = loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms)) * 2;
+    patience = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms)) * 2;
     tell.from = sessions_.self();
     tell.others = sessions_.trellises();
     tell.list_digest = listing_.wanted();
@@ -259,8 +259,8 @@
       calls.emplace_back(address, std::move(told));
     }
   }
-  loam::Moment const sent = loam::boot_now();
-  loam::Gather::run(
+  common::Moment const sent = common::boot_now();
+  common::Gather::run(
       context_, caller_, calls, patience,
       [this, sent, &calls](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         {
@@ -276,8 +276,8 @@
             {
               std::lock_guard<std::mutex> const guard(lock_);
               changed = told->list_age >= 0 &&
-                        listing_.take(membership::list_news(*told), sent - told->list_age, loam::boot_now());
-              sessions_.met(told->from, loam::boot_now());
+                        listing_.take(membership::list_news(*told), sent - told->list_age, common::boot_now());
+              sessions_.met(told->from, common::boot_now());
               departing = judge_departures();
               known_there_[calls[index].first] = told->sessions_digest;
             }
@@ -295,7 +295,7 @@
 }
 
 schema::Message News::tell(schema::Tell const& tell) {
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   schema::Told told;
   bool fetch = false;
   bool departing = false;
@@ -310,7 +310,7 @@
     }
     // A colleague that tells of a newer list is asked for it: what it says of
     // its age counts only from when we asked (section 6.3).
-    loam::Span const age = listing_.age(now);
+    common::Span const age = listing_.age(now);
     membership::ListNews news = listing_.since(tell.list_digest);
     fetch = tell.list_age >= 0 && !news.same && (age < 0 || tell.list_age < age) && !fetching_;
     fetching_ = fetching_ || fetch;
@@ -329,7 +329,7 @@
     register_.hurry();
   }
   if (fetch) {  // not under the lock: a coroutine may begin at once
-    loam::start(context_, [this, address = tell.from.address](loam::Yield yield) {
+    common::start(context_, [this, address = tell.from.address](common::Yield yield) {
       tell_colleagues(false, address, yield);
       std::lock_guard<std::mutex> const done(lock_);
       fetching_ = false;
@@ -338,8 +338,8 @@
   return told;
 }
 
-schema::Message News::ask(schema::NewsAsk const& ask, loam::Yield yield) {
-  loam::Moment const arrival = loam::boot_now();
+schema::Message News::ask(schema::NewsAsk const& ask, common::Yield yield) {
+  common::Moment const arrival = common::boot_now();
   {
     std::lock_guard<std::mutex> const guard(pieces_lock_);
     sender_.expire(arrival);
@@ -351,7 +351,7 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     if (sessions_.heard(ask.member, arrival)) {
-      loam::note(loam::Event::SessionOpened, ask.member.name + " in " + ask.member.hall);
+      common::note(common::Event::SessionOpened, ask.member.name + " in " + ask.member.hall);
     }
     judge_members();
     keep_reports(ask.member, ask.reports, arrival);
@@ -364,7 +364,7 @@
   bool hurried = false;
   while (true) {
     std::uint64_t const seen = register_.bell().count();
-    loam::Moment const now = loam::boot_now();
+    common::Moment const now = common::boot_now();
     bool other_news = false;
     {
       std::lock_guard<std::mutex> const guard(lock_);
@@ -372,7 +372,7 @@
     }
     bool const rested = now - arrival >= constants::bell_pause;
     membership::NewsDecision verdict;
-    register_.look([&](std::map<std::string, schema::Value> const& values, loam::Moment confirmed_from) {
+    register_.look([&](std::map<std::string, schema::Value> const& values, common::Moment confirmed_from) {
       verdict = membership::decide_answer(ask, arrival, confirmed_from, values, other_news && rested, now, {}, bounds);
     });
     if (verdict.answer.has_value()) {
@@ -400,8 +400,8 @@
   answer.list_from = list.from;
   answer.list = std::move(list.list);
   answer.list_gone = std::move(list.gone);
-  answer.list_age = listing_.age(loam::boot_now());
-  answer.report_ms = tilth::report_ms_of(settings_);
+  answer.list_age = listing_.age(common::boot_now());
+  answer.report_ms = scheduling::report_ms_of(settings_);
   answer.reports_taken = newest_slice_[ask.member.incarnation];
   // Near ones first: bytes between regions and halls are paid for. Those that leave come last.
   constexpr int farthest = 3;
@@ -431,12 +431,12 @@
     return std::move(value.content);
   };
   std::lock_guard<std::mutex> const guard(pieces_lock_);
-  return sender_.answer(request, source, loam::boot_now());
+  return sender_.answer(request, source, common::boot_now());
 }
 
 std::vector<schema::Member> News::members() {
   std::lock_guard<std::mutex> const guard(lock_);
-  (void)sessions_.expire(loam::boot_now());
+  (void)sessions_.expire(common::boot_now());
   return sessions_.members();
 }
 std::vector<schema::TrellisEntry> News::trellises() {
@@ -456,9 +456,9 @@
   std::lock_guard<std::mutex> const guard(lock_);
   return listing_.digest();
 }
-loam::Span News::list_age() {
+common::Span News::list_age() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return listing_.age(loam::boot_now());
+  return listing_.age(common::boot_now());
 }
 
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/furrow/contents/content_fetcher.cpp
+++ b/source/data_plane/contents/content_fetcher.cpp
@@ -1,8 +1,8 @@
-#include "furrow/contents/content_fetcher.hpp"
+#include "data_plane/contents/content_fetcher.hpp"
 
 #include "consensus/transfer/transfer_client.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 void put_in(schema::NewsAnswer& answer, std::string const& name, std::uint64_t revision, std::string content) {
   std::erase_if(answer.news, [&name, revision](schema::NamedValue const& news) {
@@ -48,10 +48,10 @@
       return;
     }
   }
-  loam::start(context_, [this, begun](loam::Yield yield) { run(begun, yield); });
+  common::start(context_, [this, begun](common::Yield yield) { run(begun, yield); });
 }
 
-void ContentFetcher::run(std::shared_ptr<Transfer> const& transfer, loam::Yield yield) {
+void ContentFetcher::run(std::shared_ptr<Transfer> const& transfer, common::Yield yield) {
   consensus::ValueReceiver receiver(transfer->key, {});
   std::function<bool()> const go_on = [this, &transfer, &receiver] {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -73,4 +73,4 @@
   }
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/watch/watch.cpp
+++ b/source/data_plane/load_probe/load_probe.cpp
@@ -1,13 +1,13 @@
 #include <set>
 
-#include "furrow/news/news.hpp"
-#include "furrow/worker/contract.hpp"
-#include "loam/constants.hpp"
-#include "loam/http/http.hpp"
+#include "common/constants.hpp"
+#include "common/http/http.hpp"
+#include "data_plane/updates/updates.hpp"
+#include "data_plane/worker/contract.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 struct Watched {
@@ -16,9 +16,9 @@
 };
 
 /// Waits for the span, or until the other side closes the idle connection.
-bool closed_within(loam::Stream& stream, loam::Span span, loam::Yield yield) {
+bool closed_within(common::Stream& stream, common::Span span, common::Yield yield) {
   std::shared_ptr<bool> const waiting = std::make_shared<bool>(true);
-  boost::asio::steady_timer timer(yield.get_executor(), loam::duration(span));
+  boost::asio::steady_timer timer(yield.get_executor(), common::duration(span));
   timer.async_wait([waiting, &stream](boost::system::error_code const& error) {
     if (!error && *waiting) {
       stream.socket().cancel();
@@ -32,15 +32,15 @@
 }
 
 void watch(boost::asio::io_context& context, Field& field, std::string const& pool, std::string const& id,
-           std::string const& address, loam::Yield yield) {
-  std::unique_ptr<loam::Stream> stream;
+           std::string const& address, common::Yield yield) {
+  std::unique_ptr<common::Stream> stream;
   boost::beast::flat_buffer buffer;
   while (true) {
     bool wished = false;
     std::shared_ptr<Plan const> const plan = field.plan();
-    std::map<std::string, std::vector<tilth::WorkerWish>>::const_iterator const wishes = plan->wishes.find(pool);
+    std::map<std::string, std::vector<scheduling::WorkerWish>>::const_iterator const wishes = plan->wishes.find(pool);
     if (wishes != plan->wishes.end()) {
-      for (tilth::WorkerWish const& wish : wishes->second) {
+      for (scheduling::WorkerWish const& wish : wishes->second) {
         wished = wished || (wish.id == id && wish.address == address);
       }
     }
@@ -50,8 +50,8 @@
     std::optional<WorkerLoad> load;
     if (stream == nullptr) {
       buffer.clear();
-      absl::StatusOr<std::unique_ptr<loam::Stream>> fresh =
-          loam::connect(context, address, constants::load_pause, yield);
+      absl::StatusOr<std::unique_ptr<common::Stream>> fresh =
+          common::connect(context, address, constants::load_pause, yield);
       if (fresh.ok()) {
         stream = std::move(*fresh);
       }
@@ -62,18 +62,18 @@
         stream.reset();
       }
     }
-    loam::Moment const now = loam::boot_now();
-    field.with(pool, [&](tilth::Placement& placement) {
+    common::Moment const now = common::boot_now();
+    field.with(pool, [&](scheduling::Placement& placement) {
       return load.has_value() ? placement.load(id, load->running, load->waiting, load->boot, now)
                               : placement.load_missed(id, now);
     });
     if (stream == nullptr) {
-      loam::pause(context, constants::load_pause, yield);
+      common::pause(context, constants::load_pause, yield);
     } else if (closed_within(*stream, constants::load_pause, yield)) {
       // A worker that starts anew within one pause would look warm until the
       // next look; its closing connection tells at once (section 8.7).
       stream.reset();
-      field.with(pool, [&](tilth::Placement& placement) { return placement.lost(id, loam::boot_now()); });
+      field.with(pool, [&](scheduling::Placement& placement) { return placement.lost(id, common::boot_now()); });
     }
   }
 }
@@ -81,16 +81,16 @@
 
 void begin_watch(boost::asio::io_context& context, Field& field) {
   std::shared_ptr<Watched> const watched = std::make_shared<Watched>();
-  loam::start(context, [&context, &field, watched](loam::Yield yield) {
+  common::start(context, [&context, &field, watched](common::Yield yield) {
     while (true) {
       std::shared_ptr<Plan const> const plan = field.plan();
-      for (std::pair<std::string const, std::vector<tilth::WorkerWish>> const& pool : plan->wishes) {
-        for (tilth::WorkerWish const& wish : pool.second) {
+      for (std::pair<std::string const, std::vector<scheduling::WorkerWish>> const& pool : plan->wishes) {
+        for (scheduling::WorkerWish const& wish : pool.second) {
           std::string const key = pool.first + " " + wish.id + " " + wish.address;
           std::lock_guard<std::mutex> const guard(watched->lock);
           if (watched->addresses.insert(key).second) {
-            loam::start(context, [&context, &field, watched, key, name = pool.first, id = wish.id,
-                                  address = wish.address](loam::Yield inner) {
+            common::start(context, [&context, &field, watched, key, name = pool.first, id = wish.id,
+                                    address = wish.address](common::Yield inner) {
               watch(context, field, name, id, address, inner);
               std::lock_guard<std::mutex> const done(watched->lock);
               watched->addresses.erase(key);
@@ -98,9 +98,9 @@
           }
         }
       }
-      loam::pause(context, constants::load_pause, yield);
+      common::pause(context, constants::load_pause, yield);
     }
   });
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- /dev/null
+++ b/source/data_plane/main.cpp
@@ -0,0 +1,69 @@
+#include <memory>
+
+#include "common/constants.hpp"
+#include "common/process/process.hpp"
+#include "common/random/random.hpp"
+#include "data_plane/proxy_state/proxy_state.hpp"
+#include "data_plane/query/session.hpp"
+#include "data_plane/relay/relay_server.hpp"
+#include "data_plane/updates/updates.hpp"
+#include "platform/dialect.hpp"
+#include "platform/listing.hpp"
+#include "platform/notation.hpp"
+#include "platform/settings.hpp"
+
+int main(int count, char** values) {
+  using namespace finchlink;
+  std::unique_ptr<common::Caller> caller;
+  std::unique_ptr<data_plane::Field> field;
+  std::unique_ptr<data_plane::Station> station;
+  common::Daemon daemon;
+  daemon.program = "furrow";
+  daemon.needed = {"name", "hall", "http_address", "seeds"};
+  daemon.settings_path = platform::settings_path;
+  daemon.read_settings = platform::read_settings;
+  daemon.begin = [&](boost::asio::io_context& context, schema::Settings const& settings) -> absl::Status {
+    if (platform::settings_path().has_value()) {
+      data_plane::ListReader const reader = [&context](std::string const& address, common::Yield yield) {
+        return platform::read_list(context, address, common::constants::list_deadline, yield);
+      };
+      station = std::make_unique<data_plane::Station>(context, settings, platform::dialect(), platform::notation(),
+                                                      reader, common::random_identity());
+      return station->begin();
+    }
+    if (settings.relay) {
+      if (settings.threads != 1) {
+        return absl::InvalidArgumentError("/threads must be 1 for a relay");
+      }
+      station =
+          std::make_unique<data_plane::Station>(context, settings, data_plane::own_dialect(), config::own_notation(),
+                                                data_plane::ListReader(), common::random_identity());
+      return station->begin();
+    }
+    caller = std::make_unique<common::Caller>(context);
+    field = std::make_unique<data_plane::Field>(context, settings, common::random_identity());
+    absl::Status const status = common::listen(
+        context, settings.http_address, settings.connections,
+        [&field](common::Stream& stream, common::Yield yield) { data_plane::serve_caller(*field, stream, yield); });
+    if (!status.ok()) {
+      return status;
+    }
+    data_plane::begin_news(context, *caller, *field, settings.seeds);
+    data_plane::begin_watch(context, *field);
+    return absl::OkStatus();
+  };
+  daemon.drain = [&](common::Moment) {
+    if (station != nullptr) {
+      station->drain();
+    } else {
+      field->drain();
+    }
+  };
+  daemon.busy = [&] { return station != nullptr ? station->busy() : field->busy(); };
+  daemon.changed = [&](schema::Settings const& settings) {
+    if (station != nullptr) {
+      station->renew(settings);
+    }
+  };
+  return common::run_daemon(daemon, count, values);
+}
--- a/source/furrow/gauge/gauge.cpp
+++ b/source/data_plane/metrics/metrics.cpp
@@ -1,8 +1,8 @@
-#include "furrow/gauge/gauge.hpp"
+#include "data_plane/metrics/metrics.hpp"
 
 #include <sstream>
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 void Gauges::count(std::string const& name, std::string const& labels, double amount) {
   std::lock_guard<std::mutex> const guard(lock_);
@@ -44,4 +44,4 @@
   return text.str();
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/gauge/gauge.hpp
+++ b/source/data_plane/metrics/metrics.hpp
@@ -6,7 +6,7 @@
 #include <mutex>
 #include <string>
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// Counters and histograms in the text form that scrapers read.
 class Gauges {
@@ -28,4 +28,4 @@
   std::map<std::string, std::map<std::string, Histogram>> histograms_;
 };
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/field/field.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -1,17 +1,17 @@
-#include "furrow/field/field.hpp"
+#include "data_plane/proxy_state/proxy_state.hpp"
 
 #include <algorithm>
 
+#include "common/constants.hpp"
+#include "common/invariant/invariant.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
 #include "config/setup/setup.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/constants.hpp"
-#include "loam/invariant/invariant.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 Field::Field(boost::asio::io_context& context, schema::Settings const& settings, std::uint64_t identity)
     : context_(context), settings_(settings), identity_(identity), plan_(std::make_shared<Plan const>()) {}
@@ -21,30 +21,30 @@
   return plan_;
 }
 
-void Field::take(schema::NewsAnswer const& answer, loam::Moment asked) {
+void Field::take(schema::NewsAnswer const& answer, common::Moment asked) {
   bool changed = false;
   {
     std::lock_guard<std::mutex> const guard(plan_lock_);
     std::shared_ptr<Plan> const next = std::make_shared<Plan>(*plan_);
-    for (schema::NamedValue const& news : vouch_.take(answer, asked, loam::boot_now())) {
+    for (schema::NamedValue const& news : vouch_.take(answer, asked, common::boot_now())) {
       if (news.name == consensus::setup_register) {
         config::SetupReading const reading = config::read_setup(news.content);
-        loam::check(loam::Invariant::chosen_content_readable, news.content.empty() || reading.good(), [&] {
-          return "setup revision " + std::to_string(news.revision) + ": " + loam::describe(reading.faults);
+        common::check(common::Invariant::chosen_content_readable, news.content.empty() || reading.good(), [&] {
+          return "setup revision " + std::to_string(news.revision) + ": " + common::describe(reading.faults);
         });
         next->setup = reading.setup;
         next->has_setup = !news.content.empty();  // an id given up before the first setup leaves none
         next->decided = news.revision;
-        loam::note(loam::Event::RevisionAdopted, "setup revision " + std::to_string(news.revision));
+        common::note(common::Event::RevisionAdopted, "setup revision " + std::to_string(news.revision));
       } else if (news.name.rfind("split/", 0) == 0) {
-        absl::StatusOr<loam::Tree> const tree = loam::read_tree(news.content);
-        std::vector<loam::Fault> faults;
+        absl::StatusOr<common::Tree> const tree = common::read_tree(news.content);
+        std::vector<common::Fault> faults;
         schema::Split split;
         if (tree.ok()) {
           schema::read(tree->get(), "", split, faults);
           next->splits[news.name.substr(6)] = split;
         }
-        loam::note(loam::Event::RevisionAdopted, news.name + " revision " + std::to_string(news.revision));
+        common::note(common::Event::RevisionAdopted, news.name + " revision " + std::to_string(news.revision));
       }
     }
     next->held = vouch_.held();
@@ -54,7 +54,7 @@
     if (vouch_.list_newer()) {
       next->list = answer.list;
     }
-    tilth::derive(*next, settings_.name, settings_.hall);
+    scheduling::derive(*next, settings_.name, settings_.hall);
     changed = next->decided != plan_->decided || next->allowed != plan_->allowed;
     plan_ = next;
   }
@@ -67,52 +67,52 @@
   }
 }
 
-bool Field::vouched(loam::Moment now) {
+bool Field::vouched(common::Moment now) {
   std::lock_guard<std::mutex> const guard(plan_lock_);
   return vouch_.vouched(now) && plan_->has_setup;
 }
 
-bool Field::list_fresh(loam::Moment now) {
+bool Field::list_fresh(common::Moment now) {
   std::lock_guard<std::mutex> const guard(plan_lock_);
   return vouch_.list_fresh(now) ||
          (plan_->has_setup && plan_->setup.stale_list == "keep" && !plan_->list.workers.empty());
 }
 
-bool Field::may_dispatch(std::string const& rule, std::string const& worker, loam::Moment now) {
+bool Field::may_dispatch(std::string const& rule, std::string const& worker, common::Moment now) {
   if (!vouched(now) || !list_fresh(now)) {
     return false;
   }
-  return tilth::may_go(*plan(), rule, worker);
+  return scheduling::may_go(*plan(), rule, worker);
 }
 
 void Field::reconcile() {
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   bool const good = vouched(now);
   bool const fresh = list_fresh(now);
   if (good != was_vouched_) {
     was_vouched_ = good;
-    loam::note(good ? loam::Event::VouchRegained : loam::Event::VouchLost, "");
+    common::note(good ? common::Event::VouchRegained : common::Event::VouchLost, "");
   }
   if (fresh != was_fresh_) {
     was_fresh_ = fresh;
     if (!fresh) {
-      loam::note(loam::Event::ListStale, "");
+      common::note(common::Event::ListStale, "");
     }
   }
   std::shared_ptr<Plan const> const current = plan();
   for (std::string const pool : {"model", "plain"}) {
-    std::vector<tilth::WorkerWish> wishes;
-    std::map<std::string, std::vector<tilth::WorkerWish>>::const_iterator const found = current->wishes.find(pool);
+    std::vector<scheduling::WorkerWish> wishes;
+    std::map<std::string, std::vector<scheduling::WorkerWish>>::const_iterator const found = current->wishes.find(pool);
     if (found != current->wishes.end()) {
       wishes = found->second;
     }
-    for (tilth::WorkerWish& wish : wishes) {
+    for (scheduling::WorkerWish& wish : wishes) {
       wish.usable = wish.usable && good && fresh;
     }
-    with(pool, [&](tilth::Placement& placement) {
-      std::vector<tilth::PlacementAction> actions =
+    with(pool, [&](scheduling::Placement& placement) {
+      std::vector<scheduling::PlacementAction> actions =
           placement.update(wishes, current->setup.workers, current->setup.scaler, current->furrows_here, now);
-      std::vector<tilth::PlacementAction> const more = placement.tick(now);
+      std::vector<scheduling::PlacementAction> const more = placement.tick(now);
       actions.insert(actions.end(), more.begin(), more.end());
       return actions;
     });
@@ -124,14 +124,14 @@
 }
 
 void Field::with(std::string const& pool,
-                 std::function<std::vector<tilth::PlacementAction>(tilth::Placement&)> const& step) {
+                 std::function<std::vector<scheduling::PlacementAction>(scheduling::Placement&)> const& step) {
   Shard& part = shard(pool);
-  std::vector<tilth::PlacementAction> actions;
+  std::vector<scheduling::PlacementAction> actions;
   {
     std::lock_guard<std::mutex> const guard(part.lock);
     actions = step(part.placement);
   }
-  for (tilth::PlacementAction const& action : actions) {
+  for (scheduling::PlacementAction const& action : actions) {
     std::uint64_t const ticket = std::visit([](auto const& entry) { return entry.ticket; }, action);
     std::shared_ptr<Seat> waiting;
     {
@@ -161,17 +161,17 @@
   seats_.erase(ticket);
 }
 
-bool Field::retry(std::string const& rule, loam::Moment now) {
+bool Field::retry(std::string const& rule, common::Moment now) {
   std::vector<std::string> furrows;
   for (schema::Member const& member : plan()->members) {
     furrows.push_back(member.name);
   }
-  bool const keeps = tilth::keeps_right(rule, settings_.name, furrows);
+  bool const keeps = scheduling::keeps_right(rule, settings_.name, furrows);
   std::lock_guard<std::mutex> const guard(services_lock_);
   return services_[rule].budget.take(now, keeps);
 }
 
-void Field::arrived(std::string const& rule, loam::Moment now) {
+void Field::arrived(std::string const& rule, common::Moment now) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   services_[rule].budget.arrived(now);
 }
@@ -266,11 +266,11 @@
     std::lock_guard<std::mutex> const guard(part->lock);
     std::vector<std::string> const warm = part->placement.warm();
     member.warm.insert(member.warm.end(), warm.begin(), warm.end());
-    if (!draining_ && part->placement.room(loam::boot_now())) {
+    if (!draining_ && part->placement.room(common::boot_now())) {
       member.rooms.push_back(part == &model_ ? "model" : "plain");
     }
   }
   return member;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/field/field.hpp
+++ b/source/data_plane/proxy_state/proxy_state.hpp
@@ -6,24 +6,24 @@
 #include <mutex>
 #include <string>
 
-#include "furrow/gauge/gauge.hpp"
-#include "loam/net/net.hpp"
-#include "loam/settings/settings.hpp"
+#include "common/net/net.hpp"
+#include "common/settings/settings.hpp"
+#include "data_plane/metrics/metrics.hpp"
 #include "membership/freshness/freshness_lease.hpp"
-#include "tilth/budget/budget.hpp"
-#include "tilth/placement/placement.hpp"
-#include "tilth/plan/plan.hpp"
+#include "scheduling/placement/placement.hpp"
+#include "scheduling/plan/plan.hpp"
+#include "scheduling/retry_budget/retry_budget.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-using tilth::Plan;
-using tilth::pool_of;
+using scheduling::Plan;
+using scheduling::pool_of;
 
 /// Where a query waits for its worker; filled on the query's own strand.
 struct Seat {
   explicit Seat(boost::asio::any_io_executor const& executor) : timer(executor) {}
   boost::asio::steady_timer timer;
-  std::optional<tilth::PlacementAction> action;
+  std::optional<scheduling::PlacementAction> action;
 };
 
 /// The state of one furrow: the plan, the vouch, and the shards of placement,
@@ -34,22 +34,23 @@
 
   [[nodiscard]] std::shared_ptr<Plan const> plan();
   /// Takes what a trellis told; `asked` is when the ask was sent.
-  void take(schema::NewsAnswer const& answer, loam::Moment asked);
+  void take(schema::NewsAnswer const& answer, common::Moment asked);
   /// May new queries be taken, and may bytes go to workers? Asked again right
   /// before each use (section 6.2, 6.3).
-  [[nodiscard]] bool vouched(loam::Moment now);
-  [[nodiscard]] bool list_fresh(loam::Moment now);
-  [[nodiscard]] bool may_dispatch(std::string const& rule, std::string const& worker, loam::Moment now);
+  [[nodiscard]] bool vouched(common::Moment now);
+  [[nodiscard]] bool list_fresh(common::Moment now);
+  [[nodiscard]] bool may_dispatch(std::string const& rule, std::string const& worker, common::Moment now);
   /// Compares wishes with what is; runs now and then and after news.
   void reconcile();
 
   /// Runs `step` on the pool's placement and hands its actions to their seats.
-  void with(std::string const& pool, std::function<std::vector<tilth::PlacementAction>(tilth::Placement&)> const& step);
+  void with(std::string const& pool,
+            std::function<std::vector<scheduling::PlacementAction>(scheduling::Placement&)> const& step);
   [[nodiscard]] std::uint64_t seat(std::shared_ptr<Seat> const& seat);
   void leave(std::uint64_t ticket);
 
-  [[nodiscard]] bool retry(std::string const& rule, loam::Moment now);
-  void arrived(std::string const& rule, loam::Moment now);
+  [[nodiscard]] bool retry(std::string const& rule, common::Moment now);
+  void arrived(std::string const& rule, common::Moment now);
   /// Counts queries per rule against the rule's bound.
   [[nodiscard]] bool open_query(std::string const& rule, std::uint64_t bound);
   void close_query(std::string const& rule);
@@ -75,10 +76,10 @@
  private:
   struct Shard {
     std::mutex lock;
-    tilth::Placement placement;
+    scheduling::Placement placement;
   };
   struct Service {
-    tilth::Budget budget;
+    scheduling::Budget budget;
     std::uint64_t open = 0;
     double outputs = 64;
   };
@@ -107,4 +108,4 @@
   Gauges gauges_;
 };
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -1,25 +1,25 @@
-#include "furrow/query/query.hpp"
+#include "data_plane/query/query.hpp"
 
 #include <sys/socket.h>
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
 
+#include "common/constants.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
+#include "common/random/random.hpp"
 #include "config/label/selector.hpp"
-#include "furrow/query/reply.hpp"
-#include "furrow/worker/contract.hpp"
-#include "loam/constants.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
-#include "loam/random/random.hpp"
-#include "tilth/chart/chart.hpp"
-#include "tilth/fit/fit.hpp"
+#include "data_plane/query/reply.hpp"
+#include "data_plane/worker/contract.hpp"
+#include "scheduling/fit/fit.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
-namespace http = loam::http;
+namespace constants = common::constants;
+namespace http = common::http;
 using boost::system::error_code;
 
 namespace {
@@ -34,7 +34,7 @@
   [[nodiscard]] bool set() const { return gone || late; }
 };
 
-void watch_caller(std::shared_ptr<Interrupt> const& interrupt, loam::Stream& caller) {
+void watch_caller(std::shared_ptr<Interrupt> const& interrupt, common::Stream& caller) {
   caller.socket().async_wait(asio::ip::tcp::socket::wait_read, [interrupt, &caller](error_code const& error) {
     if (interrupt->over || error) {
       return;
@@ -57,25 +57,25 @@
 
 class Query {
  public:
-  Query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, loam::Stream& caller, loam::Yield yield)
+  Query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller, common::Yield yield)
       : field_(field),
         plan_(std::move(plan)),
         facts_(std::move(facts)),
         caller_(caller),
         yield_(yield),
         interrupt_(std::make_shared<Interrupt>()),
-        began_(loam::boot_now()),
+        began_(common::boot_now()),
         serve_(facts_.serve),
         rule_(plan_->setup.rules.at(serve_.rule)),
-        deadline_(began_ + loam::milliseconds(static_cast<std::int64_t>(rule_.deadline_ms))),
-        chart_(terms(), [this](loam::Moment now) { return field_.retry(serve_.rule, now); }) {}
+        deadline_(began_ + common::milliseconds(static_cast<std::int64_t>(rule_.deadline_ms))),
+        chart_(terms(), [this](common::Moment now) { return field_.retry(serve_.rule, now); }) {}
 
   bool run(bool pipelined) {
     if (!facts_.passed) {
       field_.arrived(serve_.rule, began_);
     }
     std::shared_ptr<asio::steady_timer> const timer =
-        std::make_shared<asio::steady_timer>(yield_.get_executor(), loam::duration(deadline_ - began_));
+        std::make_shared<asio::steady_timer>(yield_.get_executor(), common::duration(deadline_ - began_));
     timer->async_wait([interrupt = interrupt_, timer](error_code const& error) {
       if (!error && !interrupt->over) {
         interrupt->late = true;
@@ -90,14 +90,14 @@
     }
     schema::WorkerBounds const& bounds = plan_->setup.workers;
     tokens_ = std::max(1.0, static_cast<double>(facts_.body.size()) / bounds.bytes_per_token);
-    chain_ = tilth::block_chain(
+    chain_ = scheduling::block_chain(
         facts_.body, static_cast<std::size_t>(static_cast<double>(bounds.block_tokens) * bounds.bytes_per_token));
     perform(chart_.begin());
     while (!chart_.settled()) {
       if (interrupt_->gone) {
-        feed(tilth::CallerGone{});
+        feed(scheduling::CallerGone{});
       } else if (interrupt_->late) {
-        feed(tilth::DeadlinePassed{});
+        feed(scheduling::DeadlinePassed{});
       } else if (pass_next_) {
         pass_next_ = false;
         pass_on();
@@ -105,7 +105,7 @@
         place_next_ = false;
         dispatch();
       } else {
-        feed(tilth::WorkerDefect{"internal"});  // no state of the chart leads here
+        feed(scheduling::WorkerDefect{"internal"});  // no state of the chart leads here
         break;
       }
     }
@@ -113,19 +113,20 @@
     timer->cancel();
     error_code ignored;
     caller_.socket().cancel(ignored);
-    std::string const how =
-        std::holds_alternative<tilth::Settled>(chart_.state()) ? std::get<tilth::Settled>(chart_.state()).how : "open";
+    std::string const how = std::holds_alternative<scheduling::Settled>(chart_.state())
+                                ? std::get<scheduling::Settled>(chart_.state()).how
+                                : "open";
     field_.gauges().count("furrow_queries_total", "rule=\"" + serve_.rule + "\",outcome=\"" + how + "\"");
     if (how == "complete") {
       field_.gauges().observe("furrow_query_seconds", "rule=\"" + serve_.rule + "\"",
-                              static_cast<double>(loam::boot_now() - began_) / 1e6);
+                              static_cast<double>(common::boot_now() - began_) / 1e6);
     }
     return keep_;
   }
 
  private:
-  [[nodiscard]] tilth::QueryTerms terms() const {
-    tilth::QueryTerms terms;
+  [[nodiscard]] scheduling::QueryTerms terms() const {
+    scheduling::QueryTerms terms;
     terms.repeatable = rule_.repeatable;
     terms.resumable = rule_.resumable;
     terms.stream = rule_.stream;
@@ -137,11 +138,11 @@
   /// Section 9.7: what was decided by an earlier plan is decided anew by the
   /// one in force. True: what it may do or where it may go is another now.
   bool follow_plan() {
-    tilth::Footing footing{plan_, serve_, rule_, home_};
-    tilth::Header const header{
+    scheduling::Footing footing{plan_, serve_, rule_, home_};
+    scheduling::Header const header{
         std::string(facts_.header.method_string()), facts_.target.substr(0, facts_.target.find('?')),
         [this](std::string const& name) { return std::string(facts_.header[name]); }, facts_.body.size()};
-    tilth::Followed const followed = tilth::follow(footing, field_.plan(), header);
+    scheduling::Followed const followed = scheduling::follow(footing, field_.plan(), header);
     plan_ = footing.plan;
     serve_ = footing.serve;
     rule_ = footing.rule;
@@ -152,54 +153,54 @@
     return followed.changed;
   }
 
-  void feed(tilth::QueryMessage const& message) { perform(chart_.advance(message, loam::boot_now())); }
+  void feed(scheduling::QueryMessage const& message) { perform(chart_.advance(message, common::boot_now())); }
 
-  void perform(std::vector<tilth::QueryAction> const& actions) {
-    for (tilth::QueryAction const& action : actions) {
+  void perform(std::vector<scheduling::QueryAction> const& actions) {
+    for (scheduling::QueryAction const& action : actions) {
       std::visit([this](auto const& entry) { act(entry); }, action);
     }
   }
 
-  void act(tilth::Place const& place) {
+  void act(scheduling::Place const& place) {
     place_next_ = true;
     if (place.again) {
       field_.gauges().count("furrow_retries_total", "rule=\"" + serve_.rule + "\"");
     }
   }
-  void act(tilth::PassOn const&) { pass_next_ = true; }
-  void act(tilth::SendHome const&) {
-    loam::Answer answer = send_home(*plan_, home_, facts_.id, facts_.target);
+  void act(scheduling::PassOn const&) { pass_next_ = true; }
+  void act(scheduling::SendHome const&) {
+    common::Answer answer = send_home(*plan_, home_, facts_.id, facts_.target);
     write_answer(answer);
   }
-  void act(tilth::Forward const&) { write_event(); }
-  void act(tilth::Deliver const&) { write_answer(whole_); }
-  void act(tilth::Refuse const& refuse) {
-    loam::Answer answer = refusal(facts_.id, refuse.reason, expected_seconds_);
+  void act(scheduling::Forward const&) { write_event(); }
+  void act(scheduling::Deliver const&) { write_answer(whole_); }
+  void act(scheduling::Refuse const& refuse) {
+    common::Answer answer = refusal(facts_.id, refuse.reason, expected_seconds_);
     write_answer(answer);
   }
-  void act(tilth::Apologise const& apologise) {
-    loam::Answer answer = apology(facts_.id, apologise.status, apologise.reason, apologise.may_have_run);
+  void act(scheduling::Apologise const& apologise) {
+    common::Answer answer = apology(facts_.id, apologise.status, apologise.reason, apologise.may_have_run);
     write_answer(answer);
   }
-  void act(tilth::EndBroken const& broken) {
-    loam::note(loam::Event::QueryCut, facts_.id + " " + broken.reason);
-    loam::Tree object(cJSON_CreateObject());
+  void act(scheduling::EndBroken const& broken) {
+    common::note(common::Event::QueryCut, facts_.id + " " + broken.reason);
+    common::Tree object(cJSON_CreateObject());
     cJSON_AddStringToObject(object.get(), "error", broken.reason.c_str());
     cJSON_AddStringToObject(object.get(), "query", facts_.id.c_str());
     cJSON_AddBoolToObject(object.get(), "may_have_run", 1);
     // An error event, and no closing chunk: nobody can take this for whole.
-    std::string const text = "event: error\ndata: " + loam::print_tree(object.get()) + "\n\n";
+    std::string const text = "event: error\ndata: " + common::print_tree(object.get()) + "\n\n";
     (void)write_chunk(text);
     keep_ = false;
   }
-  void act(tilth::Abandon const&) { keep_ = false; }
+  void act(scheduling::Abandon const&) { keep_ = false; }
 
-  void write_answer(loam::Answer& answer) {
+  void write_answer(common::Answer& answer) {
     error_code error;
     answer.set(query_header, facts_.id);
     answer.keep_alive(facts_.keep);
     answer.prepare_payload();
-    caller_.expires_after(loam::duration(constants::write_deadline));
+    caller_.expires_after(common::duration(constants::write_deadline));
     http::async_write(caller_, answer, yield_[error]);
     caller_.expires_never();
     keep_ = facts_.keep && !error;
@@ -207,7 +208,7 @@
 
   bool write_chunk(std::string const& text) {
     error_code error;
-    caller_.expires_after(loam::duration(constants::write_deadline));
+    caller_.expires_after(common::duration(constants::write_deadline));
     asio::async_write(caller_, http::make_chunk(asio::buffer(text)), yield_[error]);
     caller_.expires_never();
     return !error;
@@ -218,7 +219,7 @@
     if (!header_sent_) {
       header_sent_ = true;
       field_.gauges().observe("furrow_first_event_seconds", "rule=\"" + serve_.rule + "\"",
-                              static_cast<double>(loam::boot_now() - began_) / 1e6);
+                              static_cast<double>(common::boot_now() - began_) / 1e6);
       http::response<http::empty_body> header{http::status::ok, 11};
       header.set(http::field::content_type, "text/event-stream");
       header.set(http::field::cache_control, "no-store");
@@ -226,14 +227,14 @@
       header.keep_alive(facts_.keep);
       header.chunked(true);
       http::response_serializer<http::empty_body> serializer(header);
-      caller_.expires_after(loam::duration(constants::write_deadline));
+      caller_.expires_after(common::duration(constants::write_deadline));
       http::async_write_header(caller_, serializer, yield_[error]);
     }
     std::string const text = "id: " + std::to_string(event_.number) +
                              "\nevent: " + (event_.last ? "complete" : "token") + "\ndata: " + event_.raw + "\n\n";
     bool good = !error && write_chunk(text);
     if (good && event_.last) {
-      caller_.expires_after(loam::duration(constants::write_deadline));
+      caller_.expires_after(common::duration(constants::write_deadline));
       asio::async_write(caller_, http::make_chunk_last(), yield_[error]);
       caller_.expires_never();
       keep_ = facts_.keep && !error;
@@ -244,24 +245,25 @@
   }
 
   /// Waits for a place; nothing when interrupted.
-  std::optional<tilth::PlacementAction> wait_for_place(std::uint64_t& ticket_id) {
+  std::optional<scheduling::PlacementAction> wait_for_place(std::uint64_t& ticket_id) {
     std::shared_ptr<Seat> const seat = std::make_shared<Seat>(yield_.get_executor());
     seat->timer.expires_at(std::chrono::steady_clock::time_point::max());
     ticket_id = field_.seat(seat);
-    tilth::Ticket ticket;
+    scheduling::Ticket ticket;
     ticket.id = ticket_id;
     ticket.rule = serve_.rule;
-    ticket.allowed = tilth::allowed_for(*plan_, serve_.rule);
+    ticket.allowed = scheduling::allowed_for(*plan_, serve_.rule);
     ticket.chain = chain_;
     ticket.tokens = tokens_;
     ticket.outputs = field_.outputs(serve_.rule);
     ticket.phase =
-        tilth::wanted_phase(*plan_, rule_.kind, paired(), leg_ == Leg::decode, ticket.tokens, ticket.outputs);
+        scheduling::wanted_phase(*plan_, rule_.kind, paired(), leg_ == Leg::decode, ticket.tokens, ticket.outputs);
     phase_ = ticket.phase;
     ticket.deadline = deadline_;
     ticket.begun = !kv_.empty();
     ticket.waitlist_bound = rule_.waitlist;
-    field_.with(pool(), [&ticket](tilth::Placement& placement) { return placement.enqueue(ticket, loam::boot_now()); });
+    field_.with(pool(),
+                [&ticket](scheduling::Placement& placement) { return placement.enqueue(ticket, common::boot_now()); });
     interrupt_->wake = [seat] { seat->timer.cancel(); };
     bool stale = false;
     while (!seat->action.has_value() && !interrupt_->set() && !stale) {
@@ -286,11 +288,12 @@
   }
 
   void cancel_ticket(std::uint64_t ticket) {
-    field_.with(pool(), [ticket](tilth::Placement& placement) { return placement.cancel(ticket, loam::boot_now()); });
+    field_.with(pool(),
+                [ticket](scheduling::Placement& placement) { return placement.cancel(ticket, common::boot_now()); });
   }
-  void finish_ticket(std::uint64_t ticket, tilth::Ending ending) {
-    field_.with(pool(), [ticket, ending](tilth::Placement& placement) {
-      return placement.finished(ticket, ending, loam::boot_now());
+  void finish_ticket(std::uint64_t ticket, scheduling::Ending ending) {
+    field_.with(pool(), [ticket, ending](scheduling::Placement& placement) {
+      return placement.finished(ticket, ending, common::boot_now());
     });
   }
 
@@ -300,16 +303,16 @@
     // Asked again right before bytes go out: the wait may have been long, or
     // this machine frozen (sections 6.3 and 9.7).
     bool const changed = follow_plan();
-    if (!changed && field_.may_dispatch(serve_.rule, go_.worker, loam::boot_now())) {
+    if (!changed && field_.may_dispatch(serve_.rule, go_.worker, common::boot_now())) {
       return false;
     }
     withdraw(ticket);
     return true;
   }
   void withdraw(std::uint64_t ticket) {
-    finish_ticket(ticket, tilth::Ending::abandoned);
+    finish_ticket(ticket, scheduling::Ending::abandoned);
     field_.reconcile();
-    feed(tilth::Withdrawn{});
+    feed(scheduling::Withdrawn{});
   }
 
   void dispatch() {
@@ -323,57 +326,57 @@
       leg_ = Leg::decode;
     }
     std::uint64_t ticket = 0;
-    std::optional<tilth::PlacementAction> const place = wait_for_place(ticket);
+    std::optional<scheduling::PlacementAction> const place = wait_for_place(ticket);
     if (!place.has_value()) {
       return;
     }
-    if (tilth::Denied const* const denied = std::get_if<tilth::Denied>(&*place)) {
+    if (scheduling::Denied const* const denied = std::get_if<scheduling::Denied>(&*place)) {
       expected_seconds_ = denied->expected_seconds;
       if (denied->reason == "deadline") {
-        feed(tilth::DeadlinePassed{});
+        feed(scheduling::DeadlinePassed{});
       } else {
-        feed(tilth::NoRoom{});
+        feed(scheduling::NoRoom{});
       }
       return;
     }
-    go_ = std::get<tilth::Go>(*place);
-    feed(tilth::Placed{go_.worker});
+    go_ = std::get<scheduling::Go>(*place);
+    feed(scheduling::Placed{go_.worker});
     if (withdrawn(ticket)) {
       return;
     }
-    absl::StatusOr<std::unique_ptr<loam::Stream>> connection =
-        loam::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
+    absl::StatusOr<std::unique_ptr<common::Stream>> connection =
+        common::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
     if (connection.ok() && !interrupt_->set() && withdrawn(ticket)) {
       return;
     }
     if (!connection.ok() || interrupt_->set()) {
-      finish_ticket(ticket, connection.ok() ? tilth::Ending::abandoned : tilth::Ending::defect);
+      finish_ticket(ticket, connection.ok() ? scheduling::Ending::abandoned : scheduling::Ending::defect);
       if (!interrupt_->set()) {
-        feed(tilth::ConnectDefect{});
+        feed(scheduling::ConnectDefect{});
       }
       return;
     }
-    loam::Stream& worker = **connection;
+    common::Stream& worker = **connection;
     interrupt_->wake = [&worker] { worker.cancel(); };
-    sent_ = loam::boot_now();
+    sent_ = common::boot_now();
     running_at_start_ = 0;
-    field_.with(pool(), [this](tilth::Placement& placement) {
+    field_.with(pool(), [this](scheduling::Placement& placement) {
       running_at_start_ = placement.running_on(go_.worker);
-      return std::vector<tilth::PlacementAction>{};
+      return std::vector<scheduling::PlacementAction>{};
     });
-    feed(tilth::Connected{});
+    feed(scheduling::Connected{});
     field_.gauges().count("furrow_dispatches_total", "rule=\"" + serve_.rule + "\",worker=\"" + go_.worker + "\"");
-    tilth::Ending const ending = talk(worker, ticket);
+    scheduling::Ending const ending = talk(worker, ticket);
     interrupt_->wake = nullptr;
     finish_ticket(ticket, ending);
     // What the talk ended with goes to the chart only now, so that a retry
     // finds this worker's place already freed or at rest.
     if (after_.has_value()) {
-      tilth::QueryMessage const message = *after_;
+      scheduling::QueryMessage const message = *after_;
       after_.reset();
       if (!interrupt_->set()) {
-        if (tilth::WorkerDefect const* const defect = std::get_if<tilth::WorkerDefect>(&message)) {
-          loam::note(loam::Event::WorkerDefect, go_.worker + " " + defect->what + " " + facts_.id);
+        if (scheduling::WorkerDefect const* const defect = std::get_if<scheduling::WorkerDefect>(&message)) {
+          common::note(common::Event::WorkerDefect, go_.worker + " " + defect->what + " " + facts_.id);
         }
         (void)follow_plan();  // whether it may run again is asked of the rule in force
         feed(message);
@@ -383,7 +386,7 @@
 
   /// One dispatch on a connection of its own; what it ended with is left in
   /// after_.
-  tilth::Ending talk(loam::Stream& worker, std::uint64_t ticket) {
+  scheduling::Ending talk(common::Stream& worker, std::uint64_t ticket) {
     LegCall call;
     call.query = facts_.id;
     call.rule = serve_.rule;
@@ -395,9 +398,9 @@
     call.target = facts_.target;
     call.content_type = facts_.content_type;
     call.body = &facts_.body;
-    loam::Ask ask = worker_ask(call, go_.address);
+    common::Ask ask = worker_ask(call, go_.address);
     error_code error;
-    worker.expires_after(loam::duration(constants::write_deadline));
+    worker.expires_after(common::duration(constants::write_deadline));
     http::async_write(worker, ask, yield_[error]);
     // Even when writing failed the worker may have answered already, with a
     // refusal for example; so reading is tried all the same.
@@ -405,19 +408,19 @@
     http::response_parser<http::buffer_body> parser;
     parser.body_limit(boost::none);
     parser.header_limit(constants::header_limit);
-    worker.expires_after(loam::duration(std::max<loam::Span>(deadline_ - loam::boot_now(), 1000)));
+    worker.expires_after(common::duration(std::max<common::Span>(deadline_ - common::boot_now(), 1000)));
     http::async_read_header(worker, buffer, parser, yield_[error]);
     if (error) {
-      after_ = tilth::WorkerDefect{"no_answer"};
-      return interrupt_->set() ? tilth::Ending::abandoned : tilth::Ending::defect;
+      after_ = scheduling::WorkerDefect{"no_answer"};
+      return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::defect;
     }
     if (says_not_run(parser.get().result_int())) {
-      after_ = tilth::WorkerRefused{};
-      return tilth::Ending::refused;
+      after_ = scheduling::WorkerRefused{};
+      return scheduling::Ending::refused;
     }
     if (parser.get()[query_header] != facts_.id) {
-      after_ = tilth::WorkerDefect{"wrong_query"};
-      return tilth::Ending::defect;
+      after_ = scheduling::WorkerDefect{"wrong_query"};
+      return scheduling::Ending::defect;
     }
     unsigned int const status = parser.get().result_int();
     bool const events = parser.get()[http::field::content_type].starts_with("text/event-stream");
@@ -428,7 +431,7 @@
   }
 
   /// The next bytes of a worker's answer; empty at its end. False: cut.
-  bool read_some(loam::Stream& worker, boost::beast::flat_buffer& buffer,
+  bool read_some(common::Stream& worker, boost::beast::flat_buffer& buffer,
                  http::response_parser<http::buffer_body>& parser, std::string& bytes) {
     char piece[16384];
     bytes.clear();
@@ -437,8 +440,8 @@
     }
     parser.get().body().data = piece;
     parser.get().body().size = sizeof(piece);
-    worker.expires_after(
-        loam::duration(std::max<loam::Span>(1000, std::min(constants::stream_silence, deadline_ - loam::boot_now()))));
+    worker.expires_after(common::duration(
+        std::max<common::Span>(1000, std::min(constants::stream_silence, deadline_ - common::boot_now()))));
     error_code error;
     http::async_read_some(worker, buffer, parser, yield_[error]);
     if (error && error != http::error::need_buffer) {
@@ -448,8 +451,8 @@
     return true;
   }
 
-  tilth::Ending talk_whole(loam::Stream& worker, boost::beast::flat_buffer& buffer,
-                           http::response_parser<http::buffer_body>& parser) {
+  scheduling::Ending talk_whole(common::Stream& worker, boost::beast::flat_buffer& buffer,
+                                http::response_parser<http::buffer_body>& parser) {
     std::string body;
     std::string bytes;
     unsigned int const status = parser.get().result_int();
@@ -458,67 +461,67 @@
     while (!parser.is_done()) {
       if (!delimited || !read_some(worker, buffer, parser, bytes) ||
           body.size() + bytes.size() > constants::answer_limit) {
-        after_ = tilth::WorkerDefect{"cut_answer"};
-        return interrupt_->set() ? tilth::Ending::abandoned : tilth::Ending::defect;
+        after_ = scheduling::WorkerDefect{"cut_answer"};
+        return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::defect;
       }
       body += bytes;
     }
     if (status >= 500) {
-      after_ = tilth::WorkerAnswered{502};
-      return tilth::Ending::good;
+      after_ = scheduling::WorkerAnswered{502};
+      return scheduling::Ending::good;
     }
     if (leg_ == Leg::prefill) {
       kv_ = std::string(parser.get()[kv_header]);
       if (status != 200 || kv_.empty()) {
-        after_ = tilth::WorkerDefect{"no_kv"};
-        return tilth::Ending::defect;
+        after_ = scheduling::WorkerDefect{"no_kv"};
+        return scheduling::Ending::defect;
       }
       note_prefill();
-      after_ = tilth::LegDone{};
-      return tilth::Ending::good;
+      after_ = scheduling::LegDone{};
+      return scheduling::Ending::good;
     }
     if (rule_.kind == "model" && status == 200) {
-      after_ = tilth::WorkerDefect{"no_stream"};
-      return tilth::Ending::defect;
+      after_ = scheduling::WorkerDefect{"no_stream"};
+      return scheduling::Ending::defect;
     }
-    whole_ = loam::answer_text(static_cast<http::status>(status), std::move(body),
-                               std::string(parser.get()[http::field::content_type]));
-    after_ = tilth::Whole{};
-    return tilth::Ending::good;
+    whole_ = common::answer_text(static_cast<http::status>(status), std::move(body),
+                                 std::string(parser.get()[http::field::content_type]));
+    after_ = scheduling::Whole{};
+    return scheduling::Ending::good;
   }
 
-  tilth::Ending talk_events(loam::Stream& worker, boost::beast::flat_buffer& buffer,
-                            http::response_parser<http::buffer_body>& parser, std::uint64_t ticket) {
+  scheduling::Ending talk_events(common::Stream& worker, boost::beast::flat_buffer& buffer,
+                                 http::response_parser<http::buffer_body>& parser, std::uint64_t ticket) {
     EventReader reader(plan_->setup.workers.bytes_per_token);
     std::string bytes;
     std::string text;
     std::uint64_t expected = rule_.stream ? chart_.last_event() + 1 : 1;
     bool first = true;
-    loam::Moment first_at = 0;
+    common::Moment first_at = 0;
     double outputs = 0;
     double iterations = 0;
     std::vector<double> gaps;
-    loam::Moment last_at = 0;
+    common::Moment last_at = 0;
     double running_sum = 0;
     while (true) {
       if (!read_some(worker, buffer, parser, bytes) || (bytes.empty() && parser.is_done())) {
-        after_ = tilth::WorkerDefect{"cut_stream"};
-        return interrupt_->set() ? tilth::Ending::abandoned : tilth::Ending::defect;
+        after_ = scheduling::WorkerDefect{"cut_stream"};
+        return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::defect;
       }
       std::vector<StreamEvent> events;
       bool const well = reader.feed(bytes, events);
       for (StreamEvent const& event : events) {
         if (event.number != expected || (event.last && event.query != facts_.id)) {
-          after_ = tilth::WorkerDefect{event.number != expected ? "numbering" : "wrong_query"};
-          return tilth::Ending::defect;
+          after_ = scheduling::WorkerDefect{event.number != expected ? "numbering" : "wrong_query"};
+          return scheduling::Ending::defect;
         }
         ++expected;
         if (first) {
           first = false;
-          first_at = loam::boot_now();
-          field_.with(pool(), [ticket](tilth::Placement& placement) {
-            placement.first_token(ticket, loam::boot_now());
-            return std::vector<tilth::PlacementAction>{};
+          first_at = common::boot_now();
+          field_.with(pool(), [ticket](scheduling::Placement& placement) {
+            placement.first_token(ticket, common::boot_now());
+            return std::vector<scheduling::PlacementAction>{};
           });
           if (leg_ == Leg::whole) {
             note_prefill();
@@ -529,59 +532,59 @@
           }
         } else {
           iterations += 1;
-          gaps.push_back(static_cast<double>(loam::boot_now() - last_at) / 1e6);
+          gaps.push_back(static_cast<double>(common::boot_now() - last_at) / 1e6);
         }
-        last_at = loam::boot_now();
+        last_at = common::boot_now();
         outputs += event.tokens;
         if (rule_.stream) {
           event_ = event;
-          feed(tilth::Event{event.number, event.last});
+          feed(scheduling::Event{event.number, event.last});
         } else {
           text += event.text;
         }
         if (event.last) {
-          field_.with(pool(), [&](tilth::Placement& placement) {
+          field_.with(pool(), [&](scheduling::Placement& placement) {
             running_sum = placement.running_on(go_.worker);
-            return std::vector<tilth::PlacementAction>{};
+            return std::vector<scheduling::PlacementAction>{};
           });
           note_decode(first_at, outputs, iterations, (running_sum + running_at_start_ + 1) / 2, gaps);
           if (!rule_.stream) {
             finish_text(text, event.number);
           }
-          return tilth::Ending::good;
+          return scheduling::Ending::good;
         }
         if (interrupt_->set() || chart_.settled()) {
-          return tilth::Ending::abandoned;
+          return scheduling::Ending::abandoned;
         }
       }
       if (!well) {
-        after_ = tilth::WorkerDefect{"malformed_stream"};
-        return tilth::Ending::defect;
+        after_ = scheduling::WorkerDefect{"malformed_stream"};
+        return scheduling::Ending::defect;
       }
     }
   }
 
   void finish_text(std::string const& text, std::uint64_t events) {
-    loam::Tree object(cJSON_CreateObject());
+    common::Tree object(cJSON_CreateObject());
     cJSON_AddStringToObject(object.get(), "query", facts_.id.c_str());
     cJSON_AddStringToObject(object.get(), "text", text.c_str());
     cJSON_AddNumberToObject(object.get(), "events", static_cast<double>(events));
     cJSON_AddBoolToObject(object.get(), "complete", 1);
-    whole_ = loam::answer_text(http::status::ok, loam::print_tree(object.get()));
-    after_ = tilth::Whole{};
+    whole_ = common::answer_text(http::status::ok, common::print_tree(object.get()));
+    after_ = scheduling::Whole{};
   }
 
   /// What the first token shows of the prefill (section 8.2).
   void note_prefill() {
-    double const took = static_cast<double>(loam::boot_now() - sent_) / 1e6;
+    double const took = static_cast<double>(common::boot_now() - sent_) / 1e6;
     double const uncached = std::max(1.0, tokens_ - go_.cached);
     schema::WorkerFigures figures;
     figures.worker = go_.worker;
-    figures.phase = phase_ == tilth::Phase::decode ? "decode" : "prefill";
+    figures.phase = phase_ == scheduling::Phase::decode ? "decode" : "prefill";
     figures.queries = 1;
     figures.uncached = uncached;
     figures.cached = go_.cached;
-    figures.pairs = tilth::pairs(uncached, go_.cached);
+    figures.pairs = scheduling::pairs(uncached, go_.cached);
     figures.prefill_seconds = took;
     field_.add_figures(figures);
     if (running_at_start_ <= 1) {  // alone, so that the time is its own
@@ -595,13 +598,13 @@
     }
   }
 
-  void note_decode(loam::Moment first_at, double outputs, double iterations, double running,
+  void note_decode(common::Moment first_at, double outputs, double iterations, double running,
                    std::vector<double> const& gaps) {
     field_.learn_outputs(serve_.rule, outputs);
-    double const took = static_cast<double>(loam::boot_now() - first_at) / 1e6;
+    double const took = static_cast<double>(common::boot_now() - first_at) / 1e6;
     schema::WorkerFigures figures;
     figures.worker = go_.worker;
-    figures.phase = phase_ == tilth::Phase::decode ? "decode" : "prefill";
+    figures.phase = phase_ == scheduling::Phase::decode ? "decode" : "prefill";
     figures.outputs = outputs;
     figures.iterations = iterations;
     figures.decode_seconds = took;
@@ -612,9 +615,10 @@
       schema::Sample sample;
       sample.worker = go_.worker;
       sample.decode = true;
-      sample.seconds = tilth::middle(gaps);
+      sample.seconds = scheduling::middle(gaps);
       sample.iterations = iterations;
-      sample.spread = tilth::spread(plan_->setup.scaler.experts_share, plan_->setup.scaler.tokens_forward, running);
+      sample.spread =
+          scheduling::spread(plan_->setup.scaler.experts_share, plan_->setup.scaler.tokens_forward, running);
       sample.running = running;
       field_.add_sample(sample);
     }
@@ -626,29 +630,29 @@
     if (chart_.settled()) {
       return;
     }
-    std::vector<schema::Member> const targets = tilth::pass_targets(*plan_, field_.name(), pool(), serve_.bound);
-    if (targets.empty() || !field_.vouched(loam::boot_now())) {
-      feed(tilth::NoRoom{});
+    std::vector<schema::Member> const targets = scheduling::pass_targets(*plan_, field_.name(), pool(), serve_.bound);
+    if (targets.empty() || !field_.vouched(common::boot_now())) {
+      feed(scheduling::NoRoom{});
       return;
     }
-    go_ = tilth::Go{0, "pass", targets[loam::random_number() % targets.size()].address, 0, 0};
-    feed(tilth::Placed{go_.worker});
-    absl::StatusOr<std::unique_ptr<loam::Stream>> const connection =
-        loam::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
-    if (!connection.ok() || interrupt_->set() || follow_plan() || !field_.vouched(loam::boot_now())) {
+    go_ = scheduling::Go{0, "pass", targets[common::random_number() % targets.size()].address, 0, 0};
+    feed(scheduling::Placed{go_.worker});
+    absl::StatusOr<std::unique_ptr<common::Stream>> const connection =
+        common::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
+    if (!connection.ok() || interrupt_->set() || follow_plan() || !field_.vouched(common::boot_now())) {
       if (!interrupt_->set()) {
-        feed(tilth::NoRoom{});
+        feed(scheduling::NoRoom{});
       }
       return;
     }
     field_.gauges().count("furrow_passes_total", "rule=\"" + serve_.rule + "\"");
-    loam::Stream& stream = **connection;
+    common::Stream& stream = **connection;
     interrupt_->wake = [&stream] { stream.cancel(); };
-    feed(tilth::Connected{});
+    feed(scheduling::Connected{});
     talk_pass(stream);
     interrupt_->wake = nullptr;
     if (after_.has_value()) {
-      tilth::QueryMessage const message = *after_;
+      scheduling::QueryMessage const message = *after_;
       after_.reset();
       if (!interrupt_->set()) {
         feed(message);
@@ -656,8 +660,8 @@
     }
   }
 
-  void talk_pass(loam::Stream& stream) {
-    loam::Ask ask{facts_.method, facts_.target, 11};
+  void talk_pass(common::Stream& stream) {
+    common::Ask ask{facts_.method, facts_.target, 11};
     ask.set(http::field::host, go_.address);
     ask.set(query_header, facts_.id);
     ask.set(pass_header, field_.pass_word());
@@ -666,23 +670,23 @@
     ask.keep_alive(false);
     ask.prepare_payload();
     error_code error;
-    stream.expires_after(loam::duration(constants::write_deadline));
+    stream.expires_after(common::duration(constants::write_deadline));
     http::async_write(stream, ask, yield_[error]);
     boost::beast::flat_buffer buffer;
     http::response_parser<http::buffer_body> parser;
     parser.body_limit(boost::none);
-    stream.expires_after(loam::duration(std::max<loam::Span>(deadline_ - loam::boot_now(), 1000)));
+    stream.expires_after(common::duration(std::max<common::Span>(deadline_ - common::boot_now(), 1000)));
     http::async_read_header(stream, buffer, parser, yield_[error]);
     if (error) {
-      after_ = tilth::WorkerDefect{"pass_cut"};
+      after_ = scheduling::WorkerDefect{"pass_cut"};
       return;
     }
     if (parser.get()[ran_header] == "no" || parser.get().result_int() == 307) {
-      after_ = tilth::NoRoom{};
+      after_ = scheduling::NoRoom{};
       return;
     }
     if (parser.get()[query_header] != facts_.id) {
-      after_ = tilth::WorkerDefect{"wrong_query"};
+      after_ = scheduling::WorkerDefect{"wrong_query"};
       return;
     }
     if (parser.get()[http::field::content_type].starts_with("text/event-stream")) {
@@ -692,12 +696,12 @@
         std::vector<StreamEvent> events;
         if (!read_some(stream, buffer, parser, bytes) || (bytes.empty() && parser.is_done()) ||
             !reader.feed(bytes, events)) {
-          after_ = tilth::WorkerDefect{"pass_cut"};
+          after_ = scheduling::WorkerDefect{"pass_cut"};
           return;
         }
         for (StreamEvent const& event : events) {
           event_ = event;
-          feed(tilth::Event{event.number, event.last});
+          feed(scheduling::Event{event.number, event.last});
           if (event.last || interrupt_->set() || chart_.settled()) {
             return;
           }
@@ -707,40 +711,40 @@
     (void)talk_whole_pass(stream, buffer, parser);
   }
 
-  bool talk_whole_pass(loam::Stream& stream, boost::beast::flat_buffer& buffer,
+  bool talk_whole_pass(common::Stream& stream, boost::beast::flat_buffer& buffer,
                        http::response_parser<http::buffer_body>& parser) {
     std::string body;
     std::string bytes;
     unsigned int const status = parser.get().result_int();
     while (!parser.is_done()) {
       if (!read_some(stream, buffer, parser, bytes) || body.size() + bytes.size() > constants::answer_limit) {
-        after_ = tilth::WorkerDefect{"pass_cut"};
+        after_ = scheduling::WorkerDefect{"pass_cut"};
         return false;
       }
       body += bytes;
     }
     if (status >= 500) {
-      after_ = tilth::WorkerAnswered{static_cast<int>(status)};
+      after_ = scheduling::WorkerAnswered{static_cast<int>(status)};
       return false;
     }
-    whole_ = loam::answer_text(static_cast<http::status>(status), std::move(body),
-                               std::string(parser.get()[http::field::content_type]));
-    after_ = tilth::Whole{};
+    whole_ = common::answer_text(static_cast<http::status>(status), std::move(body),
+                                 std::string(parser.get()[http::field::content_type]));
+    after_ = scheduling::Whole{};
     return true;
   }
 
   Field& field_;
   std::shared_ptr<Plan const> plan_;
   QueryFacts facts_;
-  loam::Stream& caller_;
-  loam::Yield yield_;
+  common::Stream& caller_;
+  common::Yield yield_;
   std::shared_ptr<Interrupt> interrupt_;
-  loam::Moment began_;
+  common::Moment began_;
   config::Serve serve_;  ///< by the plan that it goes by now
   schema::Rule rule_;
   std::string home_;  ///< another region, once it is decided so
-  loam::Moment deadline_;
-  tilth::Chart chart_;
+  common::Moment deadline_;
+  scheduling::Chart chart_;
   double tokens_ = 0;
   std::vector<std::uint64_t> chain_;
   bool place_next_ = false;
@@ -748,23 +752,23 @@
   bool header_sent_ = false;
   bool keep_ = false;
   Leg leg_ = Leg::whole;
-  tilth::Phase phase_ = tilth::Phase::both;
+  scheduling::Phase phase_ = scheduling::Phase::both;
   std::string kv_;
-  tilth::Go go_;
-  loam::Moment sent_ = 0;
+  scheduling::Go go_;
+  common::Moment sent_ = 0;
   double running_at_start_ = 0;
   double expected_seconds_ = 0;  ///< the wait that it was denied for
-  loam::Answer whole_;
+  common::Answer whole_;
   StreamEvent event_;
-  std::optional<tilth::QueryMessage> after_;
+  std::optional<scheduling::QueryMessage> after_;
 };
 
 }  // namespace
 
-bool run_query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, loam::Stream& caller, bool pipelined,
-               loam::Yield yield) {
+bool run_query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller, bool pipelined,
+               common::Yield yield) {
   Query query(field, std::move(plan), std::move(facts), caller, yield);
   return query.run(pipelined);
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/query/query.hpp
+++ b/source/data_plane/query/query.hpp
@@ -1,18 +1,18 @@
 #pragma once
 
-#include "config/course/course.hpp"
-#include "furrow/field/field.hpp"
-#include "loam/http/http.hpp"
+#include "common/http/http.hpp"
+#include "config/disposition/disposition.hpp"
+#include "data_plane/proxy_state/proxy_state.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 struct QueryFacts {
   std::string id;
   config::Serve serve;  ///< as the header was decided
-  loam::http::request_header<> header;
+  common::http::request_header<> header;
   bool passed = false;  ///< another region's furrow passed it on
   bool keep = true;
-  loam::http::verb method = loam::http::verb::post;
+  common::http::verb method = common::http::verb::post;
   std::string target;
   std::string content_type;
   std::string body;
@@ -20,7 +20,7 @@
 
 /// Runs one query through its chart; false when the caller's connection can't
 /// be used again.
-[[nodiscard]] bool run_query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, loam::Stream& caller,
-                             bool pipelined, loam::Yield yield);
+[[nodiscard]] bool run_query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller,
+                             bool pipelined, common::Yield yield);
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/query/session.cpp
+++ b/source/data_plane/query/session.cpp
@@ -1,72 +1,72 @@
-#include "furrow/query/session.hpp"
+#include "data_plane/query/session.hpp"
 
 #include <sys/socket.h>
 
 #include <boost/asio/write.hpp>
 
-#include "config/course/course.hpp"
-#include "furrow/query/query.hpp"
-#include "furrow/query/reply.hpp"
-#include "furrow/worker/contract.hpp"
-#include "loam/constants.hpp"
-#include "loam/http/http.hpp"
-#include "loam/invariant/invariant.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/random/random.hpp"
+#include "common/constants.hpp"
+#include "common/http/http.hpp"
+#include "common/invariant/invariant.hpp"
+#include "common/json/tree.hpp"
+#include "common/random/random.hpp"
+#include "config/disposition/disposition.hpp"
+#include "data_plane/query/query.hpp"
+#include "data_plane/query/reply.hpp"
+#include "data_plane/worker/contract.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-namespace constants = loam::constants;
-namespace http = loam::http;
+namespace constants = common::constants;
+namespace http = common::http;
 using boost::system::error_code;
 using Parser = http::request_parser<http::string_body>;
 
 namespace {
-loam::Answer own_answer(Field& field, std::string const& target) {
-  loam::Moment const now = loam::boot_now();
+common::Answer own_answer(Field& field, std::string const& target) {
+  common::Moment const now = common::boot_now();
   if (target == "/-/alive") {
-    return loam::answer_text(http::status::ok, "{\"alive\":true}");
+    return common::answer_text(http::status::ok, "{\"alive\":true}");
   }
   if (target == "/-/metrics") {
-    return loam::answer_text(http::status::ok, field.gauges().print() + loam::invariant_metrics(),
-                             "text/plain; version=0.0.4");
+    return common::answer_text(http::status::ok, field.gauges().print() + common::invariant_metrics(),
+                               "text/plain; version=0.0.4");
   }
   std::shared_ptr<Plan const> const plan = field.plan();
   if (target == "/-/ready") {
     std::map<std::string, schema::Hall>::const_iterator const hall = plan->setup.halls.find(field.self().hall);
     bool const evacuated = hall != plan->setup.halls.end() && hall->second.evacuated;
     bool const ready = field.vouched(now) && field.list_fresh(now) && !field.draining() && !evacuated;
-    return ready ? loam::answer_text(http::status::ok, "{\"ready\":true}")
-                 : loam::answer_error(http::status::service_unavailable, "not_ready",
-                                      evacuated ? "hall evacuated" : "not vouched for, or draining");
+    return ready ? common::answer_text(http::status::ok, "{\"ready\":true}")
+                 : common::answer_error(http::status::service_unavailable, "not_ready",
+                                        evacuated ? "hall evacuated" : "not vouched for, or draining");
   }
   if (target == "/-/state") {
     schema::Member shown = field.self();
     shown.incarnation = 0;  // it is the word that makes a pass
-    loam::Tree object(schema::write(shown));
+    common::Tree object(schema::write(shown));
     cJSON_AddStringToObject(object.get(), "region", plan->region.c_str());
     cJSON_AddBoolToObject(object.get(), "vouched", field.vouched(now) ? 1 : 0);
     cJSON_AddBoolToObject(object.get(), "list_fresh", field.list_fresh(now) ? 1 : 0);
     for (std::string const pool : {"model", "plain"}) {
-      field.with(pool, [&](tilth::Placement& placement) {
+      field.with(pool, [&](scheduling::Placement& placement) {
         cJSON* const part = cJSON_AddObjectToObject(object.get(), pool.c_str());
         cJSON_AddNumberToObject(part, "waiting", static_cast<double>(placement.waiting()));
         cJSON_AddNumberToObject(part, "moved", static_cast<double>(placement.moved()));
         cJSON_AddNumberToObject(part, "reused_tokens", static_cast<double>(placement.reused_tokens()));
         cJSON_AddNumberToObject(part, "placed_tokens", static_cast<double>(placement.placed_tokens()));
-        return std::vector<tilth::PlacementAction>{};
+        return std::vector<scheduling::PlacementAction>{};
       });
     }
-    return loam::answer_text(http::status::ok, loam::print_tree(object.get(), true));
+    return common::answer_text(http::status::ok, common::print_tree(object.get(), true));
   }
-  return loam::answer_error(http::status::not_found, "unknown_path", "alive, ready, metrics or state");
+  return common::answer_error(http::status::not_found, "unknown_path", "alive, ready, metrics or state");
 }
 
 /// Writes a final answer; false when the connection is of no more use.
-bool send(loam::Stream& stream, loam::Answer& answer, bool keep, loam::Yield yield) {
+bool send(common::Stream& stream, common::Answer& answer, bool keep, common::Yield yield) {
   error_code error;
   answer.keep_alive(keep);
-  stream.expires_after(loam::duration(constants::write_deadline));
+  stream.expires_after(common::duration(constants::write_deadline));
   http::async_write(stream, answer, yield[error]);
   return !error && keep;
 }
@@ -74,7 +74,7 @@
 /// What the header alone decides: an answer now, or nothing when the body may
 /// be read (section 9.2).
 struct Verdict {
-  std::optional<loam::Answer> answer;
+  std::optional<common::Answer> answer;
   config::Serve serve;
 };
 
@@ -83,7 +83,7 @@
   Verdict verdict;
   std::string const target(header.target());
   std::string const path = target.substr(0, target.find('?'));
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   if (field.draining() || !field.vouched(now)) {
     verdict.answer = refusal(query, field.draining() ? "draining" : "not_vouched");
     return verdict;
@@ -97,18 +97,18 @@
     verdict.answer = send_home(plan, home->region, query, target);
   } else {
     config::TurnAway const& away = std::get<config::TurnAway>(course);
-    verdict.answer = loam::answer_error(static_cast<http::status>(away.status), away.error, away.message);
+    verdict.answer = common::answer_error(static_cast<http::status>(away.status), away.error, away.message);
   }
   return verdict;
 }
 }  // namespace
 
-void serve_caller(Field& field, loam::Stream& stream, loam::Yield yield) {
+void serve_caller(Field& field, common::Stream& stream, common::Yield yield) {
   boost::beast::flat_buffer buffer;
   error_code error;
   while (true) {
     if (buffer.size() == 0) {  // an idle connection may wait, a begun header may not
-      stream.expires_after(loam::duration(constants::caller_idle));
+      stream.expires_after(common::duration(constants::caller_idle));
       std::size_t const count = stream.async_read_some(buffer.prepare(4096), yield[error]);
       if (error) {
         return;
@@ -118,7 +118,7 @@
     Parser parser;
     parser.header_limit(constants::header_limit);
     parser.body_limit(boost::none);
-    stream.expires_after(loam::duration(constants::header_deadline));
+    stream.expires_after(common::duration(constants::header_deadline));
     http::async_read_header(stream, buffer, parser, yield[error]);
     if (error == http::error::end_of_stream || error == boost::beast::error::timeout ||
         error == boost::asio::error::eof || error == boost::asio::error::connection_reset ||
@@ -127,9 +127,9 @@
     }
     if (error) {
       bool const large = error == http::error::header_limit;
-      loam::Answer answer =
-          loam::answer_error(large ? http::status::request_header_fields_too_large : http::status::bad_request,
-                             large ? "too_large" : "malformed", error.message());
+      common::Answer answer =
+          common::answer_error(large ? http::status::request_header_fields_too_large : http::status::bad_request,
+                               large ? "too_large" : "malformed", error.message());
       (void)send(stream, answer, false, yield);
       part_unread(stream, field.context(), yield);
       return;
@@ -141,7 +141,7 @@
       if (parser.content_length().value_or(0) > 0 || parser.chunked()) {
         return;
       }
-      loam::Answer answer = own_answer(field, target);
+      common::Answer answer = own_answer(field, target);
       if (!send(stream, answer, keep, yield)) {
         return;
       }
@@ -152,7 +152,7 @@
     bool const claimed = !header[pass_header].empty();
     bool const passed = claimed && field.knows_pass(std::string(header[pass_header]));
     std::string const query =
-        passed ? std::string(header[query_header]) : field.name() + "-" + std::to_string(loam::random_identity());
+        passed ? std::string(header[query_header]) : field.name() + "-" + std::to_string(common::random_identity());
     std::shared_ptr<Plan const> const plan = field.plan();
     Verdict verdict = judge_header(field, *plan, header, parser.content_length().value_or(0), query);
     bool const has_body = parser.content_length().value_or(0) > 0 || parser.chunked();
@@ -182,15 +182,16 @@
       boost::asio::async_write(stream, boost::asio::buffer(go_on), yield[error]);
     }
     parser.body_limit(rule.body_limit);
-    stream.expires_after(loam::duration(constants::body_deadline));
+    stream.expires_after(common::duration(constants::body_deadline));
     http::async_read(stream, buffer, parser, yield[error]);
     if (error) {
       field.close_query(verdict.serve.rule);
       if (error == http::error::body_limit || error == http::error::bad_chunk ||
           error == http::error::bad_chunk_extension) {
         bool const large = error == http::error::body_limit;
-        loam::Answer answer = loam::answer_error(large ? http::status::payload_too_large : http::status::bad_request,
-                                                 large ? "too_large" : "malformed", error.message());
+        common::Answer answer =
+            common::answer_error(large ? http::status::payload_too_large : http::status::bad_request,
+                                 large ? "too_large" : "malformed", error.message());
         (void)send(stream, answer, false, yield);
         part_unread(stream, field.context(), yield);
       } else if (error == boost::beast::error::timeout) {
@@ -216,4 +217,4 @@
   }
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- /dev/null
+++ b/source/data_plane/query/session.hpp
@@ -0,0 +1,11 @@
+#pragma once
+
+#include "common/net/net.hpp"
+#include "data_plane/proxy_state/proxy_state.hpp"
+
+namespace finchlink::data_plane {
+
+/// Serves the queries of one caller's connection, one after the other (section 9).
+void serve_caller(Field& field, common::Stream& stream, common::Yield yield);
+
+}  // namespace finchlink::data_plane
--- /dev/null
+++ b/source/data_plane/relay/adopted_checks.cpp
@@ -0,0 +1,31 @@
+#include "data_plane/relay/adopted_checks.hpp"
+
+#include "common/invariant/invariant.hpp"
+#include "common/json/tree.hpp"
+
+namespace finchlink::data_plane {
+
+using common::Invariant;
+
+void check_charter(schema::NamedValue const& chosen, config::CharterReading const& reading) {
+  common::check(Invariant::chosen_content_readable, reading.good(), [&] {
+    return "charter revision " + std::to_string(chosen.revision) + ": " + common::describe(reading.faults);
+  });
+}
+
+void check_evacuations(schema::NamedValue const& chosen) {
+  absl::StatusOr<common::Tree> const tree = common::read_tree(chosen.content);
+  bool const is_list = tree.ok() && cJSON_IsArray(tree->get()) != 0;
+  common::check(Invariant::chosen_content_readable, is_list,
+                [&] { return "evacuations revision " + std::to_string(chosen.revision) + " are no list"; });
+}
+
+void check_routes(std::uint64_t revision, scheduling::LaneBook const& book) {
+  schema::Lane const* const unreachable = book.unreachable();
+  common::check(Invariant::routes_complete, unreachable == nullptr, [&] {
+    return "charter revision " + std::to_string(revision) + ": " + unreachable->host + " " + unreachable->prefix +
+           " does not lead to " + unreachable->name;
+  });
+}
+
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/adopted_checks.hpp
+++ b/source/data_plane/relay/adopted_checks.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "config/charter/charter.hpp"
+#include "config/routing/routing_config.hpp"
+#include "scheduling/route_table/route_table.hpp"
 #include "schema/wire.hpp"
-#include "tilth/lanes/lanes.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// Checks of what a majority chose when a furrow adopts it (invariants
 /// chosen_content_readable and routes_complete). The rules that a trellis took a
@@ -12,6 +12,6 @@
 void check_charter(schema::NamedValue const& chosen, config::CharterReading const& reading);
 void check_evacuations(schema::NamedValue const& chosen);
 /// Each route of the charter is found by its own host and prefix.
-void check_routes(std::uint64_t revision, tilth::LaneBook const& book);
+void check_routes(std::uint64_t revision, scheduling::LaneBook const& book);
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -1,19 +1,19 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
 
-#include "loam/log/log.hpp"
-#include "loam/random/random.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/log/log.hpp"
+#include "common/random/random.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
 bool Relay::may_spend(bool spend) {
-  tilth::Rights& rights = station_.rights(service_);
+  scheduling::Rights& rights = station_.rights(service_);
   if (!spend) {
     return rights.available();
   }
@@ -24,13 +24,14 @@
 }
 
 bool Relay::find_place() {
-  loam::Span const hold = lane_.set_point_ms > 0
-                              ? loam::milliseconds(static_cast<std::int64_t>(lane_.set_point_ms * constants::hold_part))
-                              : constants::hold_plain;
-  loam::Span const again = began_ ? loam::milliseconds(static_cast<std::int64_t>(lane_.gap_set_point_ms / 2))
-                           : chart_.dispatches() > 0 ? constants::place_pause
-                                                     : 0;
-  loam::Moment const until = std::max(query_.arrived + hold, loam::boot_now() + again);
+  common::Span const hold =
+      lane_.set_point_ms > 0
+          ? common::milliseconds(static_cast<std::int64_t>(lane_.set_point_ms * constants::hold_part))
+          : constants::hold_plain;
+  common::Span const again = began_ ? common::milliseconds(static_cast<std::int64_t>(lane_.gap_set_point_ms / 2))
+                             : chart_.dispatches() > 0 ? constants::place_pause
+                                                       : 0;
+  common::Moment const until = std::max(query_.arrived + hold, common::boot_now() + again);
   while (true) {
     follow();
     if (chart_.settled() || gone_ || back_) {
@@ -40,9 +41,9 @@
     wanted_.homes = homes_;
     wanted_.once = !repeatable();
     wanted_.draw = draw();
-    loam::Moment const now = loam::boot_now();
-    std::variant<tilth::Spot, tilth::NoSpot> const found = station_.grove().choose(wanted_, now);
-    if (tilth::Spot const* const spot = std::get_if<tilth::Spot>(&found)) {
+    common::Moment const now = common::boot_now();
+    std::variant<scheduling::Spot, scheduling::NoSpot> const found = station_.grove().choose(wanted_, now);
+    if (scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found)) {
       spot_ = *spot;
       trail_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + spot->worker + " predicted " +
                 std::to_string(static_cast<int>(spot->predicted_seconds * 1000)) + "/" +
@@ -51,10 +52,10 @@
       return true;
     }
     if (now >= until || now >= deadline_) {
-      feed_or_return(tilth::NoRoom{});
+      feed_or_return(scheduling::NoRoom{});
       return false;
     }
-    asio::steady_timer timer(station_.context(), loam::duration(constants::place_pause));
+    asio::steady_timer timer(station_.context(), common::duration(constants::place_pause));
     seat_ = &timer;
     error_code ignored;
     timer.async_wait(yield_[ignored]);
@@ -71,38 +72,39 @@
     service_ = lane.shares.front().service;
     station_.rights(service_).arrived();
   }
-  feed(tilth::Placed{spot_.worker});
+  feed(scheduling::Placed{spot_.worker});
   first_seen_ = false;
-  tilth::Outcome outcome = tilth::Outcome::unreachable;
+  scheduling::Outcome outcome = scheduling::Outcome::unreachable;
   if (!reach()) {
     // Nothing reached it: another place is no retry, but not without end.
-    station_.grove().ended(spot_, false, gone_ ? tilth::Outcome::abandoned : outcome, loam::boot_now());
+    station_.grove().ended(spot_, false, gone_ ? scheduling::Outcome::abandoned : outcome, common::boot_now());
     wanted_.avoid.push_back(spot_.worker);
     if (!gone_) {
       ++connects_;
       if (connects_ < constants::connects_most) {
-        feed(tilth::Withdrawn{});
+        feed(scheduling::Withdrawn{});
       } else {
-        feed_or_return(tilth::ConnectDefect{});
+        feed_or_return(scheduling::ConnectDefect{});
       }
     }
     return;
   }
-  std::shared_ptr<tilth::LaneBook const> const before = book_;
+  std::shared_ptr<scheduling::LaneBook const> const before = book_;
   follow();
   if (chart_.settled() || back_ || !station_.grove().usable(spot_.worker) || (book_ != before && !still_named())) {
-    station_.grove().ended(spot_, false, tilth::Outcome::abandoned, loam::boot_now());
+    station_.grove().ended(spot_, false, scheduling::Outcome::abandoned, common::boot_now());
     keep_worker(constants::worker_idle);
     if (!back_) {
-      feed(tilth::Withdrawn{});
+      feed(scheduling::Withdrawn{});
     }
     return;
   }
-  feed(tilth::Connected{});
+  feed(scheduling::Connected{});
   ++station_.tally().dispatches;
   reading_ = std::make_shared<Reading>();
   outcome = talk();
-  station_.grove().ended(spot_, first_seen_, gone_ || slow_ ? tilth::Outcome::abandoned : outcome, loam::boot_now());
+  station_.grove().ended(spot_, first_seen_, gone_ || slow_ ? scheduling::Outcome::abandoned : outcome,
+                         common::boot_now());
   after_talk();
 }
 
@@ -120,14 +122,14 @@
   slow_ = false;
   wanted_.avoid.push_back(spot_.worker);
   if (after_.has_value()) {
-    tilth::QueryMessage const message = *after_;
+    scheduling::QueryMessage const message = *after_;
     after_.reset();
-    if (tilth::WorkerDefect const* const defect = std::get_if<tilth::WorkerDefect>(&message)) {
+    if (scheduling::WorkerDefect const* const defect = std::get_if<scheduling::WorkerDefect>(&message)) {
       if (!gone_) {
-        loam::note(loam::Event::WorkerDefect, spot_.worker + " " + defect->what + " " + id_);
+        common::note(common::Event::WorkerDefect, spot_.worker + " " + defect->what + " " + id_);
       }
-      if (loam::boot_now() >= deadline_ && whole_.empty()) {
-        feed(tilth::DeadlinePassed{});
+      if (common::boot_now() >= deadline_ && whole_.empty()) {
+        feed(scheduling::DeadlinePassed{});
         return;
       }
     }
@@ -152,12 +154,12 @@
   whole_body_.clear();
   place_next_ = false;
   reserved_ = false;
-  feed(tilth::Returned{spot_.worker});
+  feed(scheduling::Returned{spot_.worker});
   if (later_.has_value()) {
     feed(*later_);
     later_.reset();
   }
-  expect_bytes(pause_set_point_ms(), loam::boot_now());
+  expect_bytes(pause_set_point_ms(), common::boot_now());
   (void)read_events(*reading_);  // the grove has counted its end already
   after_talk();
 }
@@ -171,7 +173,7 @@
   return false;
 }
 
-void Relay::keep_worker(loam::Span longest) {
+void Relay::keep_worker(common::Span longest) {
   if (worker_ != nullptr && worker_->is_open()) {
     station_.keep(spot_.worker, std::move(worker_), longest);
   }
@@ -195,16 +197,16 @@
       return true;
     }
   }
-  absl::StatusOr<loam::Endpoint> const endpoint = loam::read_endpoint(spot_.address);
+  absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(spot_.address);
   if (!endpoint.ok()) {
     return false;
   }
   worker_ = std::make_unique<Socket>(station_.context());
   ++station_.tally().connects;
   connecting_ = true;
-  alarm_->set(std::min(
-      deadline_, loam::boot_now() + (spot_.near ? constants::relay_connect_near : constants::relay_connect_deadline)));
-  error_code error = loam::open_own(*worker_, *endpoint);
+  alarm_->set(std::min(deadline_, common::boot_now() + (spot_.near ? constants::relay_connect_near
+                                                                   : constants::relay_connect_deadline)));
+  error_code error = common::open_own(*worker_, *endpoint);
   if (!error) {
     worker_->async_connect(*endpoint, yield_[error]);
   }
@@ -217,9 +219,9 @@
   return true;
 }
 
-void Relay::expect_bytes(double set_point_ms, loam::Moment now) {
+void Relay::expect_bytes(double set_point_ms, common::Moment now) {
   drop_probe();
-  tilth::SilenceTerms const terms{set_point_ms, spot_.predicted_seconds, wanted_.tokens, spot_.near};
+  scheduling::SilenceTerms const terms{set_point_ms, spot_.predicted_seconds, wanted_.tokens, spot_.near};
   alarm_->set(std::min(deadline_, silence_.begin(terms, now).due));
 }
 
@@ -227,4 +229,4 @@
   return lane_.gap_set_point_ms > 0 ? lane_.gap_set_point_ms : 2 * lane_.set_point_ms;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/caller_answer.cpp
+++ b/source/data_plane/relay/caller_answer.cpp
@@ -1,17 +1,17 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <boost/asio/write.hpp>
 
-#include "loam/log/log.hpp"
-#include "loam/random/random.hpp"
+#include "common/log/log.hpp"
+#include "common/random/random.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
-void Relay::act(tilth::Refuse const& reason) {
+void Relay::act(scheduling::Refuse const& reason) {
   if (!tenant_fault_.empty()) {
     answer("400 Bad Request", tenant_fault_, false);
   } else if (withdrawn_lane_ && station_.charter_confirmed()) {
@@ -22,7 +22,7 @@
   }
 }
 
-void Relay::act(tilth::Apologise const& apologise) {
+void Relay::act(scheduling::Apologise const& apologise) {
   if (!whole_.empty()) {
     (void)write_whole();  // the worker's own failure says more than ours
   } else {
@@ -30,8 +30,8 @@
   }
 }
 
-void Relay::act(tilth::EndBroken const& broken) {
-  loam::note(loam::Event::QueryCut, id_ + " " + broken.reason);
+void Relay::act(scheduling::EndBroken const& broken) {
+  common::note(common::Event::QueryCut, id_ + " " + broken.reason);
   keep_ = false;  // no closing chunk: nobody can take it for whole
 }
 
@@ -83,4 +83,4 @@
   return text;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/caller_watch.cpp
+++ b/source/data_plane/relay/caller_monitor.cpp
@@ -1,15 +1,15 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <sys/socket.h>
 
 #include <algorithm>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
 void Relay::watch_caller() {
@@ -29,7 +29,7 @@
     ssize_t const count = recv(caller_.native_handle(), room.data(), room.size(), MSG_DONTWAIT);
     if (count > 0) {
       ahead_.buffer.commit(static_cast<std::size_t>(count));
-      ahead_.since = ahead_.since == 0 ? loam::boot_now() : ahead_.since;
+      ahead_.since = ahead_.since == 0 ? common::boot_now() : ahead_.since;
       continue;
     }
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
@@ -53,7 +53,7 @@
 }
 
 void Relay::rang() {
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   if (now >= deadline_) {
     cut();
     if (writing_) {
@@ -73,4 +73,4 @@
   perform(silence_.rang(station_.grove().heard_at(spot_.worker), now));
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -1,23 +1,23 @@
 #include <array>
 #include <boost/asio/write.hpp>
 
-#include "furrow/relay/relay.hpp"
-#include "furrow/relay/walls.hpp"
-#include "loam/relay_constants.hpp"
-#include "loam/wall_constants.hpp"
-#include "tilth/chart/first_hold.hpp"
+#include "common/prompt_isolation_constants.hpp"
+#include "common/relay_constants.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
+#include "data_plane/relay/relay.hpp"
+#include "scheduling/query_state/first_hold.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
 namespace {
 
 /// A final answer of our own without a dispatch; `bare`: to a HEAD.
 bool write_small(Socket& socket, std::string const& status, std::string const& extra, std::string const& reason,
-                 bool keep, bool bare, loam::Yield yield) {
+                 bool keep, bool bare, common::Yield yield) {
   std::string const body = "{\"error\":\"" + reason + "\"}";
   std::string const text = "HTTP/1.1 " + status + "\r\n" + extra +
                            "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
@@ -38,9 +38,9 @@
 /// would reset the connection, and the answer might never be read: what comes
 /// is thrown away, for a moment and up to a size (section 13.8).
 void refuse_unread(Socket& socket, Alarm& alarm, Patience& patience, std::string const& status,
-                   std::string const& extra, std::string const& reason, bool bare, loam::Yield yield) {
+                   std::string const& extra, std::string const& reason, bool bare, common::Yield yield) {
   patience.close = true;
-  alarm.set(loam::boot_now() + constants::refused_linger);
+  alarm.set(common::boot_now() + constants::refused_linger);
   (void)write_small(socket, status, extra, reason, false, bare, yield);
   error_code error;
   socket.shutdown(Socket::shutdown_send, error);
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-void serve_caller(Station& station, std::shared_ptr<Socket> const& socket, loam::Yield yield) {
+void serve_caller(Station& station, std::shared_ptr<Socket> const& socket, common::Yield yield) {
   ReadAhead ahead;
   boost::beast::flat_buffer& buffer = ahead.buffer;
   std::shared_ptr<Patience> const patience = std::make_shared<Patience>();
@@ -71,7 +71,7 @@
     error_code error;
     if (buffer.size() == 0) {  // an idle connection may wait, a begun header may not
       patience->close = true;
-      alarm->set(loam::boot_now() + loam::milliseconds(static_cast<std::int64_t>(limits.idle_ms)));
+      alarm->set(common::boot_now() + common::milliseconds(static_cast<std::int64_t>(limits.idle_ms)));
       std::size_t const count = socket->async_read_some(buffer.prepare(4096), yield[error]);
       if (error) {
         break;
@@ -83,7 +83,7 @@
     }
     patience->close = false;
     patience->out = false;
-    alarm->set(loam::boot_now() + loam::milliseconds(static_cast<std::int64_t>(limits.header_wait_ms)));
+    alarm->set(common::boot_now() + common::milliseconds(static_cast<std::int64_t>(limits.header_wait_ms)));
     http::request_parser<http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
     parser.body_limit(limits.body_bytes);
@@ -110,7 +110,7 @@
       break;
     }
     Query query;
-    query.arrived = ahead.since != 0 ? ahead.since : loam::boot_now();
+    query.arrived = ahead.since != 0 ? ahead.since : common::boot_now();
     station.opened();
     std::string const named =
         station.dialect().query + ": " + std::string(view(parser.get()[station.dialect().query])) + "\r\n";
@@ -120,8 +120,8 @@
       schema::Lane const* const lane =
           station.book()->find(view(parser.get()[http::field::host]), view(parser.get().target()));
       if (lane != nullptr && lane->tenancy.has_value()) {
-        tilth::TenantReading const reading = tenant_of(*lane->tenancy, parser.get());
-        if (reading.end == tilth::TenantEnd::refused) {
+        scheduling::TenantReading const reading = tenant_of(*lane->tenancy, parser.get());
+        if (reading.end == scheduling::TenantEnd::refused) {
           refuse_unread(*socket, *alarm, *patience, "400 Bad Request", named, reading.fault, bare, yield);
           station.closed();
           break;
@@ -153,22 +153,23 @@
     query.had_length = parser.content_length().has_value() || parser.chunked();
     query.keep = parser.get().keep_alive();
     query.body = std::make_shared<std::string const>(std::move(parser.get().body()));
-    ahead.since = buffer.size() > 0 ? loam::boot_now() : 0;
+    ahead.since = buffer.size() > 0 ? common::boot_now() : 0;
     query.header = before_body.has_value() ? std::move(*before_body) : std::move(parser.get().base());
     patience->close = true;
-    alarm->set(loam::boot_now() + loam::seconds(3600));
+    alarm->set(common::boot_now() + common::seconds(3600));
     // Right after a start charter and list come within a moment (section 13.8):
     // the query waits for them as it would for a place, then is refused.
     std::string_view const left = view(query.header[station.dialect().left]);
-    std::optional<loam::Span> const bearable =
+    std::optional<common::Span> const bearable =
         left.empty() ? std::nullopt
-                     : std::optional<loam::Span>(loam::milliseconds(
+                     : std::optional<common::Span>(common::milliseconds(
                            static_cast<std::int64_t>(std::min<std::uint64_t>(natural(left, 86400000), 86400000))));
-    loam::Span const hold = tilth::first_hold(station.charter_hold, query.arrived - station.begun_at(), bearable);
-    while (!station.begun() && loam::boot_now() - query.arrived < hold) {
-      loam::pause(station.context(), constants::place_pause, yield);
+    common::Span const hold =
+        scheduling::first_hold(station.charter_hold, query.arrived - station.begun_at(), bearable);
+    while (!station.begun() && common::boot_now() - query.arrived < hold) {
+      common::pause(station.context(), constants::place_pause, yield);
     }
-    std::shared_ptr<tilth::LaneBook const> const book = station.book();
+    std::shared_ptr<scheduling::LaneBook const> const book = station.book();
     bool const keep = query.keep && !station.draining();
     if (book == nullptr) {
       again = write_small(*socket, "503 Service Unavailable", named + "Retry-After: 0.5\r\n", "no_setup", keep, bare,
@@ -192,4 +193,4 @@
   alarm->stop();
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/dialect.cpp
+++ b/source/data_plane/relay/dialect.cpp
@@ -1,15 +1,15 @@
-#include "furrow/relay/dialect.hpp"
+#include "data_plane/relay/dialect.hpp"
 
 #include <charconv>
 #include <cstdlib>
 
-#include "loam/json/tree.hpp"
-#include "tilth/prefix/prefix.hpp"
+#include "common/json/tree.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-std::vector<tilth::Part> read_parts(std::string_view text) {
-  std::vector<tilth::Part> parts;
+std::vector<scheduling::Part> read_parts(std::string_view text) {
+  std::vector<scheduling::Part> parts;
   while (!text.empty()) {
     std::string_view const entry = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), entry.size() + 1));
@@ -24,7 +24,7 @@
     while (!name.empty() && name.front() == ' ') {
       name.remove_prefix(1);
     }
-    parts.push_back(tilth::Part{tilth::hash_text(name), static_cast<double>(tokens)});
+    parts.push_back(scheduling::Part{scheduling::hash_text(name), static_cast<double>(tokens)});
   }
   return parts;
 }
@@ -48,15 +48,15 @@
   dialect.directory_path = "/-/directory";
   dialect.read_parts = read_parts;
   dialect.print_directory = [](std::vector<std::string> const& addresses, double seconds) {
-    loam::Tree object(cJSON_CreateObject());
+    common::Tree object(cJSON_CreateObject());
     cJSON* const list = cJSON_AddArrayToObject(object.get(), "furrows");
     for (std::string const& address : addresses) {
       cJSON_AddItemToArray(list, cJSON_CreateString(address.c_str()));
     }
     cJSON_AddNumberToObject(object.get(), "seconds", seconds);
-    return loam::print_tree(object.get());
+    return common::print_tree(object.get());
   };
   return dialect;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/dialect.hpp
+++ b/source/data_plane/relay/dialect.hpp
@@ -6,9 +6,9 @@
 #include <string_view>
 #include <vector>
 
-#include "tilth/reuse/reuse.hpp"
+#include "scheduling/prompt_cache/prompt_cache_estimate.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// The names that callers and workers of a relay speak (section 13.2). It
 /// decides nothing: what is done with them stands in relay.cpp.
@@ -29,11 +29,11 @@
   std::string reused;      ///< header of answers: tokens of the prompt that were not read again
   std::string ready_path;
   std::string directory_path;
-  std::function<std::vector<tilth::Part>(std::string_view)> read_parts;
+  std::function<std::vector<scheduling::Part>(std::string_view)> read_parts;
   std::function<std::string(std::vector<std::string> const& addresses, double seconds)> print_directory;
 };
 [[nodiscard]] Dialect own_dialect();
 /// ID:TOKENS by commas, the id in hex (or any text, hashed).
-[[nodiscard]] std::vector<tilth::Part> read_parts(std::string_view text);
+[[nodiscard]] std::vector<scheduling::Part> read_parts(std::string_view text);
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/event_cutter.hpp
+++ b/source/data_plane/relay/event_cutter.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "furrow/relay/numbering.hpp"
+#include "data_plane/relay/numbering.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// The number that a text begins with; none: the other.
 inline std::uint64_t natural(std::string_view text, std::uint64_t otherwise) {
@@ -81,4 +81,4 @@
   std::string pending_;
 };
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/event_stream.cpp
+++ b/source/data_plane/relay/event_stream.cpp
@@ -1,15 +1,15 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <cstdio>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-tilth::Outcome Relay::talk_events(Reading& reading) {
+scheduling::Outcome Relay::talk_events(Reading& reading) {
   reading.sighting.sent = reading.sent;
   reading.resumed = chart_.last_event() > 0;
   station_.tally().resumed += reading.resumed ? 1 : 0;
@@ -17,31 +17,31 @@
   return read_events(reading);
 }
 
-tilth::Outcome Relay::read_events(Reading& reading) {
+scheduling::Outcome Relay::read_events(Reading& reading) {
   Parser& parser = *reading.parser;
-  tilth::Sighting& sighting = reading.sighting;
-  loam::Moment const sent = reading.sent;
+  scheduling::Sighting& sighting = reading.sighting;
+  common::Moment const sent = reading.sent;
   std::string bytes;
   bool ended = false;
   while (!parser.is_done()) {
     if (!read_some(reading.buffer, parser, bytes)) {
-      after_ = tilth::WorkerDefect{"cut_stream"};
-      return tilth::Outcome::defect;
+      after_ = scheduling::WorkerDefect{"cut_stream"};
+      return scheduling::Outcome::defect;
     }
     setting_aside_ = false;  // bytes were there first
     EventCutter::Whole const whole = reading.cutter.feed(bytes, numbering_);
     if (whole.gap) {  // nothing of it was passed on: another may do better
-      after_ = tilth::WorkerDefect{"gap"};
-      return tilth::Outcome::defect;
+      after_ = scheduling::WorkerDefect{"gap"};
+      return scheduling::Outcome::defect;
     }
     if (parser.is_done() && (!reading.cutter.rest().empty() || !ended_whole(parser))) {
-      after_ = tilth::WorkerDefect{"cut_event"};
-      return tilth::Outcome::defect;
+      after_ = scheduling::WorkerDefect{"cut_event"};
+      return scheduling::Outcome::defect;
     }
     if (whole.count == 0 && whole.bytes.empty()) {
       continue;
     }
-    loam::Moment const now = loam::boot_now();
+    common::Moment const now = common::boot_now();
     station_.grove().heard(spot_.worker, now);
     sighting.event(whole.count, now);
     if (first_at_ == 0) {
@@ -63,29 +63,29 @@
     std::snprintf(size, sizeof(size), "%zx\r\n", whole.bytes.size());
     text.append(size).append(whole.bytes).append("\r\n");
     // The chart counts what was passed on, whatever the worker's numbers are.
-    feed(tilth::Event{chart_.last_event() + 1, false, numbering_.position_known()});
+    feed(scheduling::Event{chart_.last_event() + 1, false, numbering_.position_known()});
     if (parser.is_done()) {
       ended = true;
       text.append("0\r\n\r\n");
     }
     if (!write(text)) {
-      after_ = tilth::CallerGone{};
-      return tilth::Outcome::abandoned;
+      after_ = scheduling::CallerGone{};
+      return scheduling::Outcome::abandoned;
     }
   }
   if (!began_) {
-    after_ = tilth::WorkerDefect{"no_event"};
-    return tilth::Outcome::defect;
+    after_ = scheduling::WorkerDefect{"no_event"};
+    return scheduling::Outcome::defect;
   }
   if (!ended) {  // the end came by itself, behind the last event
     (void)write("0\r\n\r\n");
   }
-  feed(tilth::StreamEnded{});
+  feed(scheduling::StreamEnded{});
   after_answer(reading.buffer, parser);
   if (!reading.resumed) {
     station_.saw(std::move(sighting), spot_, wanted_);
   }
-  return tilth::Outcome::good;
+  return scheduling::Outcome::good;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/header_fields.cpp
+++ b/source/data_plane/relay/header_fields.cpp
@@ -1,10 +1,10 @@
-#include "furrow/relay/header_fields.hpp"
+#include "data_plane/relay/header_fields.hpp"
 
 #include <algorithm>
 
-#include "loam/random/random.hpp"
+#include "common/random/random.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace {
 
@@ -33,7 +33,7 @@
 }
 
 double draw() {
-  return static_cast<double>(loam::random_number() % 1000000) / 1e6;
+  return static_cast<double>(common::random_number() % 1000000) / 1e6;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/header_fields.hpp
+++ b/source/data_plane/relay/header_fields.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 inline std::string_view view(boost::beast::string_view text) {
   return {text.data(), text.size()};
@@ -44,4 +44,4 @@
 /// What `natural` gives where no number stands.
 inline constexpr std::uint64_t not_natural = std::numeric_limits<std::uint64_t>::max();
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/numbering.hpp
+++ b/source/data_plane/relay/numbering.hpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <optional>
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// Which events of a stream the caller has, and how their numbers rise, so that a
 /// gap at a worker that takes the stream up can be told (section 13.8). Where
@@ -68,4 +68,4 @@
   bool joint_ = true;                    ///< the next event is the first that this worker adds
 };
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/walls.cpp
+++ b/source/data_plane/relay/prompt_isolation.cpp
@@ -1,21 +1,22 @@
-#include "furrow/relay/walls.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
 
 #include <filesystem>
 #include <fstream>
 #include <random>
 #include <sstream>
 
-#include "furrow/relay/station.hpp"
-#include "loam/error/error.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
-#include "loam/wall_constants.hpp"
+#include "common/error/error.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
+#include "common/prompt_isolation_constants.hpp"
+#include "data_plane/relay/relay_server.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace http = boost::beast::http;
 
-tilth::TenantReading tenant_of(schema::Tenancy const& tenancy, http::fields const& header, std::string_view target) {
+scheduling::TenantReading tenant_of(schema::Tenancy const& tenancy, http::fields const& header,
+                                    std::string_view target) {
   std::vector<std::string_view> values;
   if (!tenancy.header.empty()) {
     std::pair<http::fields::const_iterator, http::fields::const_iterator> const range =
@@ -24,7 +25,7 @@
       values.emplace_back(entry->value().data(), entry->value().size());
     }
   }
-  return tilth::read_tenant(tenancy, values, target);
+  return scheduling::read_tenant(tenancy, values, target);
 }
 
 std::string model_of(http::fields const& header, std::string const& name) {
@@ -46,17 +47,17 @@
   return numbers;
 }
 
-absl::StatusOr<tilth::Secrets> load_secrets(std::string const& path) {
+absl::StatusOr<scheduling::Secrets> load_secrets(std::string const& path) {
   std::ifstream file(path);
   std::stringstream content;
   content << file.rdbuf();
   if (!file) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "secrets", path + " can't be read");
+    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", path + " can't be read");
   }
-  return tilth::read_secrets(content.str());
+  return scheduling::read_secrets(content.str());
 }
 
-void Station::follow_secrets(loam::Yield yield) {
+void Station::follow_secrets(common::Yield yield) {
   std::pair<std::filesystem::file_time_type, std::uintmax_t> seen;
   bool first = true;
   while (true) {
@@ -67,22 +68,22 @@
     if (first || stamp != seen) {
       first = false;
       seen = stamp;
-      absl::StatusOr<tilth::Secrets> secrets = load_secrets(settings_.secrets_file);
+      absl::StatusOr<scheduling::Secrets> secrets = load_secrets(settings_.secrets_file);
       if (secrets.ok()) {
-        loam::note(loam::Event::SecretsRead, std::to_string(secrets->moved) + " of 100");
+        common::note(common::Event::SecretsRead, std::to_string(secrets->moved) + " of 100");
         walls_.take(std::move(*secrets));
       } else {
-        loam::note(loam::Event::SecretsBroken, std::string(secrets.status().message()));
+        common::note(common::Event::SecretsBroken, std::string(secrets.status().message()));
       }
     }
-    loam::pause(context_, loam::constants::secrets_pause, yield);
+    common::pause(context_, common::constants::secrets_pause, yield);
   }
 }
 
 namespace {
-tilth::TenantTally sum_of(tilth::Walls const& walls) {
-  tilth::TenantTally sum = walls.others();
-  for (std::pair<std::string, tilth::TenantTally> const& entry : walls.tallies()) {
+scheduling::TenantTally sum_of(scheduling::Walls const& walls) {
+  scheduling::TenantTally sum = walls.others();
+  for (std::pair<std::string, scheduling::TenantTally> const& entry : walls.tallies()) {
     sum.queries += entry.second.queries;
     sum.cold += entry.second.cold;
     sum.tokens += entry.second.tokens;
@@ -91,7 +92,7 @@
   return sum;
 }
 
-void add(cJSON* list, std::string const& name, tilth::TenantTally const& tally) {
+void add(cJSON* list, std::string const& name, scheduling::TenantTally const& tally) {
   cJSON* const entry = cJSON_CreateObject();
   cJSON_AddStringToObject(entry, "name", name.c_str());
   cJSON_AddNumberToObject(entry, "queries", static_cast<double>(tally.queries));
@@ -102,8 +103,8 @@
 }
 }  // namespace
 
-std::string print_wall_metrics(tilth::Walls const& walls) {
-  tilth::TenantTally const sum = sum_of(walls);
+std::string print_wall_metrics(scheduling::Walls const& walls) {
+  scheduling::TenantTally const sum = sum_of(walls);
   std::stringstream text;
   text << "# TYPE relay_wall_crossings_total counter\nrelay_wall_crossings_total " << walls.crossings()
        << "\nrelay_wall_queries_total " << sum.queries << "\nrelay_wall_cold_total " << sum.cold
@@ -113,16 +114,16 @@
   return text.str();
 }
 
-std::string print_tenants(tilth::Walls const& walls) {
-  loam::Tree object(cJSON_CreateObject());
+std::string print_tenants(scheduling::Walls const& walls) {
+  common::Tree object(cJSON_CreateObject());
   cJSON* const list = cJSON_AddArrayToObject(object.get(), "tenants");
-  for (std::pair<std::string, tilth::TenantTally> const& entry : walls.tallies()) {
+  for (std::pair<std::string, scheduling::TenantTally> const& entry : walls.tallies()) {
     add(list, entry.first, entry.second);
   }
   cJSON* const others = cJSON_AddArrayToObject(object.get(), "others");
   add(others, "", walls.others());
   cJSON_AddNumberToObject(object.get(), "crossings", static_cast<double>(walls.crossings()));
-  return loam::print_tree(object.get());
+  return common::print_tree(object.get());
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -1,20 +1,20 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
 #include <limits>
 
-#include "furrow/relay/walls.hpp"
-#include "loam/log/log.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/log/log.hpp"
+#include "common/relay_constants.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
 Relay::Relay(Station& station, Query& query, schema::Lane const& lane, Socket& caller, ReadAhead& ahead,
-             std::shared_ptr<tilth::LaneBook const> book, loam::Yield yield)
+             std::shared_ptr<scheduling::LaneBook const> book, common::Yield yield)
     : station_(station),
       query_(query),
       book_(std::move(book)),
@@ -24,12 +24,12 @@
       yield_(yield),
       bare_(query.header.method() == http::verb::head),
       id_(view(query.header[station.dialect().query])),
-      deadline_(query.arrived + loam::milliseconds(static_cast<std::int64_t>(lane.deadline_ms))),
-      chart_(terms(lane), [this](loam::Moment) { return may_spend(true); }),
+      deadline_(query.arrived + common::milliseconds(static_cast<std::int64_t>(lane.deadline_ms))),
+      chart_(terms(lane), [this](common::Moment) { return may_spend(true); }),
       silence_(station.mechanisms().silence) {
   std::string_view const left = view(query.header[station.dialect().left]);
   if (!left.empty()) {
-    deadline_ = std::min(deadline_, query.arrived + loam::milliseconds(static_cast<std::int64_t>(
+    deadline_ = std::min(deadline_, query.arrived + common::milliseconds(static_cast<std::int64_t>(
                                                         std::min<std::uint64_t>(natural(left, 86400000), 86400000))));
   }
   std::uint64_t const behind = natural(view(query.header[station.dialect().last_event]), not_natural);
@@ -58,9 +58,9 @@
   perform(chart_.begin());
   while (!chart_.settled()) {
     if (gone_) {
-      feed(tilth::CallerGone{});
-    } else if (loam::boot_now() >= deadline_) {
-      feed(tilth::DeadlinePassed{});
+      feed(scheduling::CallerGone{});
+    } else if (common::boot_now() >= deadline_) {
+      feed(scheduling::DeadlinePassed{});
     } else if (back_) {
       back_ = false;
       go_back();
@@ -68,7 +68,7 @@
       place_next_ = false;
       dispatch();
     } else {
-      feed(tilth::WorkerDefect{"internal"});
+      feed(scheduling::WorkerDefect{"internal"});
       break;
     }
   }
@@ -77,14 +77,14 @@
   error_code ignored;
   drop_probe();
   caller_.cancel(ignored);
-  tilth::Settled const* const settled = std::get_if<tilth::Settled>(&chart_.state());
+  scheduling::Settled const* const settled = std::get_if<scheduling::Settled>(&chart_.state());
   tell_late(settled == nullptr ? "open" : settled->how);
   ++station_.tally().outcomes[settled == nullptr ? "open" : settled->how];
   return keep_;
 }
 
-tilth::QueryTerms Relay::terms(schema::Lane const& lane) {
-  tilth::QueryTerms terms;
+scheduling::QueryTerms Relay::terms(schema::Lane const& lane) {
+  scheduling::QueryTerms terms;
   terms.resumable = lane.stream && lane.resumable;
   terms.repeatable = lane.repeatable || terms.resumable;
   terms.stream = lane.stream;
@@ -93,18 +93,18 @@
 }
 
 void Relay::tell_late(std::string const& how) const {
-  loam::Span const first = (first_at_ == 0 ? loam::boot_now() : first_at_) - query_.arrived;
+  common::Span const first = (first_at_ == 0 ? common::boot_now() : first_at_) - query_.arrived;
   if (lane_.set_point_ms <= 0 || static_cast<double>(first) / 1000 < lane_.set_point_ms) {
     return;
   }
-  loam::note(loam::Event::QueryLate, id_ + " " + lane_.name + " " + how + " first " + std::to_string(first / 1000) +
-                                         " ms of " + std::to_string((loam::boot_now() - query_.arrived) / 1000) +
-                                         " tokens " + std::to_string(static_cast<std::uint64_t>(wanted_.tokens)) +
-                                         trail_);
+  common::note(common::Event::QueryLate, id_ + " " + lane_.name + " " + how + " first " + std::to_string(first / 1000) +
+                                             " ms of " + std::to_string((common::boot_now() - query_.arrived) / 1000) +
+                                             " tokens " + std::to_string(static_cast<std::uint64_t>(wanted_.tokens)) +
+                                             trail_);
 }
 
-void Relay::perform(std::vector<tilth::QueryAction> const& actions) {
-  for (tilth::QueryAction const& action : actions) {
+void Relay::perform(std::vector<scheduling::QueryAction> const& actions) {
+  for (scheduling::QueryAction const& action : actions) {
     std::visit([this](auto const& entry) { act(entry); }, action);
   }
 }
@@ -113,27 +113,29 @@
   if (station_.book() == book_ || station_.book() == nullptr) {
     return;
   }
-  std::shared_ptr<tilth::LaneBook const> const current = station_.book();
+  std::shared_ptr<scheduling::LaneBook const> const current = station_.book();
   std::string_view const target = view(query_.header.target());
   schema::Lane const* const found = current->find(view(query_.header[http::field::host]), target);
   book_ = current;
-  tilth::Decided decided;
+  scheduling::Decided decided;
   if (found == nullptr) {
     withdrawn_lane_ = true;
-    decided.standing = tilth::Standing::none;
+    decided.standing = scheduling::Standing::none;
   } else {
     lane_ = *found;
     enter_wall();
     if (!tenant_fault_.empty()) {
-      decided.standing = tilth::Standing::none;
+      decided.standing = scheduling::Standing::none;
     }
-    tilth::QueryTerms const next = terms(lane_);
+    scheduling::QueryTerms const next = terms(lane_);
     decided.repeatable = next.repeatable;
     decided.resumable = next.resumable;
     decided.stream = next.stream;
-    deadline_ = std::min(deadline_, query_.arrived + loam::milliseconds(static_cast<std::int64_t>(lane_.deadline_ms)));
+    deadline_ =
+        std::min(deadline_, query_.arrived + common::milliseconds(static_cast<std::int64_t>(lane_.deadline_ms)));
   }
-  if (aside_ != nullptr && (decided.standing != tilth::Standing::serve || !decided.repeatable || !decided.resumable)) {
+  if (aside_ != nullptr &&
+      (decided.standing != scheduling::Standing::serve || !decided.repeatable || !decided.resumable)) {
     later_ = decided;  // it may run nowhere else any more, but finish where it runs
     back_ = true;
     return;
@@ -141,7 +143,7 @@
   feed(decided);
 }
 
-void Relay::feed_or_return(tilth::QueryMessage const& message) {
+void Relay::feed_or_return(scheduling::QueryMessage const& message) {
   if (aside_ != nullptr) {
     back_ = true;
   } else {
@@ -149,4 +151,4 @@
   }
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/relay.hpp
+++ b/source/data_plane/relay/relay.hpp
@@ -8,14 +8,14 @@
 #include <string>
 #include <vector>
 
-#include "furrow/relay/event_cutter.hpp"
-#include "furrow/relay/header_fields.hpp"
-#include "furrow/relay/station.hpp"
-#include "tilth/chart/chart.hpp"
-#include "tilth/silence/silence_watch.hpp"
-#include "tilth/wall/tenant.hpp"
+#include "data_plane/relay/event_cutter.hpp"
+#include "data_plane/relay/header_fields.hpp"
+#include "data_plane/relay/relay_server.hpp"
+#include "scheduling/prompt_isolation/tenant.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
+#include "scheduling/stall_detection/stall_detector.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace http = boost::beast::http;
 
@@ -25,21 +25,21 @@
   std::shared_ptr<std::string const> body;  ///< shared with a write that may still be under way
   bool had_length = false;
   bool keep = true;
-  loam::Moment arrived = 0;
+  common::Moment arrived = 0;
 };
 
 /// Bytes of a caller's connection that were read before their request's turn.
 struct ReadAhead {
   boost::beast::flat_buffer buffer;
-  loam::Moment since = 0;  ///< when its first byte came; 0: not while another request was served
+  common::Moment since = 0;  ///< when its first byte came; 0: not while another request was served
 };
 
 /// One query on its way to workers and back (section 13.8). It lives on its caller's coroutine, which is on the
 /// relay's one thread; whatever outlives it (timers, the watch on the caller) reaches it through a guard.
 /// Its members are defined by job:
 /// - relay.cpp: begin to end, and what the chart decides
-/// - caller_watch.cpp: a caller that leaves, the deadline
-/// - silence.cpp: a worker that says nothing
+/// - caller_monitor.cpp: a caller that leaves, the deadline
+/// - stall.cpp: a worker that says nothing
 /// - attempt.cpp: a place, a connection, retries, and the return to a worker that was set aside
 /// - request_head.cpp: the head that goes to a worker
 /// - worker_answer.cpp: a worker's answer, refused, whole or no answer at all
@@ -49,7 +49,7 @@
 class Relay {
  public:
   Relay(Station& station, Query& query, schema::Lane const& lane, Socket& caller, ReadAhead& ahead,
-        std::shared_ptr<tilth::LaneBook const> book, loam::Yield yield);
+        std::shared_ptr<scheduling::LaneBook const> book, common::Yield yield);
   /// False: the caller's connection is of no more use.
   bool run();
 
@@ -73,24 +73,24 @@
     boost::beast::flat_buffer buffer;
     std::unique_ptr<Parser> parser;
     EventCutter cutter;
-    tilth::Sighting sighting;
-    loam::Moment sent = 0;
+    scheduling::Sighting sighting;
+    common::Moment sent = 0;
     bool first = true;
     bool resumed = false;
-    tilth::Spot spot;
-    tilth::Walled walled;
+    scheduling::Spot spot;
+    scheduling::Walled walled;
     std::unique_ptr<Socket> socket;
   };
   using WorkerHeader = Parser::value_type;
 
-  static tilth::QueryTerms terms(schema::Lane const& lane);
+  static scheduling::QueryTerms terms(schema::Lane const& lane);
   [[nodiscard]] bool repeatable() const { return chart_.may_repeat(); }
   /// Whose prompt it is, by the newest word on its lane (section 14.1).
   void enter_wall();
   /// What the worker tells of versions and reuse (section 14.3).
   void hear_wall(WorkerHeader const& got, bool ran);
   /// What the worker keeps of the prompt from now on; ids used once it won't need.
-  [[nodiscard]] std::vector<tilth::Part> kept_parts() const;
+  [[nodiscard]] std::vector<scheduling::Part> kept_parts() const;
   bool may_spend(bool spend);
   /// Section 13.3: which stage took how long, where an answer missed its set point.
   void tell_late(std::string const& how) const;
@@ -100,25 +100,25 @@
   bool look_at_caller();
   void cut();
   void rang();
-  void act(tilth::WaitUntil const& wait);
-  void act(tilth::ProbeWorker const& probe);
+  void act(scheduling::WaitUntil const& wait);
+  void act(scheduling::ProbeWorker const& probe);
   /// Silence: another worker is asked if the request may be repeated, a right is there, and another has a place; else
   /// this one may take its time.
-  void act(tilth::GiveUp const&);
-  void perform(tilth::SilenceAction const& action);
-  [[nodiscard]] bool may_ask_another(loam::Moment now);
+  void act(scheduling::GiveUp const&);
+  void perform(scheduling::SilenceAction const& action);
+  [[nodiscard]] bool may_ask_another(common::Moment now);
   void drop_probe();
-  void feed(tilth::QueryMessage const& message) { perform(chart_.advance(message, loam::boot_now())); }
-  void perform(std::vector<tilth::QueryAction> const& actions);
-  void act(tilth::Place const&) { place_next_ = true; }
-  void act(tilth::PassOn const&) { feed(tilth::NoRoom{}); }
-  void act(tilth::SendHome const&) { refuse(); }
-  void act(tilth::Forward const&) {}
-  void act(tilth::Deliver const&) { (void)write_whole(); }
-  void act(tilth::Refuse const& reason);
-  void act(tilth::Apologise const& apologise);
-  void act(tilth::EndBroken const& broken);
-  void act(tilth::Abandon const&) { keep_ = false; }
+  void feed(scheduling::QueryMessage const& message) { perform(chart_.advance(message, common::boot_now())); }
+  void perform(std::vector<scheduling::QueryAction> const& actions);
+  void act(scheduling::Place const&) { place_next_ = true; }
+  void act(scheduling::PassOn const&) { feed(scheduling::NoRoom{}); }
+  void act(scheduling::SendHome const&) { refuse(); }
+  void act(scheduling::Forward const&) {}
+  void act(scheduling::Deliver const&) { (void)write_whole(); }
+  void act(scheduling::Refuse const& reason);
+  void act(scheduling::Apologise const& apologise);
+  void act(scheduling::EndBroken const& broken);
+  void act(scheduling::Abandon const&) { keep_ = false; }
   /// Final, at once, with the time to come back at: nothing ran (section 9.8).
   void refuse() { answer("503 Service Unavailable", "no_place", true); }
   void answer(std::string const& status, std::string const& reason, bool come_back);
@@ -133,11 +133,11 @@
   /// A dispatch is over, or was set aside: the chart hears how.
   void after_talk();
   /// While a worker is set aside, what would end the query leads back to it.
-  void feed_or_return(tilth::QueryMessage const& message);
+  void feed_or_return(scheduling::QueryMessage const& message);
   /// No other one goes on with the stream: the silent one may take its time.
   void go_back();
   [[nodiscard]] bool still_named() const;
-  void keep_worker(loam::Span longest);
+  void keep_worker(common::Span longest);
   /// Closes the worker's connection; it lives on until a write under way has heard of that.
   void drop_worker();
   /// A connection. A kept one may turn out stale just as bytes go out, so what
@@ -145,12 +145,12 @@
   bool reach();
   [[nodiscard]] std::string head() const;
   /// The wait for the worker's next bytes begins anew.
-  void expect_bytes(double set_point_ms, loam::Moment now);
+  void expect_bytes(double set_point_ms, common::Moment now);
   /// The set point of pauses between events.
   [[nodiscard]] double pause_set_point_ms() const;
   /// The next bytes of the answer; false: cut, silent or no answer at all.
   bool read_some(boost::beast::flat_buffer& buffer, Parser& parser, std::string& bytes);
-  tilth::Outcome talk();
+  scheduling::Outcome talk();
   /// Writes head and body while the answer is read already.
   void begin_sending();
   /// Reads up to the head of the final answer; false: there was none.
@@ -165,42 +165,42 @@
   void finish_reading(boost::beast::flat_buffer& buffer, Parser& parser);
   /// The worker's head for the caller, without what concerns its connection.
   [[nodiscard]] std::string answer_head(Parser const& parser) const;
-  tilth::Outcome talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status);
-  tilth::Outcome talk_events(Reading& reading);
-  tilth::Outcome read_events(Reading& reading);
+  scheduling::Outcome talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status);
+  scheduling::Outcome talk_events(Reading& reading);
+  scheduling::Outcome read_events(Reading& reading);
   Station& station_;
   Query& query_;
-  std::shared_ptr<tilth::LaneBook const> book_;
+  std::shared_ptr<scheduling::LaneBook const> book_;
   schema::Lane lane_;
   Socket& caller_;
   ReadAhead& ahead_;
-  loam::Yield yield_;
+  common::Yield yield_;
   bool const bare_;  ///< it is a HEAD: no answer to it has a body
   std::shared_ptr<Guard> const guard_ = std::make_shared<Guard>();
   std::string id_;
-  loam::Moment deadline_;
-  tilth::Chart chart_;
-  tilth::Wanted wanted_;
-  tilth::Spot spot_;
-  std::optional<tilth::Prompt> prompt_;  ///< where its lane has tenants
-  tilth::Walled walled_;                 ///< as it went to the last worker
+  common::Moment deadline_;
+  scheduling::Chart chart_;
+  scheduling::Wanted wanted_;
+  scheduling::Spot spot_;
+  std::optional<scheduling::Prompt> prompt_;  ///< where its lane has tenants
+  scheduling::Walled walled_;                 ///< as it went to the last worker
   std::string tenant_fault_;
   std::vector<std::string> homes_;
   std::string service_;
   std::shared_ptr<Alarm> alarm_;
   std::unique_ptr<Socket> worker_;
-  std::shared_ptr<Reading> reading_;     ///< of the dispatch under way
-  std::shared_ptr<Reading> aside_;       ///< given up for its silence; goes on if no other does
-  std::optional<tilth::Decided> later_;  ///< told to the chart once it is back there
+  std::shared_ptr<Reading> reading_;          ///< of the dispatch under way
+  std::shared_ptr<Reading> aside_;            ///< given up for its silence; goes on if no other does
+  std::optional<scheduling::Decided> later_;  ///< told to the chart once it is back there
   boost::asio::steady_timer* seat_ = nullptr;
-  std::optional<tilth::QueryMessage> after_;
+  std::optional<scheduling::QueryMessage> after_;
   std::string whole_;
   std::string whole_body_;
   Numbering numbering_;  ///< of the events that the caller has
-  tilth::SilenceWatch silence_;
+  scheduling::SilenceWatch silence_;
   std::shared_ptr<Socket> probe_;  ///< connects to a worker that says nothing, to tell a busy one from a lost one
   int connects_ = 0;
-  loam::Moment first_at_ = 0;
+  common::Moment first_at_ = 0;
   std::string trail_;  ///< workers it was placed on: when, predicted
   bool setting_aside_ = false;
   bool back_ = false;      ///< to the one set aside
@@ -216,4 +216,4 @@
   bool withdrawn_lane_ = false;
 };
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/station.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -1,4 +1,4 @@
-#include "furrow/relay/station.hpp"
+#include "data_plane/relay/relay_server.hpp"
 
 #include <sys/socket.h>
 
@@ -10,30 +10,30 @@
 #include <cstring>
 #include <sstream>
 
-#include "config/charter/proposal.hpp"
+#include "common/invariant/invariant.hpp"
+#include "common/json/tree.hpp"
+#include "common/log/log.hpp"
+#include "common/prompt_isolation_constants.hpp"
+#include "common/random/random.hpp"
+#include "common/relay_constants.hpp"
 #include "config/evacuation/proposal.hpp"
+#include "config/routing/proposal.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "furrow/relay/adopted_checks.hpp"
-#include "furrow/relay/walls.hpp"
-#include "loam/invariant/invariant.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/log/log.hpp"
-#include "loam/random/random.hpp"
-#include "loam/relay_constants.hpp"
-#include "loam/wall_constants.hpp"
-#include "tilth/scaler/pools.hpp"
-
-namespace finchlink::furrow {
+#include "data_plane/relay/adopted_checks.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
+#include "scheduling/scaler/pools.hpp"
+
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-void start_small(asio::io_context& context, std::function<void(loam::Yield)> body) {
+void start_small(asio::io_context& context, std::function<void(common::Yield)> body) {
   asio::spawn(
       context, std::allocator_arg, boost::context::fixedsize_stack(constants::relay_stack),
-      [body = std::move(body)](loam::Yield yield) { body(yield); },
+      [body = std::move(body)](common::Yield yield) { body(yield); },
       [](std::exception_ptr error) {
         if (error) {
           std::rethrow_exception(error);
@@ -41,7 +41,7 @@
       });
 }
 
-void Alarm::set(loam::Moment due) {
+void Alarm::set(common::Moment due) {
   due_ = due;
   if (armed_for_ == 0 || due_ < armed_for_) {
     arm();
@@ -55,13 +55,13 @@
 
 void Alarm::arm() {
   armed_for_ = due_;
-  timer_.expires_after(loam::duration(std::max<loam::Span>(due_ - loam::boot_now(), 0)));
+  timer_.expires_after(common::duration(std::max<common::Span>(due_ - common::boot_now(), 0)));
   timer_.async_wait([self = shared_from_this()](error_code const& error) {
     if (error || self->over_) {
       return;
     }
     self->armed_for_ = 0;
-    if (loam::boot_now() < self->due_) {
+    if (common::boot_now() < self->due_) {
       self->arm();
     } else {
       self->ring_();
@@ -93,40 +93,40 @@
       trellises_(settings.seeds) {}
 
 absl::Status Station::begin() {
-  begun_at_ = loam::boot_now();
-  absl::StatusOr<tilth::Mechanisms> const mechanisms = tilth::mechanisms_without(settings_.without);
+  begun_at_ = common::boot_now();
+  absl::StatusOr<scheduling::Mechanisms> const mechanisms = scheduling::mechanisms_without(settings_.without);
   if (!mechanisms.ok()) {
     return mechanisms.status();
   }
   mechanisms_ = *mechanisms;
-  grove_ = tilth::Grove(mechanisms_.grove);
-  absl::Status status =
-      listen(settings_.http_address,
-             [this](std::shared_ptr<Socket> const& socket, loam::Yield yield) { serve_caller(*this, socket, yield); });
+  grove_ = scheduling::Grove(mechanisms_.grove);
+  absl::Status status = listen(
+      settings_.http_address,
+      [this](std::shared_ptr<Socket> const& socket, common::Yield yield) { serve_caller(*this, socket, yield); });
   for (std::string const& address : {settings_.ready_address, settings_.directory_address}) {
     if (status.ok() && !address.empty()) {
-      status = listen(address,
-                      [this](std::shared_ptr<Socket> const& socket, loam::Yield yield) { serve_small(socket, yield); });
+      status = listen(
+          address, [this](std::shared_ptr<Socket> const& socket, common::Yield yield) { serve_small(socket, yield); });
     }
   }
   if (!status.ok()) {
     return status;
   }
-  start_small(context_, [this](loam::Yield yield) { ask_news(yield); });
-  start_small(context_, [this](loam::Yield yield) { read_own_list(yield); });
+  start_small(context_, [this](common::Yield yield) { ask_news(yield); });
+  start_small(context_, [this](common::Yield yield) { read_own_list(yield); });
   if (!settings_.secrets_file.empty()) {
-    start_small(context_, [this](loam::Yield yield) { follow_secrets(yield); });
+    start_small(context_, [this](common::Yield yield) { follow_secrets(yield); });
   }
   return absl::OkStatus();
 }
 
 absl::Status Station::listen(std::string const& address,
-                             std::function<void(std::shared_ptr<Socket>, loam::Yield)> session) {
-  absl::StatusOr<loam::Endpoint> endpoint = loam::read_endpoint(address);
+                             std::function<void(std::shared_ptr<Socket>, common::Yield)> session) {
+  absl::StatusOr<common::Endpoint> endpoint = common::read_endpoint(address);
   if (!endpoint.ok()) {
     return endpoint.status();
   }
-  *endpoint = loam::own_endpoint(*endpoint);
+  *endpoint = common::own_endpoint(*endpoint);
   std::shared_ptr<Acceptor> const held = std::make_shared<Acceptor>(Acceptor{asio::ip::tcp::acceptor(context_)});
   error_code error;
   held->acceptor.open(endpoint->protocol(), error);
@@ -143,7 +143,7 @@
     return absl::UnavailableError("relay: " + address + ": " + error.message());
   }
   acceptors_.push_back(held);
-  start_small(context_, [this, held, session](loam::Yield yield) {
+  start_small(context_, [this, held, session](common::Yield yield) {
     while (held->acceptor.is_open()) {
       std::shared_ptr<Socket> const socket = std::make_shared<Socket>(context_);
       error_code defect;
@@ -152,12 +152,12 @@
         if (!held->acceptor.is_open() || defect == asio::error::operation_aborted) {
           return;
         }
-        loam::pause(context_, loam::milliseconds(20), yield);
+        common::pause(context_, common::milliseconds(20), yield);
         continue;
       }
       error_code ignored;
       socket->set_option(asio::ip::tcp::no_delay(true), ignored);
-      start_small(context_, [socket, session](loam::Yield inner) {
+      start_small(context_, [socket, session](common::Yield inner) {
         session(socket, inner);
         error_code closing;
         socket->close(closing);
@@ -167,10 +167,10 @@
   return absl::OkStatus();
 }
 
-tilth::Rights& Station::rights(std::string const& service) {
-  tilth::Rights& rights = rights_[service];
+scheduling::Rights& Station::rights(std::string const& service) {
+  scheduling::Rights& rights = rights_[service];
   rights.bound(settings_.bounds.retry_ratio, settings_.bounds.retry_slack,
-               static_cast<double>(std::max<std::size_t>(1, census_.furrows(loam::boot_now()).size())));
+               static_cast<double>(std::max<std::size_t>(1, census_.furrows(common::boot_now()).size())));
   return rights;
 }
 
@@ -179,7 +179,7 @@
   if (found == kept_.end()) {
     return nullptr;
   }
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   while (!found->second.empty()) {
     Kept entry = std::move(found->second.back());
     found->second.pop_back();
@@ -195,9 +195,9 @@
   return nullptr;
 }
 
-void Station::keep(std::string const& worker, std::unique_ptr<Socket> socket, loam::Span longest) {
+void Station::keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest) {
   std::deque<Kept>& idle = kept_[worker];
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   while (!idle.empty() && (idle.size() >= constants::worker_idle_most || now >= idle.front().until)) {
     idle.pop_front();
   }
@@ -206,15 +206,15 @@
 
 void Station::drain() {
   draining_ = true;
-  leaving_since_ = loam::boot_now();
-  start_small(context_, [this](loam::Yield yield) {
+  leaving_since_ = common::boot_now();
+  start_small(context_, [this](common::Yield yield) {
     schema::NewsAsk const asked = ask({});
     // A copy: news that come meanwhile replace the list that is walked here.
     std::vector<std::string> const told = trellises_;
     for (std::size_t index = 0; index < std::min(constants::lost_asks, told.size()); ++index) {
       if (caller_
-              .call(told[index], asked, loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms)),
-                    yield)
+              .call(told[index], asked,
+                    common::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms)), yield)
               .ok()) {
         break;
       }
@@ -223,8 +223,8 @@
 }
 
 bool Station::busy() const {
-  loam::Moment const now = loam::boot_now();
-  loam::Span const grace = loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.grace_ms));
+  common::Moment const now = common::boot_now();
+  common::Span const grace = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.grace_ms));
   if (now - leaving_since_ < std::min(constants::leave_linger, grace / 2)) {
     return true;
   }
@@ -250,14 +250,14 @@
   return schema::NewsAsk{self(), 0, list_.digest(), members_.digest(), std::move(reports)};
 }
 
-void Station::ask_news(loam::Yield yield) {
-  std::size_t turn = loam::random_number() % std::max<std::size_t>(1, trellises_.size());
+void Station::ask_news(common::Yield yield) {
+  std::size_t turn = common::random_number() % std::max<std::size_t>(1, trellises_.size());
   while (true) {
-    loam::Moment const asked = loam::boot_now();
+    common::Moment const asked = common::boot_now();
     bool const was_ready = ready();
     schema::NewsAsk const query = ask(reports(asked));
     std::string from;
-    loam::Span const patience = loam::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms));
+    common::Span const patience = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms));
     if (lost_) {
       // Some may be down, and say nothing: a few are asked, the first who is sure
       // counts. More would each send the whole charter to a furrow without one.
@@ -266,7 +266,7 @@
         calls.emplace_back(trellises_[(turn + index) % trellises_.size()], query);
       }
       turn += 1;
-      loam::Gather::run(
+      common::Gather::run(
           context_, caller_, calls, std::min(patience, lost_patience),
           [&](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
             schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
@@ -298,24 +298,24 @@
       }
     }
     lost_ = from.empty();
-    loam::Span const spent = loam::boot_now() - asked;
+    common::Span const spent = common::boot_now() - asked;
     if (lost_) {
       turn += 1;
       if (spent < constants::ask_retry) {
-        loam::pause(context_, constants::ask_retry, yield);
+        common::pause(context_, constants::ask_retry, yield);
       }
       continue;
     }
     turn = static_cast<std::size_t>(std::find(trellises_.begin(), trellises_.end(), from) - trellises_.begin());
     if (ready() == was_ready && spent < constants::ask_least) {
-      loam::pause(context_, constants::ask_least - spent, yield);
+      common::pause(context_, constants::ask_least - spent, yield);
     }
   }
 }
 
 void Station::heard_from(schema::NewsAnswer const& news) {
   heard_ = true;
-  heard_at_ = loam::boot_now();
+  heard_at_ = common::boot_now();
   know_trellises(news.colleagues);
 }
 
@@ -348,19 +348,20 @@
   know_trellises(known);
 }
 
-void Station::read_own_list(loam::Yield yield) {
+void Station::read_own_list(common::Yield yield) {
   while (true) {
-    loam::pause(context_, constants::own_list_after / 4, yield);
-    loam::Moment const now = loam::boot_now();
+    common::pause(context_, constants::own_list_after / 4, yield);
+    common::Moment const now = common::boot_now();
     if (list_reader_ == nullptr || book_ == nullptr ||
         now - std::max(list_.as_of(), heard_at_) < constants::own_list_after) {
       continue;
     }
     // No trellis tells of workers: one look of its own, spread over the furrows.
-    loam::pause(context_,
-                static_cast<loam::Span>(loam::random_number() % static_cast<std::uint64_t>(constants::own_list_after)),
-                yield);
-    loam::Moment const asked = loam::boot_now();
+    common::pause(
+        context_,
+        static_cast<common::Span>(common::random_number() % static_cast<std::uint64_t>(constants::own_list_after)),
+        yield);
+    common::Moment const asked = common::boot_now();
     if (asked - std::max(list_.as_of(), heard_at_) < constants::own_list_after) {
       continue;
     }
@@ -373,22 +374,22 @@
   }
 }
 
-void Station::take(schema::NewsAnswer const& answer, loam::Moment asked) {
+void Station::take(schema::NewsAnswer const& answer, common::Moment asked) {
   report_ms_ = answer.report_ms;
   while (!reports_.empty() && reports_.front().slice <= answer.reports_taken) {
     reports_.pop_front();
   }
   bool changed = false;
-  for (schema::NamedValue const& news : vouch_.take(answer, asked, loam::boot_now())) {
+  for (schema::NamedValue const& news : vouch_.take(answer, asked, common::boot_now())) {
     changed = true;
     if (news.name == config::charter_register) {
       take_charter(news);
-      loam::note(loam::Event::RevisionAdopted, "charter revision " + std::to_string(news.revision));
+      common::note(common::Event::RevisionAdopted, "charter revision " + std::to_string(news.revision));
     } else if (news.name == config::evacuated_register) {
       check_evacuations(news);
       std::vector<std::string> const zones = config::evacuated_zones(news.content);
       evacuated_ = decltype(evacuated_)(zones.begin(), zones.end());
-      loam::note(loam::Event::RevisionAdopted, "evacuated " + news.content);
+      common::note(common::Event::RevisionAdopted, "evacuated " + news.content);
     } else if (news.name.rfind(consensus::split_prefix, 0) == 0) {
       take_split(news);
     }
@@ -398,7 +399,7 @@
     for (schema::Member const& member : members_.members()) {
       names.push_back(member.name);
     }
-    census_.told(names, loam::boot_now());
+    census_.told(names, common::boot_now());
     changed = true;
   }
   if (list_.take(membership::list_news(answer), answer.list_age, asked)) {
@@ -416,12 +417,12 @@
   if (!reading.good()) {
     return;  // the one before stays
   }
-  book_ = std::make_shared<tilth::LaneBook const>(std::move(reading.charter));
+  book_ = std::make_shared<scheduling::LaneBook const>(std::move(reading.charter));
   check_routes(news.revision, *book_);
 }
 
 void Station::take_split(schema::NamedValue const& news) {
-  absl::StatusOr<schema::Split> split = tilth::read_split(news.content);
+  absl::StatusOr<schema::Split> split = scheduling::read_split(news.content);
   if (!split.ok()) {
     return;  // the one before stays: it is whole
   }
@@ -433,7 +434,7 @@
     }
   }
   observer_.freeze(std::move(frozen));
-  loam::note(loam::Event::RevisionAdopted, news.name + " revision " + std::to_string(news.revision));
+  common::note(common::Event::RevisionAdopted, news.name + " revision " + std::to_string(news.revision));
 }
 
 std::string Station::phase_of(schema::WorkerEntry const& entry, std::string const& region) const {
@@ -441,7 +442,7 @@
     return entry.phase;
   }
   std::map<std::string, schema::Split>::const_iterator const split =
-      splits_.find(tilth::pool_name(region, entry.service));
+      splits_.find(scheduling::pool_name(region, entry.service));
   if (split == splits_.end() || split->second.phases.empty()) {
     return "";
   }
@@ -449,13 +450,13 @@
   return phase == split->second.phases.end() ? "both" : phase->second;
 }
 
-std::vector<schema::FurrowReport> Station::reports(loam::Moment now) {
+std::vector<schema::FurrowReport> Station::reports(common::Moment now) {
   if (report_ms_ == 0) {
     reports_.clear();
     return {};
   }
   schema::FurrowReport report;
-  if (now - reported_at_ >= loam::milliseconds(static_cast<std::int64_t>(report_ms_)) &&
+  if (now - reported_at_ >= common::milliseconds(static_cast<std::int64_t>(report_ms_)) &&
       observer_.take(report_slice_ + 1, now - reported_at_, report)) {
     ++report_slice_;
     reported_at_ = now;
@@ -467,11 +468,11 @@
   return {reports_.begin(), reports_.end()};
 }
 
-void Station::saw(tilth::Sighting sighting, tilth::Spot const& spot, tilth::Wanted const& wanted) {
+void Station::saw(scheduling::Sighting sighting, scheduling::Spot const& spot, scheduling::Wanted const& wanted) {
   if (report_ms_ == 0) {
     return;
   }
-  loam::Moment const now = loam::boot_now();
+  common::Moment const now = common::boot_now();
   sighting.worker = spot.worker;
   sighting.pool = grove_.pool_of(spot.worker);
   sighting.long_prompt = wanted.tokens >= constants::owned_tokens;
@@ -488,10 +489,10 @@
 }
 
 void Station::take_list() {
-  std::map<std::string, loam::Moment> cold;
+  std::map<std::string, common::Moment> cold;
   for (schema::WorkerEntry const& entry : list_.list().workers) {
     if (entry.cold_ms > 0) {
-      cold[entry.id] = loam::boot_now() + loam::milliseconds(static_cast<std::int64_t>(entry.cold_ms));
+      cold[entry.id] = common::boot_now() + common::milliseconds(static_cast<std::int64_t>(entry.cold_ms));
     }
   }
   cold_until_.swap(cold);
@@ -501,7 +502,7 @@
   if (book_ == nullptr) {
     return;
   }
-  std::vector<tilth::Stand> stands;
+  std::vector<scheduling::Stand> stands;
   std::set<std::string> listed;
   for (schema::WorkerEntry const& entry : list_.list().workers) {
     schema::Service const* const service = book_->service(entry.service);
@@ -509,7 +510,7 @@
       continue;
     }
     listed.insert(entry.id);
-    tilth::Stand stand;
+    scheduling::Stand stand;
     stand.id = entry.id;
     stand.address = entry.address;
     stand.service = entry.service;
@@ -524,11 +525,11 @@
     stand.connections = service->connections;
     stand.cold_rate = service->cold_rate;
     stand.kept_tokens = static_cast<double>(service->kept_tokens);
-    std::map<std::string, loam::Moment>::const_iterator const cold = cold_until_.find(entry.id);
+    std::map<std::string, common::Moment>::const_iterator const cold = cold_until_.find(entry.id);
     stand.cold_until = cold == cold_until_.end() ? 0 : cold->second;
     stands.push_back(std::move(stand));
   }
-  tilth::GroveTerms terms;
+  scheduling::GroveTerms terms;
   terms.hall = settings_.hall;
   terms.region = settings_.region;
   terms.self = settings_.name;
@@ -536,11 +537,11 @@
   terms.cold_slack = settings_.bounds.cold_slack;
   terms.claims = book_->claims();
   terms.keep_long_apart = constants::keep_long_apart;
-  terms.furrows = census_.furrows(loam::boot_now());
+  terms.furrows = census_.furrows(common::boot_now());
   if (terms.furrows.empty()) {
     terms.furrows.push_back(settings_.name);
   }
-  grove_.update(stands, terms, loam::boot_now());
+  grove_.update(stands, terms, common::boot_now());
   walls_.keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
   std::erase_if(kept_, [&listed](std::pair<std::string const, std::deque<Kept>> const& entry) {
     return listed.count(entry.first) == 0;
@@ -581,14 +582,14 @@
   return dialect_.print_directory(addresses, static_cast<double>(settings_.bounds.directory_ttl_ms) / 1000);
 }
 
-void Station::serve_small(std::shared_ptr<Socket> const& socket, loam::Yield yield) {
+void Station::serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield) {
   boost::beast::flat_buffer buffer;
   std::shared_ptr<Alarm> const alarm = std::make_shared<Alarm>(context_, [socket] {
     error_code ignored;
     socket->close(ignored);
   });
   while (true) {
-    alarm->set(loam::boot_now() + constants::caller_idle);
+    alarm->set(common::boot_now() + constants::caller_idle);
     error_code error;
     http::request_parser<http::empty_body> parser;
     parser.header_limit(constants::header_limit);
@@ -615,7 +616,7 @@
       body = directory(query["zone"], query["region"]);
     } else if (path == "/-/metrics") {
       status = "200 OK";
-      body = tally_.print() + print_wall_metrics(walls_) + loam::invariant_metrics();
+      body = tally_.print() + print_wall_metrics(walls_) + common::invariant_metrics();
     } else if (path == "/-/tenants") {
       status = "200 OK";
       body = print_tenants(walls_);
@@ -633,4 +634,4 @@
   alarm->stop();
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/station.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -14,45 +14,45 @@
 
 #include <absl/status/statusor.h>
 
-#include "config/charter/charter.hpp"
-#include "furrow/contents/content_fetcher.hpp"
-#include "furrow/relay/dialect.hpp"
-#include "loam/net/net.hpp"
-#include "loam/relay_constants.hpp"
-#include "membership/copy/copy.hpp"
+#include "common/net/net.hpp"
+#include "common/relay_constants.hpp"
+#include "config/routing/routing_config.hpp"
+#include "data_plane/contents/content_fetcher.hpp"
+#include "data_plane/relay/dialect.hpp"
 #include "membership/freshness/freshness_lease.hpp"
+#include "membership/replica/replica.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
+#include "scheduling/mechanisms/mechanisms.hpp"
+#include "scheduling/observer/observer.hpp"
+#include "scheduling/prompt_isolation/prompt_isolation.hpp"
+#include "scheduling/proxy_count/proxy_count.hpp"
+#include "scheduling/retry_quota/retry_quota.hpp"
+#include "scheduling/route_table/route_table.hpp"
 #include "schema/settings.hpp"
-#include "tilth/census/census.hpp"
-#include "tilth/grove/grove.hpp"
-#include "tilth/lanes/lanes.hpp"
-#include "tilth/mechanisms/mechanisms.hpp"
-#include "tilth/observe/observer.hpp"
-#include "tilth/rights/rights.hpp"
-#include "tilth/wall/walls.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 using Socket = boost::asio::ip::tcp::socket;
-using ListReader = std::function<absl::StatusOr<schema::PlatformList>(std::string const& address, loam::Yield)>;
+using ListReader = std::function<absl::StatusOr<schema::PlatformList>(std::string const& address, common::Yield)>;
 
 /// Starts a coroutine on the relay's one thread, with a small stack: machines
 /// that relay have a fraction of a core and pay for memory (section 13.2).
-void start_small(boost::asio::io_context& context, std::function<void(loam::Yield)> body);
+void start_small(boost::asio::io_context& context, std::function<void(common::Yield)> body);
 
 /// One timer for many waits that seldom run out: it is armed anew only when it
 /// rings early (section 13.2).
 class Alarm : public std::enable_shared_from_this<Alarm> {
  public:
   Alarm(boost::asio::io_context& context, std::function<void()> ring) : timer_(context), ring_(std::move(ring)) {}
-  void set(loam::Moment due);
+  void set(common::Moment due);
   void stop();
 
  private:
   void arm();
   boost::asio::steady_timer timer_;
   std::function<void()> ring_;
-  loam::Moment due_ = 0;
-  loam::Moment armed_for_ = 0;
+  common::Moment due_ = 0;
+  common::Moment armed_for_ = 0;
   bool over_ = false;
 };
 
@@ -83,32 +83,32 @@
   [[nodiscard]] boost::asio::io_context& context() { return context_; }
   [[nodiscard]] schema::Settings const& settings() const { return settings_; }
   [[nodiscard]] Dialect const& dialect() const { return dialect_; }
-  [[nodiscard]] std::shared_ptr<tilth::LaneBook const> const& book() const { return book_; }
-  [[nodiscard]] tilth::Grove& grove() { return grove_; }
-  [[nodiscard]] tilth::Mechanisms const& mechanisms() const { return mechanisms_; }
-  [[nodiscard]] tilth::Rights& rights(std::string const& service);
+  [[nodiscard]] std::shared_ptr<scheduling::LaneBook const> const& book() const { return book_; }
+  [[nodiscard]] scheduling::Grove& grove() { return grove_; }
+  [[nodiscard]] scheduling::Mechanisms const& mechanisms() const { return mechanisms_; }
+  [[nodiscard]] scheduling::Rights& rights(std::string const& service);
   [[nodiscard]] Tally& tally() { return tally_; }
-  [[nodiscard]] tilth::Walls& walls() { return walls_; }
+  [[nodiscard]] scheduling::Walls& walls() { return walls_; }
   [[nodiscard]] bool draining() const { return draining_; }
-  [[nodiscard]] loam::Moment begun_at() const { return begun_at_; }
+  [[nodiscard]] common::Moment begun_at() const { return begun_at_; }
   /// It has had a charter and a list of workers, even an empty one, since it started.
   [[nodiscard]] bool begun() const { return book_ != nullptr && list_.as_of() > 0; }
   /// A majority stood behind the charter of late, so a route that it lacks may be refused for good (section 13.15).
   [[nodiscard]] bool charter_confirmed() const {
-    return vouch_.confirmed_within(loam::constants::charter_confirmed_bound, loam::boot_now());
+    return vouch_.confirmed_within(common::constants::charter_confirmed_bound, common::boot_now());
   }
   [[nodiscard]] bool ready() const { return book_ != nullptr && heard_ && !draining_ && grove_.size() > 0; }
 
   /// A kept connection to the worker that seems whole, or none.
   [[nodiscard]] std::unique_ptr<Socket> kept(std::string const& worker);
-  void keep(std::string const& worker, std::unique_ptr<Socket> socket, loam::Span longest);
+  void keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest);
 
   /// A stream ended whole; what it shows goes into the next report.
-  void saw(tilth::Sighting sighting, tilth::Spot const& spot, tilth::Wanted const& wanted);
+  void saw(scheduling::Sighting sighting, scheduling::Spot const& spot, scheduling::Wanted const& wanted);
 
   /// How long a query waits for the first charter.
-  loam::Span charter_hold = loam::constants::charter_hold;
-  loam::Span lost_patience = loam::constants::lost_patience;
+  common::Span charter_hold = common::constants::charter_hold;
+  common::Span lost_patience = common::constants::lost_patience;
   void opened() { ++open_; }
   void closed() { --open_; }
   [[nodiscard]] std::string directory(std::string const& hall, std::string const& region);
@@ -116,15 +116,15 @@
  private:
   struct Kept {
     std::unique_ptr<Socket> socket;
-    loam::Moment until = 0;
+    common::Moment until = 0;
   };
   struct Acceptor {
     boost::asio::ip::tcp::acceptor acceptor;
   };
   [[nodiscard]] absl::Status listen(std::string const& address,
-                                    std::function<void(std::shared_ptr<Socket>, loam::Yield)> session);
-  void serve_small(std::shared_ptr<Socket> const& socket, loam::Yield yield);
-  void ask_news(loam::Yield yield);
+                                    std::function<void(std::shared_ptr<Socket>, common::Yield)> session);
+  void serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield);
+  void ask_news(common::Yield yield);
   void heard_from(schema::NewsAnswer const& news);
   /// Trellises to ask, near ones first as told; seeds stay in for the day that
   /// all others are gone.
@@ -132,9 +132,9 @@
   /// Trellises that one without a majority names are asked as well, behind those known: all seeds may be cut off
   /// from the majority (section 13.15).
   void know_more_trellises(std::vector<std::string> const& told);
-  void read_own_list(loam::Yield yield);
-  void follow_secrets(loam::Yield yield);
-  void take(schema::NewsAnswer const& answer, loam::Moment asked);
+  void read_own_list(common::Yield yield);
+  void follow_secrets(common::Yield yield);
+  void take(schema::NewsAnswer const& answer, common::Moment asked);
   /// Another list is held.
   void take_list();
   [[nodiscard]] schema::NewsAsk ask(std::vector<schema::FurrowReport> reports) const;
@@ -144,7 +144,7 @@
   void take_split(schema::NamedValue const& news);
   [[nodiscard]] std::string phase_of(schema::WorkerEntry const& entry, std::string const& region) const;
   /// The reports that go with an ask now.
-  [[nodiscard]] std::vector<schema::FurrowReport> reports(loam::Moment now);
+  [[nodiscard]] std::vector<schema::FurrowReport> reports(common::Moment now);
   void tell_leaving();
 
   boost::asio::io_context& context_;
@@ -153,39 +153,39 @@
   config::Notation notation_;
   ListReader list_reader_;
   std::uint64_t identity_;
-  loam::Caller caller_;
+  common::Caller caller_;
   ContentFetcher contents_;
   membership::FreshnessLease vouch_;
-  std::shared_ptr<tilth::LaneBook const> book_;
+  std::shared_ptr<scheduling::LaneBook const> book_;
   std::set<std::string> evacuated_;
   membership::ListCopy list_;
   membership::MemberCopy members_;
-  loam::Moment begun_at_ = 0;
-  tilth::Census census_;
-  std::map<std::string, loam::Moment> cold_until_;
+  common::Moment begun_at_ = 0;
+  scheduling::Census census_;
+  std::map<std::string, common::Moment> cold_until_;
   std::vector<std::string> trellises_;
-  loam::Moment heard_at_ = 0;
+  common::Moment heard_at_ = 0;
   bool heard_ = false;
   bool lost_ = true;  ///< no trellis answered the last ask
-  tilth::Mechanisms mechanisms_;
-  tilth::Grove grove_;
-  tilth::Observer observer_;
+  scheduling::Mechanisms mechanisms_;
+  scheduling::Grove grove_;
+  scheduling::Observer observer_;
   std::map<std::string, schema::Split> splits_;  ///< by pool
   std::deque<schema::FurrowReport> reports_;     ///< not taken by a trellis yet
   std::uint64_t report_ms_ = 0;                  ///< how often they are wanted; 0: not
   std::uint64_t report_slice_ = 0;
-  loam::Moment reported_at_ = 0;
-  tilth::Walls walls_;
-  std::map<std::string, tilth::Rights> rights_;
+  common::Moment reported_at_ = 0;
+  scheduling::Walls walls_;
+  std::map<std::string, scheduling::Rights> rights_;
   std::map<std::string, std::deque<Kept>> kept_;
   std::vector<std::shared_ptr<Acceptor>> acceptors_;
   std::uint64_t open_ = 0;
   bool draining_ = false;
-  loam::Moment leaving_since_ = 0;
+  common::Moment leaving_since_ = 0;
   Tally tally_;
 };
 
 /// Serves one caller's connection (relay.cpp).
-void serve_caller(Station& station, std::shared_ptr<Socket> const& socket, loam::Yield yield);
+void serve_caller(Station& station, std::shared_ptr<Socket> const& socket, common::Yield yield);
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/request_head.cpp
+++ b/source/data_plane/relay/request_head.cpp
@@ -1,11 +1,11 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 std::string Relay::head() const {
   Dialect const& dialect = station_.dialect();
@@ -26,7 +26,7 @@
   copy_fields(query_.header, std::string(view(query_.header[http::field::connection])), replaced, text);
   text.append(dialect.left)
       .append(": ")
-      .append(std::to_string(std::max<loam::Span>(1, (deadline_ - loam::boot_now()) / 1000)))
+      .append(std::to_string(std::max<common::Span>(1, (deadline_ - common::boot_now()) / 1000)))
       .append("\r\n");
   text.append(dialect.target).append(": ").append(spot_.worker).append("\r\n");
   if (resuming) {
@@ -51,4 +51,4 @@
   return text;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/silence.cpp
+++ b/source/data_plane/relay/stall.cpp
@@ -1,30 +1,30 @@
 #include <algorithm>
 
-#include "furrow/relay/relay.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
+#include "data_plane/relay/relay.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
-void Relay::perform(tilth::SilenceAction const& action) {
+void Relay::perform(scheduling::SilenceAction const& action) {
   std::visit([this](auto const& entry) { act(entry); }, action);
 }
 
-void Relay::act(tilth::WaitUntil const& wait) {
+void Relay::act(scheduling::WaitUntil const& wait) {
   alarm_->set(std::min(deadline_, wait.due));
 }
 
-void Relay::act(tilth::ProbeWorker const& probe) {
-  if (!may_ask_another(loam::boot_now())) {
+void Relay::act(scheduling::ProbeWorker const& probe) {
+  if (!may_ask_another(common::boot_now())) {
     alarm_->set(deadline_);  // whatever the probe showed, nothing would follow
     return;
   }
   alarm_->set(std::min(deadline_, probe.due));
-  absl::StatusOr<loam::Endpoint> const endpoint = loam::read_endpoint(spot_.address);
+  absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(spot_.address);
   probe_ = std::make_shared<Socket>(station_.context());
-  if (!endpoint.ok() || loam::open_own(*probe_, *endpoint)) {
+  if (!endpoint.ok() || common::open_own(*probe_, *endpoint)) {
     return;  // its moment ends it
   }
   ++station_.tally().probes;
@@ -32,7 +32,7 @@
     Relay* const relay = guard->relay;
     if (relay != nullptr && relay->probe_ == socket) {
       relay->drop_probe();
-      relay->perform(relay->silence_.probed(!error, loam::boot_now()));
+      relay->perform(relay->silence_.probed(!error, common::boot_now()));
     }
   });
 }
@@ -45,7 +45,7 @@
   }
 }
 
-bool Relay::may_ask_another(loam::Moment now) {
+bool Relay::may_ask_another(common::Moment now) {
   wanted_.avoid.push_back(spot_.worker);
   bool const other = repeatable() && chart_.dispatches() < static_cast<int>(lane_.dispatches) && may_spend(false) &&
                      station_.grove().alternative(wanted_, now);
@@ -53,9 +53,9 @@
   return other;
 }
 
-void Relay::act(tilth::GiveUp const&) {
+void Relay::act(scheduling::GiveUp const&) {
   drop_probe();
-  if (!may_ask_another(loam::boot_now())) {
+  if (!may_ask_another(common::boot_now())) {
     alarm_->set(deadline_);
     return;
   }
@@ -64,7 +64,7 @@
   // Slow, not dark, if anything came from it since: no reason for it to rest.
   slow_ = station_.grove().heard_at(spot_.worker) >= silence_.since();
   if (station_.mechanisms().set_aside && worker_ != nullptr &&
-      std::holds_alternative<tilth::Streaming>(chart_.state()) && reading_->sending->whole()) {
+      std::holds_alternative<scheduling::Streaming>(chart_.state()) && reading_->sending->whole()) {
     // Part of its stream is with the caller: it is only set aside until another one goes on, since that may refuse.
     setting_aside_ = true;
     error_code ignored;
@@ -74,4 +74,4 @@
   }
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- /dev/null
+++ b/source/data_plane/relay/tenant_prompt.cpp
@@ -0,0 +1,63 @@
+#include "data_plane/relay/relay.hpp"
+
+#include "common/log/log.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
+
+namespace finchlink::data_plane {
+
+namespace asio = boost::asio;
+namespace constants = common::constants;
+
+void Relay::enter_wall() {
+  Dialect const& dialect = station_.dialect();
+  prompt_.reset();
+  homes_ = lane_.home_regions;
+  if (!lane_.tenancy.has_value()) {
+    wanted_.parts = dialect.read_parts(view(query_.header[dialect.parts]));
+    return;
+  }
+  scheduling::TenantReading const reading = tenant_of(*lane_.tenancy, query_.header);
+  schema::Tenant const* const tenant = book_->tenant(reading.name);
+  tenant_fault_ = reading.end == scheduling::TenantEnd::refused ? reading.fault : "";
+  if (tenant != nullptr && !scheduling::join_homes(lane_.home_regions, tenant->home_regions, homes_)) {
+    tenant_fault_ = "no_home";
+  }
+  prompt_ = scheduling::Prompt{reading.name, model_of(query_.header, dialect.model),
+                               scheduling::named_parts(view(query_.header[dialect.parts])), lane_.tenancy->public_parts,
+                               scheduling::realm_of(*lane_.tenancy, lane_.name)};
+  wanted_.parts = station_.walls().place(*prompt_);
+}
+
+void Relay::hear_wall(WorkerHeader const& got, bool ran) {
+  if (!prompt_.has_value()) {
+    return;
+  }
+  Dialect const& dialect = station_.dialect();
+  scheduling::WallAnswer answer{spot_.worker, std::string(view(got[dialect.weights])), std::nullopt, ran};
+  if (ran && !got[dialect.reused].empty()) {
+    answer.reused = static_cast<double>(natural(view(got[dialect.reused]), 0));
+  }
+  for (scheduling::WallAction const& action :
+       station_.walls().heard(answer, walled_, wanted_.tokens - spot_.uncached)) {
+    if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
+      station_.grove().forget_walled(forget->worker);
+    } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
+      station_.grove().gave_up(gave_up->worker, wanted_.parts, gave_up->tokens);
+    } else if (scheduling::Crossed const* const crossed = std::get_if<scheduling::Crossed>(&action)) {
+      common::note(common::Event::WallCrossed,
+                   crossed->worker + " " + std::to_string(static_cast<std::uint64_t>(crossed->tokens)) + " " + id_);
+    } else if (scheduling::RanOtherWeights const* const other = std::get_if<scheduling::RanOtherWeights>(&action)) {
+      common::note(common::Event::OtherWeightsRan, other->worker + " for " + other->expected + " " + id_);
+      station_.grove().forget_walled(other->worker);
+    }
+  }
+  if (ran) {
+    station_.walls().count(*prompt_, walled_, answer.reused);
+  }
+}
+
+std::vector<scheduling::Part> Relay::kept_parts() const {
+  return prompt_.has_value() && walled_.version.empty() ? std::vector<scheduling::Part>() : wanted_.parts;
+}
+
+}  // namespace finchlink::data_plane
--- a/source/furrow/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -1,16 +1,16 @@
-#include "furrow/relay/relay.hpp"
+#include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
 #include <array>
 #include <boost/asio/write.hpp>
 
-#include "furrow/relay/walls.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 namespace asio = boost::asio;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using boost::system::error_code;
 
 bool Relay::read_some(boost::beast::flat_buffer& buffer, Parser& parser, std::string& bytes) {
@@ -78,17 +78,17 @@
   return !parser.need_eof() || !reading_->sending->failed;
 }
 
-tilth::Outcome Relay::talk() {
+scheduling::Outcome Relay::talk() {
   Dialect const& dialect = station_.dialect();
-  loam::Moment const sent = loam::boot_now();
+  common::Moment const sent = common::boot_now();
   expect_bytes(lane_.set_point_ms, sent);
   if (prompt_.has_value()) {
     walled_ = station_.walls().send(*prompt_, spot_.worker, draw_once());
   }
   begin_sending();
   if (!read_head(*reading_)) {
-    after_ = tilth::WorkerDefect{"no_answer"};
-    return tilth::Outcome::defect;
+    after_ = scheduling::WorkerDefect{"no_answer"};
+    return scheduling::Outcome::defect;
   }
   boost::beast::flat_buffer& buffer = reading_->buffer;
   Parser& parser = *reading_->parser;
@@ -96,26 +96,26 @@
   unsigned int const status = got.result_int();
   hear_load(view(got[dialect.load]));
   if (is_refusal(got)) {
-    after_ = tilth::WorkerRefused{};
+    after_ = scheduling::WorkerRefused{};
     std::string const expected = walled_.version;
     hear_wall(got, false);
     bool const other_weights =
         prompt_.has_value() && !got[dialect.weights].empty() && view(got[dialect.weights]) != expected;
     if (status == 421 && !other_weights) {
-      return tilth::Outcome::misdirected;
+      return scheduling::Outcome::misdirected;
     }
     finish_reading(buffer, parser);
-    return tilth::Outcome::refused;
+    return scheduling::Outcome::refused;
   }
   if (view(got[dialect.query]) != id_) {
-    after_ = tilth::WorkerDefect{"wrong_query"};
-    return tilth::Outcome::defect;
+    after_ = scheduling::WorkerDefect{"wrong_query"};
+    return scheduling::Outcome::defect;
   }
   bool const success = status >= 200 && status < 300;
   if ((success && got[dialect.seal].empty()) || !got[dialect.not_run].empty() || status < 200 || status == 429 ||
       status == 503 || status == 408) {
-    after_ = tilth::WorkerDefect{"no_answer_of_ours"};
-    return tilth::Outcome::defect;
+    after_ = scheduling::WorkerDefect{"no_answer_of_ours"};
+    return scheduling::Outcome::defect;
   }
   hear_wall(got, success);
   if (success && !bare_ && got[http::field::content_type].starts_with("text/event-stream")) {
@@ -135,7 +135,7 @@
     figure = static_cast<double>(natural(word.substr(std::min(word.size(), word.find_first_not_of(' '))), 0));
     text.remove_prefix(std::min(text.size(), word.size() + 1));
   }
-  station_.grove().told(spot_.worker, figures[0], figures[1], figures[2], loam::boot_now());
+  station_.grove().told(spot_.worker, figures[0], figures[1], figures[2], common::boot_now());
 }
 
 void Relay::after_answer(boost::beast::flat_buffer const& buffer, Parser const& parser) {
@@ -147,13 +147,13 @@
       !worker_->is_open()) {
     return;
   }
-  loam::Span longest = constants::worker_idle;
+  common::Span longest = constants::worker_idle;
   std::string_view const told = view(parser.get()["Keep-Alive"]);
   std::size_t const at = told.find("timeout=");
   if (at != std::string_view::npos) {
-    longest = std::min(longest, loam::seconds(static_cast<std::int64_t>(natural(told.substr(at + 8), 1))) / 2);
+    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(natural(told.substr(at + 8), 1))) / 2);
   } else if (!told.empty()) {
-    longest = std::min(longest, loam::seconds(static_cast<std::int64_t>(natural(told, 1))) / 2);
+    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(natural(told, 1))) / 2);
   }
   keep_worker(longest);
 }
@@ -168,26 +168,26 @@
   after_answer(buffer, parser);
 }
 
-tilth::Outcome Relay::talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status) {
+scheduling::Outcome Relay::talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status) {
   std::string body;
   std::string bytes;
   bool const bare = bare_ || status == 204 || status == 304;
   while (!parser.is_done()) {
     if (!read_some(buffer, parser, bytes) || body.size() + bytes.size() > constants::answer_limit) {
-      after_ = tilth::WorkerDefect{"cut_answer"};
-      return tilth::Outcome::defect;
+      after_ = scheduling::WorkerDefect{"cut_answer"};
+      return scheduling::Outcome::defect;
     }
     body += bytes;
   }
   if (!bare && !ended_whole(parser)) {
-    after_ = tilth::WorkerDefect{"cut_answer"};
-    return tilth::Outcome::defect;
+    after_ = scheduling::WorkerDefect{"cut_answer"};
+    return scheduling::Outcome::defect;
   }
   first_seen_ = true;
   if (prompt_.has_value()) {
-    station_.grove().first_token(spot_, status < 300 ? kept_parts() : std::vector<tilth::Part>(), 0);
+    station_.grove().first_token(spot_, status < 300 ? kept_parts() : std::vector<scheduling::Part>(), 0);
   }
-  first_at_ = loam::boot_now();
+  first_at_ = common::boot_now();
   // An answer to HEAD tells the length that the body would have.
   std::string const length = bare_  ? std::string(view(parser.get()[http::field::content_length]))
                              : bare ? ""
@@ -196,11 +196,11 @@
   whole_body_ = std::move(body);
   after_answer(buffer, parser);
   if (status >= 500 && repeatable()) {
-    after_ = tilth::WorkerDefect{"worker_error"};
-    return tilth::Outcome::defect;
+    after_ = scheduling::WorkerDefect{"worker_error"};
+    return scheduling::Outcome::defect;
   }
-  after_ = tilth::Whole{};
-  return status >= 500 ? tilth::Outcome::defect : tilth::Outcome::good;
+  after_ = scheduling::Whole{};
+  return status >= 500 ? scheduling::Outcome::defect : scheduling::Outcome::good;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/news/news.cpp
+++ b/source/data_plane/updates/updates.cpp
@@ -1,26 +1,27 @@
-#include "furrow/news/news.hpp"
+#include "data_plane/updates/updates.hpp"
 
 #include <algorithm>
 #include <deque>
 
-#include "furrow/contents/content_fetcher.hpp"
-#include "loam/constants.hpp"
-#include "loam/random/random.hpp"
+#include "common/constants.hpp"
+#include "common/random/random.hpp"
+#include "data_plane/contents/content_fetcher.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-void begin_news(boost::asio::io_context& context, loam::Caller& caller, Field& field, std::vector<std::string> seeds) {
-  loam::start(context, [&context, &caller, &field, seeds](loam::Yield yield) {
+void begin_news(boost::asio::io_context& context, common::Caller& caller, Field& field,
+                std::vector<std::string> seeds) {
+  common::start(context, [&context, &caller, &field, seeds](common::Yield yield) {
     std::vector<std::string> trellises = seeds;
-    std::size_t turn = loam::random_number() % std::max<std::size_t>(1, seeds.size());
+    std::size_t turn = common::random_number() % std::max<std::size_t>(1, seeds.size());
     ContentFetcher contents(context, caller);
     std::deque<schema::FurrowReport> reports;
     std::uint64_t slice = 0;
-    loam::Moment reported = loam::boot_now();
+    common::Moment reported = common::boot_now();
     while (true) {
-      loam::Moment const now = loam::boot_now();
+      common::Moment const now = common::boot_now();
       if (now - reported >= constants::report_span) {
         reports.push_back(field.take_report(++slice, static_cast<double>(now - reported) / 1e6));
         reported = now;
@@ -29,7 +30,7 @@
         }
       }
       schema::NewsAsk ask{field.self(), 0, 0, 0, {reports.begin(), reports.end()}};
-      loam::Moment const asked = loam::boot_now();
+      common::Moment const asked = common::boot_now();
       absl::StatusOr<schema::Message> const answer =
           caller.call(trellises[turn % trellises.size()], ask, constants::ask_deadline, yield);
       schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
@@ -41,8 +42,8 @@
       }
       if (news == nullptr || !news->vouched) {
         ++turn;
-        if (loam::boot_now() - asked < constants::ask_retry) {
-          loam::pause(context, constants::ask_retry, yield);
+        if (common::boot_now() - asked < constants::ask_retry) {
+          common::pause(context, constants::ask_retry, yield);
         }
       } else {
         // Seeds stay in, for the day that all the others are gone.
@@ -55,17 +56,17 @@
         }
         turn = static_cast<std::size_t>(std::find(trellises.begin(), trellises.end(), current) - trellises.begin());
         if (contents.busy()) {  // what is withheld counts as news, so asks are answered at once
-          loam::pause(context, constants::ask_retry, yield);
+          common::pause(context, constants::ask_retry, yield);
         }
       }
     }
   });
-  loam::start(context, [&context, &field](loam::Yield yield) {
+  common::start(context, [&context, &field](common::Yield yield) {
     while (true) {
-      loam::pause(context, constants::ask_retry, yield);
+      common::pause(context, constants::ask_retry, yield);
       field.reconcile();
     }
   });
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/news/news.hpp
+++ b/source/data_plane/updates/updates.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "furrow/field/field.hpp"
+#include "data_plane/proxy_state/proxy_state.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// Starts the loops that ask trellises for news (section 6), make reports and
 /// reconcile.
-void begin_news(boost::asio::io_context& context, loam::Caller& caller, Field& field, std::vector<std::string> seeds);
+void begin_news(boost::asio::io_context& context, common::Caller& caller, Field& field, std::vector<std::string> seeds);
 /// Starts the loops that look at each wished worker's load (section 8.5).
 void begin_watch(boost::asio::io_context& context, Field& field);
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/furrow/worker/contract.cpp
+++ b/source/data_plane/worker/contract.cpp
@@ -1,23 +1,23 @@
-#include "furrow/worker/contract.hpp"
+#include "data_plane/worker/contract.hpp"
 
 #include <charconv>
 #include <cmath>
 
-#include "loam/constants.hpp"
-#include "loam/json/tree.hpp"
+#include "common/constants.hpp"
+#include "common/json/tree.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
-namespace constants = loam::constants;
-namespace http = loam::http;
+namespace constants = common::constants;
+namespace http = common::http;
 using boost::system::error_code;
 
-std::optional<WorkerLoad> ask_load(loam::Stream& stream, boost::beast::flat_buffer& buffer, std::string const& address,
-                                   loam::Yield yield) {
+std::optional<WorkerLoad> ask_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
+                                   std::string const& address, common::Yield yield) {
   error_code error;
-  loam::Ask ask{http::verb::get, "/load", 11};
+  common::Ask ask{http::verb::get, "/load", 11};
   ask.set(http::field::host, address);
-  stream.expires_after(loam::duration(constants::load_pause));
+  stream.expires_after(common::duration(constants::load_pause));
   http::async_write(stream, ask, yield[error]);
   if (error) {
     return std::nullopt;
@@ -28,7 +28,7 @@
   if (error || parser.get().result() != http::status::ok) {
     return std::nullopt;
   }
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(parser.get().body());
+  absl::StatusOr<common::Tree> const tree = common::read_tree(parser.get().body());
   if (!tree.ok()) {
     return std::nullopt;
   }
@@ -42,8 +42,8 @@
   return load;
 }
 
-loam::Ask worker_ask(LegCall const& call, std::string const& address) {
-  loam::Ask ask{call.method, call.target, 11};
+common::Ask worker_ask(LegCall const& call, std::string const& address) {
+  common::Ask ask{call.method, call.target, 11};
   ask.set(http::field::host, address);
   ask.set(query_header, call.query);
   ask.set("Finchlink-Rule", call.rule);
@@ -106,7 +106,7 @@
   if (!numbered) {
     return false;
   }
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(event.raw);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(event.raw);
   if (!tree.ok()) {
     return false;
   }
@@ -119,4 +119,4 @@
   return true;
 }
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
