--- a/source/furrow/worker/contract.hpp
+++ b/source/data_plane/worker/contract.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "loam/http/http.hpp"
+#include "common/http/http.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 
 /// What we ask of workers and how their answers are read: the one module that
 /// changes for real workers that differ (docs/operating/workers.md).
@@ -16,8 +16,8 @@
   double waiting = 0;
   std::string boot;  ///< changes when the worker starts anew; may be empty
 };
-[[nodiscard]] std::optional<WorkerLoad> ask_load(loam::Stream& stream, boost::beast::flat_buffer& buffer,
-                                                 std::string const& address, loam::Yield yield);
+[[nodiscard]] std::optional<WorkerLoad> ask_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
+                                                 std::string const& address, common::Yield yield);
 
 enum class Leg { whole, prefill, decode };
 
@@ -28,12 +28,12 @@
   Leg leg = Leg::whole;
   std::string kv;  ///< what the prefill leg gave for the decode leg
   std::uint64_t last_event = 0;
-  loam::http::verb method = loam::http::verb::post;
+  common::http::verb method = common::http::verb::post;
   std::string target;
   std::string content_type;
   std::string const* body = nullptr;
 };
-[[nodiscard]] loam::Ask worker_ask(LegCall const& call, std::string const& address);
+[[nodiscard]] common::Ask worker_ask(LegCall const& call, std::string const& address);
 
 /// A status that says for certain that nothing ran.
 [[nodiscard]] bool says_not_run(unsigned int status);
@@ -64,4 +64,4 @@
   std::string pending_;
 };
 
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/stile/main.cpp
+++ b/source/fake_network/main.cpp
@@ -7,10 +7,10 @@
 #include <sstream>
 #include <thread>
 
-#include "loam/constants.hpp"
-#include "loam/http/http.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/settings/settings.hpp"
+#include "common/constants.hpp"
+#include "common/http/http.hpp"
+#include "common/json/tree.hpp"
+#include "common/settings/settings.hpp"
 #include "schema/standin.hpp"
 
 /// The network between the machines of a fleet on one machine: passes bytes on,
@@ -18,7 +18,7 @@
 /// on when it heals, as a network's repeats would.
 namespace {
 using namespace finchlink;
-namespace http = loam::http;
+namespace http = common::http;
 using boost::system::error_code;
 
 struct Net {
@@ -44,12 +44,12 @@
     std::map<std::string, schema::StileMachine>::const_iterator const found = machines.find(ip);
     return found == machines.end() ? "" : found->second.name;
   }
-  [[nodiscard]] loam::Span hop(std::string const& from, std::string const& to) const {
+  [[nodiscard]] common::Span hop(std::string const& from, std::string const& to) const {
     std::map<std::string, schema::StileMachine>::const_iterator const left = machines.find(from);
     std::map<std::string, schema::StileMachine>::const_iterator const right = machines.find(to);
     bool const far = left != machines.end() && right != machines.end() && left->second.region != right->second.region;
     return far && !left->second.region.empty() && !right->second.region.empty()
-               ? static_cast<loam::Span>(stile.hop_ms * 1000)
+               ? static_cast<common::Span>(stile.hop_ms * 1000)
                : 0;
   }
   [[nodiscard]] bool cut(std::string const& from, std::string const& to) {
@@ -60,26 +60,26 @@
     std::lock_guard<std::mutex> const guard(lock);
     return losses.count({name(from), name(to)}) > 0;
   }
-  void hold(boost::asio::io_context& context, std::string const& from, std::string const& to, loam::Yield yield) {
+  void hold(boost::asio::io_context& context, std::string const& from, std::string const& to, common::Yield yield) {
     bool counted = false;
     while (cut(from, to)) {
       held += counted ? 0 : 1;
       counted = true;
-      loam::pause(context, loam::milliseconds(10), yield);
+      common::pause(context, common::milliseconds(10), yield);
     }
   }
 };
 
 /// One way of a connection; `answers`: that of the machine that was connected to.
-void pump(boost::asio::io_context& context, Net& net, loam::Stream& from, loam::Stream& to, std::string const& from_ip,
-          std::string const& to_ip, bool answers, loam::Yield yield) {
+void pump(boost::asio::io_context& context, Net& net, common::Stream& from, common::Stream& to,
+          std::string const& from_ip, std::string const& to_ip, bool answers, common::Yield yield) {
   std::vector<char> piece(65536);
-  loam::Span const hop = net.hop(from_ip, to_ip);
+  common::Span const hop = net.hop(from_ip, to_ip);
   error_code error;
   while (!error) {
     std::size_t const count = from.socket().async_read_some(boost::asio::buffer(piece), yield[error]);
     if (hop > 0) {
-      loam::pause(context, hop, yield);
+      common::pause(context, hop, yield);
     }
     net.hold(context, from_ip, to_ip, yield);
     if (count > 0 && answers && net.loses(from_ip, to_ip)) {
@@ -101,14 +101,15 @@
   }
 }
 
-void carry(boost::asio::io_context& context, Net& net, std::string const& target, loam::Stream& near,
-           loam::Yield yield) {
+void carry(boost::asio::io_context& context, Net& net, std::string const& target, common::Stream& near,
+           common::Yield yield) {
   error_code error;
   std::string const from = near.socket().remote_endpoint(error).address().to_string();
   std::string const to = target.substr(0, target.rfind(':'));
-  loam::pause(context, net.hop(from, to), yield);
+  common::pause(context, net.hop(from, to), yield);
   net.hold(context, from, to, yield);
-  absl::StatusOr<std::unique_ptr<loam::Stream>> const far = loam::connect(context, target, loam::seconds(2), yield);
+  absl::StatusOr<std::unique_ptr<common::Stream>> const far =
+      common::connect(context, target, common::seconds(2), yield);
   if (!far.ok()) {
     return;
   }
@@ -119,7 +120,7 @@
   done.expires_at(std::chrono::steady_clock::time_point::max());
   boost::asio::spawn(
       yield.get_executor(),
-      [&, back](loam::Yield inner) {
+      [&, back](common::Yield inner) {
         pump(context, net, **far, near, to, from, true, inner);
         *back = true;
         done.cancel();
@@ -137,7 +138,7 @@
 
 /// POST /cut/FROM/TO, /lose/FROM/TO, /heal/FROM/TO: a machine, a hall, a region or all, one way. What is lost are
 /// answers on connections that TO opened; the connection is closed behind them.
-loam::Answer control(Net& net, loam::Ask const& ask) {
+common::Answer control(Net& net, common::Ask const& ask) {
   std::string const target(ask.target());
   std::stringstream words(target);
   std::string word;
@@ -149,11 +150,11 @@
     std::string counts = "{\"passed\":" + std::to_string(net.passed);
     counts += ",\"held\":" + std::to_string(net.held);
     counts += ",\"lost\":" + std::to_string(net.lost) + "}";
-    return loam::answer_text(http::status::ok, counts);
+    return common::answer_text(http::status::ok, counts);
   }
   bool const known = parts.size() == 4 && (parts[1] == "cut" || parts[1] == "lose" || parts[1] == "heal");
   if (ask.method() != http::verb::post || !known) {
-    return loam::answer_error(http::status::not_found, "unknown_path", target);
+    return common::answer_error(http::status::not_found, "unknown_path", target);
   }
   std::lock_guard<std::mutex> const guard(net.lock);
   std::size_t pairs = 0;
@@ -173,29 +174,29 @@
       }
     }
   }
-  return loam::answer_text(pairs > 0 ? http::status::ok : http::status::not_found,
-                           "{\"pairs\":" + std::to_string(pairs) + "}");
+  return common::answer_text(pairs > 0 ? http::status::ok : http::status::not_found,
+                             "{\"pairs\":" + std::to_string(pairs) + "}");
 }
 }  // namespace
 
 int main(int count, char** values) {
   if (count != 2 || std::string(values[1]) == "--help") {
     std::cerr << "stile FILE   (routes and machines: see schema/standin.json)\n";
-    return count == 2 ? 0 : loam::exit_usage;
+    return count == 2 ? 0 : common::exit_usage;
   }
   Net net;
   std::ifstream file(values[1]);
   std::stringstream content;
   content << file.rdbuf();
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(content.str());
-  std::vector<loam::Fault> faults;
+  absl::StatusOr<common::Tree> const tree = common::read_tree(content.str());
+  std::vector<common::Fault> faults;
   if (tree.ok()) {
     schema::read(tree->get(), "", net.stile, faults);
   }
   if (!tree.ok() || !faults.empty()) {
     std::cerr << "stile: " << values[1] << ": "
-              << (tree.ok() ? loam::describe(faults) : std::string(tree.status().message())) << "\n";
-    return loam::exit_usage;
+              << (tree.ok() ? common::describe(faults) : std::string(tree.status().message())) << "\n";
+    return common::exit_usage;
   }
   for (schema::StileMachine const& machine : net.stile.machines) {
     net.machines[machine.ip] = machine;
@@ -203,20 +204,21 @@
   std::signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context context(4);
   for (schema::StileRoute const& route : net.stile.routes) {
-    absl::Status const status = loam::listen(context, route.listen, 100000,
-                                             [&context, &net, to = route.to](loam::Stream& stream, loam::Yield yield) {
-                                               carry(context, net, to, stream, yield);
-                                             });
+    absl::Status const status = common::listen(
+        context, route.listen, 100000, [&context, &net, to = route.to](common::Stream& stream, common::Yield yield) {
+          carry(context, net, to, stream, yield);
+        });
     if (!status.ok()) {
       std::cerr << "stile: " << status.message() << "\n";
-      return loam::exit_listen;
+      return common::exit_listen;
     }
   }
-  absl::Status const status = loam::serve_asks(context, net.stile.control, 64, 4096,
-                                               [&net](loam::Ask const& ask, loam::Yield) { return control(net, ask); });
+  absl::Status const status =
+      common::serve_asks(context, net.stile.control, 64, 4096,
+                         [&net](common::Ask const& ask, common::Yield) { return control(net, ask); });
   if (!status.ok()) {
     std::cerr << "stile: " << status.message() << "\n";
-    return loam::exit_listen;
+    return common::exit_listen;
   }
   std::vector<std::thread> threads;
   for (int index = 1; index < 4; ++index) {
--- a/source/seedbed/ledger/ledger.cpp
+++ b/source/fake_workers/ledger/ledger.cpp
@@ -1,25 +1,25 @@
-#include "seedbed/ledger/ledger.hpp"
+#include "fake_workers/ledger/ledger.hpp"
 
 #include <algorithm>
 
-#include "loam/json/tree.hpp"
-#include "tilth/budget/share.hpp"
+#include "common/json/tree.hpp"
+#include "scheduling/retry_budget/retry_share.hpp"
 
-namespace finchlink::seedbed {
+namespace finchlink::fake_workers {
 
 namespace {
-constexpr loam::Span allowed_drain = loam::seconds(5);       // after the list shows it
-constexpr loam::Span allowed_evacuation = loam::seconds(5);  // after the operator was told yes
+constexpr common::Span allowed_drain = common::seconds(5);       // after the list shows it
+constexpr common::Span allowed_evacuation = common::seconds(5);  // after the operator was told yes
 }  // namespace
 
 void RegisterClient::arrived(Arrival const& arrival, bool ran, bool flooded) {
   std::lock_guard<std::mutex> const guard(lock_);
-  std::map<std::string, loam::Moment>::const_iterator const drain = draining_.find(arrival.worker);
+  std::map<std::string, common::Moment>::const_iterator const drain = draining_.find(arrival.worker);
   if (drain != draining_.end()) {
     worst_drain_ = std::max(worst_drain_, arrival.now - drain->second);
     late_drain_ += arrival.now - drain->second > allowed_drain ? 1 : 0;
   }
-  std::map<std::string, loam::Moment>::const_iterator const empty = evacuated_.find(arrival.zone);
+  std::map<std::string, common::Moment>::const_iterator const empty = evacuated_.find(arrival.zone);
   if (empty != evacuated_.end()) {
     worst_evacuation_ = std::max(worst_evacuation_, arrival.now - empty->second);
     late_evacuation_ += arrival.now - empty->second > allowed_evacuation ? 1 : 0;
@@ -54,7 +54,7 @@
   }
 }
 
-void RegisterClient::draining(std::string const& worker, bool on, loam::Moment now) {
+void RegisterClient::draining(std::string const& worker, bool on, common::Moment now) {
   std::lock_guard<std::mutex> const guard(lock_);
   if (on) {
     draining_[worker] = now;
@@ -63,7 +63,7 @@
   }
 }
 
-void RegisterClient::evacuated(std::string const& zone, bool on, loam::Moment now) {
+void RegisterClient::evacuated(std::string const& zone, bool on, common::Moment now) {
   std::lock_guard<std::mutex> const guard(lock_);
   if (on) {
     evacuated_[zone] = now;
@@ -81,7 +81,7 @@
     twice += again && !run.second.repeatable ? 1 : 0;
     repeated += again ? 1 : 0;
   }
-  loam::Tree object(cJSON_CreateObject());
+  common::Tree object(cJSON_CreateObject());
   cJSON_AddNumberToObject(object.get(), "ran", static_cast<double>(ran_));
   cJSON_AddNumberToObject(object.get(), "queries", static_cast<double>(runs_.size()));
   cJSON_AddNumberToObject(object.get(), "refused_by_workers", static_cast<double>(refused_));
@@ -96,18 +96,18 @@
   cJSON_AddNumberToObject(object.get(), "worst_drain_ms", static_cast<double>(worst_drain_) / 1000);
   cJSON_AddNumberToObject(object.get(), "worst_evacuation_ms", static_cast<double>(worst_evacuation_) / 1000);
   double worst_share = 0;
-  for (std::pair<std::string const, std::vector<loam::Moment>>& entry : retries_) {
+  for (std::pair<std::string const, std::vector<common::Moment>>& entry : retries_) {
     std::sort(entry.second.begin(), entry.second.end());
-    std::vector<loam::Moment>& firsts = firsts_[entry.first];
+    std::vector<common::Moment>& firsts = firsts_[entry.first];
     std::sort(firsts.begin(), firsts.end());
-    worst_share = std::max(worst_share, tilth::worst_retry_share(firsts, entry.second));
+    worst_share = std::max(worst_share, scheduling::worst_retry_share(firsts, entry.second));
   }
   cJSON_AddNumberToObject(object.get(), "worst_retry_share_10s", worst_share);
   cJSON* const workers = cJSON_AddObjectToObject(object.get(), "per_worker");
   for (std::pair<std::string const, std::uint64_t> const& worker : per_worker_) {
     cJSON_AddNumberToObject(workers, worker.first.c_str(), static_cast<double>(worker.second));
   }
-  return loam::print_tree(object.get(), true);
+  return common::print_tree(object.get(), true);
 }
 
 void RegisterClient::walls(std::string const& tenant, CacheReading const& reading) {
@@ -129,7 +129,7 @@
 
 std::string RegisterClient::print_walls() {
   std::lock_guard<std::mutex> const guard(lock_);
-  loam::Tree object(cJSON_CreateObject());
+  common::Tree object(cJSON_CreateObject());
   cJSON* const tenants = cJSON_AddObjectToObject(object.get(), "tenants");
   for (std::pair<std::string const, TenantReuse> const& entry : by_tenant_) {
     cJSON* const part = cJSON_AddObjectToObject(tenants, entry.first.c_str());
@@ -146,7 +146,7 @@
   for (std::string const& crossing : crossings_) {
     cJSON_AddItemToArray(list, cJSON_CreateString(crossing.c_str()));
   }
-  return loam::print_tree(object.get());
+  return common::print_tree(object.get());
 }
 
 std::string RegisterClient::ran_nonces() {
@@ -158,4 +158,4 @@
   return text;
 }
 
-}  // namespace finchlink::seedbed
+}  // namespace finchlink::fake_workers
--- a/source/seedbed/worker/part_cache.cpp
+++ b/source/fake_workers/worker/part_cache.cpp
@@ -1,6 +1,6 @@
-#include "seedbed/worker/part_cache.hpp"
+#include "fake_workers/worker/part_cache.hpp"
 
-namespace finchlink::seedbed {
+namespace finchlink::fake_workers {
 
 CacheReading PartCache::read(std::string const& reader, std::string const& weights,
                              std::vector<CachePart> const& parts) {
@@ -53,4 +53,4 @@
   tokens_ = 0;
 }
 
-}  // namespace finchlink::seedbed
+}  // namespace finchlink::fake_workers
--- a/source/seedbed/worker/part_cache.hpp
+++ b/source/fake_workers/worker/part_cache.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace finchlink::seedbed {
+namespace finchlink::fake_workers {
 
 /// A part of a prompt as it came to a stand-in worker.
 struct CachePart {
@@ -50,4 +50,4 @@
   std::map<std::uint64_t, std::string> by_use_;
 };
 
-}  // namespace finchlink::seedbed
+}  // namespace finchlink::fake_workers
--- a/source/seedbed/worker/worker.cpp
+++ b/source/fake_workers/worker/worker.cpp
@@ -1,17 +1,17 @@
-#include "seedbed/worker/worker.hpp"
+#include "fake_workers/worker/worker.hpp"
 
 #include <algorithm>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <sstream>
 
-#include "loam/http/http.hpp"
-#include "loam/json/tree.hpp"
-#include "tilth/model/model.hpp"
+#include "common/http/http.hpp"
+#include "common/json/tree.hpp"
+#include "scheduling/model/model.hpp"
 
-namespace finchlink::seedbed {
+namespace finchlink::fake_workers {
 
-namespace http = loam::http;
+namespace http = common::http;
 using boost::system::error_code;
 
 Worker::Worker(boost::asio::io_context& context, schema::Bed const& bed, schema::BedWorker const& self,
@@ -24,11 +24,11 @@
       cache_(bed.cache_blocks),
       part_cache_(static_cast<double>(bed.kept_tokens)),
       boot_("boot-" + std::to_string(seed) + "-0"),
-      up_since_(loam::boot_now()),
+      up_since_(common::boot_now()),
       warm_(warm) {}
 
 void Worker::begin() {
-  loam::start(context_, [this](loam::Yield yield) { engine(yield); });
+  common::start(context_, [this](common::Yield yield) { engine(yield); });
 }
 
 double Worker::noisy(double seconds) {
@@ -38,7 +38,7 @@
 
 void Worker::set_draining(bool on) {
   draining_ = on;
-  register_.draining(self_.id, on, loam::boot_now());
+  register_.draining(self_.id, on, common::boot_now());
 }
 bool Worker::draining() {
   return draining_;
@@ -68,7 +68,7 @@
   } else {
     ++life_;
     boot_ = boot_.substr(0, boot_.rfind('-')) + "-" + std::to_string(life_);
-    up_since_ = loam::boot_now();
+    up_since_ = common::boot_now();
     warm_ = false;
     cache_.clear();
     part_cache_.clear();
@@ -82,7 +82,7 @@
 
 /// A relay names the worker and the weights that it means: another one says
 /// so, and nothing runs.
-bool Worker::turned_away(loam::Stream& stream, loam::Ask const& ask, loam::Yield yield) {
+bool Worker::turned_away(common::Stream& stream, common::Ask const& ask, common::Yield yield) {
   std::string weights;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -93,8 +93,8 @@
   if (!other_worker && !other_weights) {
     return false;
   }
-  loam::Answer answer = loam::answer_error(http::status::misdirected_request,
-                                           other_worker ? "other_worker" : "other_weights", "nothing ran");
+  common::Answer answer = common::answer_error(http::status::misdirected_request,
+                                               other_worker ? "other_worker" : "other_weights", "nothing ran");
   answer.set("Finchlink-Query", ask["Finchlink-Query"]);
   answer.set("Finchlink-Refused", "1");
   if (!other_worker) {
@@ -107,7 +107,7 @@
 }
 
 /// Under `lock_`.
-void Worker::take_parts(loam::Ask const& ask, Job& job) {
+void Worker::take_parts(common::Ask const& ask, Job& job) {
   job.relayed = true;
   job.tokens = std::max(1.0, std::atof(std::string(ask["Finchlink-Tokens"]).c_str()));
   job.tenant = std::string(ask["Finchlink-Standin-Tenant"]);
@@ -127,7 +127,7 @@
 
 bool Worker::over_limit(bool& flooded) {
   std::size_t const open = waiting_.size() + running_.size() + plain_open_;
-  double const up = static_cast<double>(loam::boot_now() - up_since_) / 1000.0;
+  double const up = static_cast<double>(common::boot_now() - up_since_) / 1000.0;
   flooded = false;
   if (!warm_ && up < static_cast<double>(bed_.warming_ms)) {
     double const bears = static_cast<double>(bed_.cold_bears) +
@@ -142,13 +142,13 @@
   if (job->produced <= job->skip) {
     return;
   }
-  loam::Tree object(cJSON_CreateObject());
+  common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "text", text.c_str());
   if (last) {
     cJSON_AddStringToObject(object.get(), "query", job->query.c_str());
   }
   std::string const event = "id: " + std::to_string(job->produced) + "\nevent: " + (last ? "complete" : "token") +
-                            "\ndata: " + loam::print_tree(object.get()) + "\n\n";
+                            "\ndata: " + common::print_tree(object.get()) + "\n\n";
   boost::asio::post(job->timer.get_executor(), [job, event, last] {
     job->events.push_back(event);
     job->ended = job->ended || last;
@@ -156,7 +156,7 @@
   });
 }
 
-void Worker::engine(loam::Yield yield) {
+void Worker::engine(common::Yield yield) {
   while (true) {
     std::uint64_t const seen = bell_.count();
     JobPointer prefill;
@@ -190,23 +190,24 @@
         if (prefill->leg == "decode") {
           seconds = 0;  // the KV came over from the prefill worker
         } else {
-          seconds = noisy(terms[0] + terms[1] * uncached + terms[2] * tilth::pairs(uncached, cached));
+          seconds = noisy(terms[0] + terms[1] * uncached + terms[2] * scheduling::pairs(uncached, cached));
         }
       } else {
         batch = running_.size();
         std::vector<double> const& terms = bed_.model.decode;
-        seconds = batch == 0 ? 0
-                             : noisy(terms[0] +
-                                     terms[1] * tilth::spread(bed_.model.experts_share, 1, static_cast<double>(batch)) +
-                                     terms[2] * static_cast<double>(batch));
+        seconds = batch == 0
+                      ? 0
+                      : noisy(terms[0] +
+                              terms[1] * scheduling::spread(bed_.model.experts_share, 1, static_cast<double>(batch)) +
+                              terms[2] * static_cast<double>(batch));
       }
     }
     if (prefill == nullptr && batch == 0) {
-      bell_.wait(seen, loam::seconds(1), yield);
+      bell_.wait(seen, common::seconds(1), yield);
       continue;
     }
     if (seconds > 0) {
-      loam::pause(context_, static_cast<loam::Span>(seconds * 1e6), yield);
+      common::pause(context_, static_cast<common::Span>(seconds * 1e6), yield);
     }
     std::lock_guard<std::mutex> const guard(lock_);
     if (crashed_) {
@@ -240,14 +241,15 @@
   }
 }
 
-void Worker::answer_plain(loam::Stream& stream, std::string const& query, std::string const& nonce, loam::Yield yield) {
+void Worker::answer_plain(common::Stream& stream, std::string const& query, std::string const& nonce,
+                          common::Yield yield) {
   double seconds = 0;
   {
     std::lock_guard<std::mutex> const guard(lock_);
     ++plain_open_;
     seconds = noisy(bed_.plain_ms / 1000);
   }
-  loam::pause(context_, static_cast<loam::Span>(seconds * 1e6), yield);
+  common::pause(context_, static_cast<common::Span>(seconds * 1e6), yield);
   {
     std::lock_guard<std::mutex> const guard(lock_);
     --plain_open_;
@@ -255,14 +257,14 @@
   if (crashed_) {
     return;
   }
-  loam::Answer answer = loam::answer_text(http::status::ok, "{\"for\":\"" + nonce + "\",\"good\":true}");
+  common::Answer answer = common::answer_text(http::status::ok, "{\"for\":\"" + nonce + "\",\"good\":true}");
   answer.set("Finchlink-Query", query);
   answer.keep_alive(false);
   error_code error;
   http::async_write(stream, answer, yield[error]);
 }
 
-void Worker::answer_stream(loam::Stream& stream, JobPointer const& job, loam::Yield yield) {
+void Worker::answer_stream(common::Stream& stream, JobPointer const& job, common::Yield yield) {
   error_code error;
   bool header = false;
   while (true) {
@@ -276,7 +278,7 @@
       continue;
     }
     if (job->leg == "prefill") {
-      loam::Answer answer = loam::answer_text(http::status::ok, "{\"prefill\":\"done\"}");
+      common::Answer answer = common::answer_text(http::status::ok, "{\"prefill\":\"done\"}");
       answer.set("Finchlink-Query", job->query);
       answer.set("Finchlink-Kv", self_.address + "/" + job->query);
       answer.keep_alive(false);
@@ -320,7 +322,7 @@
   }
 }
 
-void Worker::serve(loam::Stream& stream, loam::Yield yield) {
+void Worker::serve(common::Stream& stream, common::Yield yield) {
   boost::beast::flat_buffer buffer;
   while (true) {
     error_code error;
@@ -333,9 +335,9 @@
       return;
     }
     while (dark_) {
-      loam::pause(context_, loam::milliseconds(50), yield);
+      common::pause(context_, common::milliseconds(50), yield);
     }
-    loam::Ask const ask = parser.release();
+    common::Ask const ask = parser.release();
     if (ask.target() == "/load") {
       std::string body;
       {
@@ -343,7 +345,7 @@
         body = "{\"running\":" + std::to_string(running_.size() + plain_open_) +
                ",\"waiting\":" + std::to_string(waiting_.size()) + ",\"boot\":\"" + boot_ + "\"}";
       }
-      loam::Answer answer = loam::answer_text(http::status::ok, body);
+      common::Answer answer = common::answer_text(http::status::ok, body);
       answer.keep_alive(true);
       http::async_write(stream, answer, yield[error]);
       if (error) {
@@ -363,9 +365,9 @@
     arrival.zone = self_.zone;
     arrival.leg = std::string(ask["Finchlink-Leg"]);
     arrival.dispatch = std::atoi(std::string(ask["Finchlink-Dispatch"]).c_str());
-    arrival.now = loam::boot_now();
+    arrival.now = common::boot_now();
     std::uint64_t outputs = 16;
-    absl::StatusOr<loam::Tree> const tree = loam::read_tree(ask.body());
+    absl::StatusOr<common::Tree> const tree = common::read_tree(ask.body());
     if (tree.ok()) {
       cJSON const* const nonce = cJSON_GetObjectItemCaseSensitive(tree->get(), "nonce");
       cJSON const* const home = cJSON_GetObjectItemCaseSensitive(tree->get(), "home");
@@ -393,7 +395,7 @@
         job->nonce = arrival.nonce;
         job->leg = arrival.leg;
         job->tokens = std::max(1.0, static_cast<double>(ask.body().size()) / bed_.bytes_per_token);
-        job->chain = tilth::block_chain(
+        job->chain = scheduling::block_chain(
             ask.body(), static_cast<std::size_t>(static_cast<double>(bed_.block_tokens) * bed_.bytes_per_token));
         if (relayed) {
           take_parts(ask, *job);
@@ -405,7 +407,7 @@
     }
     register_.arrived(arrival, !refused, flooded);
     if (refused) {
-      loam::Answer answer = loam::answer_error(http::status::too_many_requests, "full", "nothing ran");
+      common::Answer answer = common::answer_error(http::status::too_many_requests, "full", "nothing ran");
       if (relayed) {
         answer.set("Finchlink-Refused", "1");
       }
@@ -424,4 +426,4 @@
   }
 }
 
-}  // namespace finchlink::seedbed
+}  // namespace finchlink::fake_workers
--- a/source/seedbed/worker/worker.hpp
+++ b/source/fake_workers/worker/worker.hpp
@@ -8,14 +8,14 @@
 #include <random>
 #include <string>
 
-#include "loam/http/http.hpp"
-#include "loam/net/net.hpp"
+#include "common/http/http.hpp"
+#include "common/net/net.hpp"
+#include "fake_workers/ledger/ledger.hpp"
+#include "fake_workers/worker/part_cache.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 #include "schema/standin.hpp"
-#include "seedbed/ledger/ledger.hpp"
-#include "seedbed/worker/part_cache.hpp"
-#include "tilth/prefix/prefix.hpp"
 
-namespace finchlink::seedbed {
+namespace finchlink::fake_workers {
 
 /// A stand-in model worker: prefills one query at a time, decodes its batch
 /// together, by the design's equations with noise; or a plain service.
@@ -24,7 +24,7 @@
   Worker(boost::asio::io_context& context, schema::Bed const& bed, schema::BedWorker const& self,
          RegisterClient& ledger, bool warm, std::uint64_t seed);
   void begin();
-  void serve(loam::Stream& stream, loam::Yield yield);
+  void serve(common::Stream& stream, common::Yield yield);
 
   [[nodiscard]] schema::BedWorker const& self() const { return self_; }
   void set_draining(bool on);
@@ -66,14 +66,14 @@
   };
   using JobPointer = std::shared_ptr<Job>;
 
-  void engine(loam::Yield yield);
+  void engine(common::Yield yield);
   void emit(JobPointer const& job, std::string const& text, bool last);
-  [[nodiscard]] bool turned_away(loam::Stream& stream, loam::Ask const& ask, loam::Yield yield);
-  void take_parts(loam::Ask const& ask, Job& job);
+  [[nodiscard]] bool turned_away(common::Stream& stream, common::Ask const& ask, common::Yield yield);
+  void take_parts(common::Ask const& ask, Job& job);
   [[nodiscard]] double noisy(double seconds);
   [[nodiscard]] bool over_limit(bool& flooded);
-  void answer_plain(loam::Stream& stream, std::string const& query, std::string const& nonce, loam::Yield yield);
-  void answer_stream(loam::Stream& stream, JobPointer const& job, loam::Yield yield);
+  void answer_plain(common::Stream& stream, std::string const& query, std::string const& nonce, common::Yield yield);
+  void answer_stream(common::Stream& stream, JobPointer const& job, common::Yield yield);
 
   boost::asio::io_context& context_;
   schema::Bed bed_;
@@ -84,11 +84,11 @@
   std::deque<JobPointer> waiting_;
   std::list<JobPointer> running_;
   std::size_t plain_open_ = 0;
-  tilth::PrefixRecord cache_;
+  scheduling::PrefixRecord cache_;
   PartCache part_cache_;
   std::uint64_t weights_ = 1;
   std::string boot_;
-  loam::Moment up_since_ = 0;
+  common::Moment up_since_ = 0;
   bool warm_ = true;
   std::atomic<bool> draining_ = false;
   std::atomic<bool> listed_ = true;
@@ -96,7 +96,7 @@
   std::atomic<bool> dark_ = false;
   std::atomic<double> slow_ = 1.0;
   std::atomic<std::uint64_t> life_ = 0;
-  loam::Bell bell_;
+  common::Bell bell_;
 };
 
-}  // namespace finchlink::seedbed
+}  // namespace finchlink::fake_workers
--- a/source/gourd/hollow.cpp
+++ b/source/hollow_nodes/hollow_nodes.cpp
@@ -1,16 +1,16 @@
-#include "gourd/hollow.hpp"
+#include "hollow_nodes/hollow_nodes.hpp"
 
 #include <algorithm>
 #include <deque>
 #include <iterator>
 
+#include "common/constants.hpp"
+#include "common/random/random.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/constants.hpp"
-#include "loam/random/random.hpp"
 
-namespace finchlink::gourd {
+namespace finchlink::hollow_nodes {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 Hollow::Hollow(boost::asio::io_context& context, schema::Gourd const& gourd, std::uint64_t number, Tally& tally)
     : context_(context), gourd_(gourd), tally_(tally), caller_(context), contents_(context, caller_), number_(number) {
@@ -18,15 +18,15 @@
       std::next(gourd.halls.begin(), static_cast<std::ptrdiff_t>(number % gourd.halls.size()));
   region_ = hall->second;
   member_.name = "hollow-" + std::to_string(number);
-  member_.incarnation = loam::random_identity();
+  member_.incarnation = common::random_identity();
   member_.hall = hall->first;
   member_.address = "10.200." + std::to_string(number / 250) + "." + std::to_string(number % 250 + 1) + ":8161";
   member_.rooms = {"model", "plain"};
 }
 
-void Hollow::begin(loam::Span delay) {
-  loam::start(context_, [this, delay](loam::Yield yield) {
-    loam::pause(context_, delay, yield);
+void Hollow::begin(common::Span delay) {
+  common::start(context_, [this, delay](common::Yield yield) {
+    common::pause(context_, delay, yield);
     converse(yield);
   });
 }
@@ -51,18 +51,18 @@
   return report;
 }
 
-void Hollow::stir(loam::Moment now) {
-  if (gourd_.stir_ms > 0 && now - stirred_ >= loam::milliseconds(static_cast<std::int64_t>(gourd_.stir_ms))) {
+void Hollow::stir(common::Moment now) {
+  if (gourd_.stir_ms > 0 && now - stirred_ >= common::milliseconds(static_cast<std::int64_t>(gourd_.stir_ms))) {
     // The first time at a place of its own, so that furrows don't stir as one.
     bool const first = stirred_ == 0;
     stirred_ =
-        first ? now - loam::milliseconds(static_cast<std::int64_t>(loam::random_number() % gourd_.stir_ms)) : now;
+        first ? now - common::milliseconds(static_cast<std::int64_t>(common::random_number() % gourd_.stir_ms)) : now;
     member_.load = first ? member_.load : static_cast<double>((static_cast<std::uint64_t>(member_.load) + 1) % 10);
   }
 }
 
-void Hollow::take(schema::NewsAnswer const& answer, loam::Moment asked) {
-  loam::Moment const now = loam::boot_now();
+void Hollow::take(schema::NewsAnswer const& answer, common::Moment asked) {
+  common::Moment const now = common::boot_now();
   bool const lapsed = was_vouched_ && !vouch_.vouched(now);
   tally_.lapses += lapsed ? 1 : 0;
   for (schema::NamedValue const& news : vouch_.take(answer, asked, now)) {
@@ -85,14 +85,14 @@
   }
 }
 
-void Hollow::converse(loam::Yield yield) {
+void Hollow::converse(common::Yield yield) {
   std::vector<std::string> const& trellises = gourd_.seeds;
   std::size_t turn = number_ % trellises.size();
   std::deque<schema::FurrowReport> reports;
   std::uint64_t slice = 0;
-  loam::Moment reported = loam::boot_now();
+  common::Moment reported = common::boot_now();
   while (true) {
-    loam::Moment const asked = loam::boot_now();
+    common::Moment const asked = common::boot_now();
     if (asked - reported >= constants::report_span) {
       reports.push_back(report(++slice));
       reported = asked;
@@ -109,7 +109,7 @@
     ask.reports.assign(reports.begin(), reports.end());
     ++tally_.asks;
     absl::StatusOr<schema::Message> const answer = caller_.call(
-        trellises[turn], ask, loam::milliseconds(static_cast<std::int64_t>(gourd_.ask_deadline_ms)), yield);
+        trellises[turn], ask, common::milliseconds(static_cast<std::int64_t>(gourd_.ask_deadline_ms)), yield);
     schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
     if (news != nullptr) {
       while (!reports.empty() && reports.front().slice <= news->reports_taken) {
@@ -120,17 +120,17 @@
     if (news == nullptr || !news->vouched) {
       ++(news == nullptr ? tally_.unanswered : tally_.unvouched);
       turn = (turn + 1) % trellises.size();
-      if (loam::boot_now() - asked < constants::ask_retry) {
-        loam::pause(context_, constants::ask_retry, yield);
+      if (common::boot_now() - asked < constants::ask_retry) {
+        common::pause(context_, constants::ask_retry, yield);
       }
     } else {
-      loam::Span const left =
-          loam::milliseconds(static_cast<std::int64_t>(gourd_.ask_least_ms)) - (loam::boot_now() - asked);
+      common::Span const left =
+          common::milliseconds(static_cast<std::int64_t>(gourd_.ask_least_ms)) - (common::boot_now() - asked);
       if (left > 0) {
-        loam::pause(context_, left, yield);
+        common::pause(context_, left, yield);
       }
     }
   }
 }
 
-}  // namespace finchlink::gourd
+}  // namespace finchlink::hollow_nodes
--- a/source/gourd/hollow.hpp
+++ b/source/hollow_nodes/hollow_nodes.hpp
@@ -4,22 +4,22 @@
 #include <string>
 #include <vector>
 
-#include "furrow/contents/content_fetcher.hpp"
-#include "loam/net/net.hpp"
-#include "membership/copy/copy.hpp"
+#include "common/net/net.hpp"
+#include "data_plane/contents/content_fetcher.hpp"
 #include "membership/freshness/freshness_lease.hpp"
+#include "membership/replica/replica.hpp"
 #include "schema/standin.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::gourd {
+namespace finchlink::hollow_nodes {
 
 /// What all hollow furrows of this process saw.
 struct Tally {
   std::uint64_t asks = 0;
   std::uint64_t unanswered = 0;
   std::uint64_t unvouched = 0;
-  std::uint64_t lapses = 0;                                    ///< vouches that ended before the next one came
-  std::map<std::uint64_t, std::vector<loam::Moment>> adopted;  ///< setup revision to when each furrow held it
+  std::uint64_t lapses = 0;                                      ///< vouches that ended before the next one came
+  std::map<std::uint64_t, std::vector<common::Moment>> adopted;  ///< setup revision to when each furrow held it
 };
 
 /// The session of one furrow (section 6.1) without its queries: it asks,
@@ -27,19 +27,19 @@
 class Hollow {
  public:
   Hollow(boost::asio::io_context& context, schema::Gourd const& gourd, std::uint64_t number, Tally& tally);
-  void begin(loam::Span delay);
+  void begin(common::Span delay);
 
  private:
-  void converse(loam::Yield yield);
-  void take(schema::NewsAnswer const& answer, loam::Moment asked);
-  void stir(loam::Moment now);
+  void converse(common::Yield yield);
+  void take(schema::NewsAnswer const& answer, common::Moment asked);
+  void stir(common::Moment now);
   [[nodiscard]] schema::FurrowReport report(std::uint64_t slice) const;
 
   boost::asio::io_context& context_;
   schema::Gourd const& gourd_;
   Tally& tally_;
-  loam::Caller caller_;  ///< its own, as every furrow has its own connections
-  furrow::ContentFetcher contents_;
+  common::Caller caller_;  ///< its own, as every furrow has its own connections
+  data_plane::ContentFetcher contents_;
   std::uint64_t number_;
   std::string region_;
   schema::Member member_;
@@ -48,7 +48,7 @@
   std::string setup_;
   membership::MemberCopy members_;
   membership::ListCopy list_;
-  loam::Moment stirred_ = 0;
+  common::Moment stirred_ = 0;
 };
 
-}  // namespace finchlink::gourd
+}  // namespace finchlink::hollow_nodes
--- a/source/lease/lease_granter.cpp
+++ b/source/lease/lease_granter.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 
 namespace finchlink::lease {
 
-LeaseGranter::LeaseGranter(loam::Moment now, bool silence)
-    : silent_until_(silence ? now + loam::constants::lease_silence : now) {}
+LeaseGranter::LeaseGranter(common::Moment now, bool silence)
+    : silent_until_(silence ? now + common::constants::lease_silence : now) {}
 
-bool LeaseGranter::ask(schema::LeaseAsk const& ask, loam::Moment now) {
+bool LeaseGranter::ask(schema::LeaseAsk const& ask, common::Moment now) {
   Grant& grant = grants_[ask.name];
   if (ask.release) {
     if (grant.tenant == ask.tenant) {
@@ -21,7 +21,7 @@
     return false;
   }
   grant.tenant = ask.tenant;
-  grant.until = now + std::min(ask.span, loam::constants::lease_span);
+  grant.until = now + std::min(ask.span, common::constants::lease_span);
   return true;
 }
 
--- a/source/lease/lease_granter.hpp
+++ b/source/lease/lease_granter.hpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <string>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::lease {
@@ -12,15 +12,15 @@
 /// may have forgotten grants is silent for longer than any of them lasts.
 class LeaseGranter {
  public:
-  LeaseGranter(loam::Moment now, bool silence);
-  [[nodiscard]] bool ask(schema::LeaseAsk const& ask, loam::Moment now);
+  LeaseGranter(common::Moment now, bool silence);
+  [[nodiscard]] bool ask(schema::LeaseAsk const& ask, common::Moment now);
 
  private:
   struct Grant {
     std::uint64_t tenant = 0;
-    loam::Moment until = 0;
+    common::Moment until = 0;
   };
-  loam::Moment silent_until_;
+  common::Moment silent_until_;
   std::map<std::string, Grant> grants_;
 };
 
--- a/source/lease/lease_holder.cpp
+++ b/source/lease/lease_holder.cpp
@@ -1,15 +1,15 @@
 #include "lease/lease_holder.hpp"
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 
 namespace finchlink::lease {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 LeaseHolder::LeaseHolder(std::string name, std::uint64_t identity, consensus::Guards guards)
     : name_(std::move(name)), identity_(identity), guards_(guards) {}
 
-std::vector<LeaseHolderAction> LeaseHolder::tick(consensus::VoterSet const& set, loam::Moment now) {
+std::vector<LeaseHolderAction> LeaseHolder::tick(consensus::VoterSet const& set, common::Moment now) {
   std::vector<LeaseHolderAction> actions;
   if (held_ && !holds(now)) {
     held_ = false;
@@ -51,7 +51,7 @@
   return actions;
 }
 
-std::vector<LeaseHolderAction> LeaseHolder::receive(schema::LeaseAnswer const& answer, loam::Moment now) {
+std::vector<LeaseHolderAction> LeaseHolder::receive(schema::LeaseAnswer const& answer, common::Moment now) {
   std::vector<LeaseHolderAction> actions;
   if (answer.round != round_ || !answer.granted || releasing_ || !consensus::names(set_.holders, answer.incarnation)) {
     return actions;
@@ -60,8 +60,8 @@
   if (granted_.size() < consensus::majority(set_.holders.size())) {
     return actions;
   }
-  loam::Moment const until = guards_.tenant_stops_early ? asked_ + constants::lease_span - constants::lease_reserve
-                                                        : now + constants::lease_span;
+  common::Moment const until = guards_.tenant_stops_early ? asked_ + constants::lease_span - constants::lease_reserve
+                                                          : now + constants::lease_span;
   if (until > until_ && now < until) {
     until_ = until;
     if (!held_) {
--- a/source/lease/lease_holder.hpp
+++ b/source/lease/lease_holder.hpp
@@ -6,8 +6,8 @@
 #include <variant>
 #include <vector>
 
+#include "common/time/moment.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::lease {
@@ -27,13 +27,13 @@
 class LeaseHolder {
  public:
   LeaseHolder(std::string name, std::uint64_t identity, consensus::Guards guards = {});
-  [[nodiscard]] std::vector<LeaseHolderAction> tick(consensus::VoterSet const& set, loam::Moment now);
-  [[nodiscard]] std::vector<LeaseHolderAction> receive(schema::LeaseAnswer const& answer, loam::Moment now);
+  [[nodiscard]] std::vector<LeaseHolderAction> tick(consensus::VoterSet const& set, common::Moment now);
+  [[nodiscard]] std::vector<LeaseHolderAction> receive(schema::LeaseAnswer const& answer, common::Moment now);
   /// Gives the lease back for good: it is held no longer when this returns and
   /// never asked for again, and the acceptors may grant it to another before it
   /// runs out.
   [[nodiscard]] std::vector<LeaseHolderAction> release();
-  [[nodiscard]] bool holds(loam::Moment now) const { return now < until_; }
+  [[nodiscard]] bool holds(common::Moment now) const { return now < until_; }
   [[nodiscard]] std::string const& name() const { return name_; }
 
  private:
@@ -42,8 +42,8 @@
   consensus::Guards guards_;
   consensus::VoterSet set_;
   std::uint64_t round_ = 0;
-  loam::Moment asked_ = 0;
-  loam::Moment until_ = 0;
+  common::Moment asked_ = 0;
+  common::Moment until_ = 0;
   bool held_ = false;
   bool releasing_ = false;
   bool released_ = false;  ///< for good
--- a/source/gleaner/main.cpp
+++ b/source/load_generator/main.cpp
@@ -12,19 +12,19 @@
 #include <sstream>
 #include <thread>
 
-#include "furrow/worker/contract.hpp"
-#include "loam/constants.hpp"
-#include "loam/http/http.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/random/random.hpp"
-#include "loam/settings/settings.hpp"
+#include "common/constants.hpp"
+#include "common/http/http.hpp"
+#include "common/json/tree.hpp"
+#include "common/random/random.hpp"
+#include "common/settings/settings.hpp"
+#include "data_plane/worker/contract.hpp"
 #include "schema/standin.hpp"
 
 /// Stand-in callers: an open stream of queries by the mixes, each answer
 /// checked for owner, completeness and numbering (docs/operating/standins.md).
 namespace {
 using namespace finchlink;
-namespace http = loam::http;
+namespace http = common::http;
 using boost::system::error_code;
 
 struct Tally {
@@ -84,17 +84,17 @@
   double first = 0;
 };
 
-Seen talk(boost::asio::io_context& context, Call const& call, std::string const& address, loam::Moment until,
-          loam::Yield yield) {
+Seen talk(boost::asio::io_context& context, Call const& call, std::string const& address, common::Moment until,
+          common::Yield yield) {
   Seen seen;
-  loam::Moment const began = loam::boot_now();
-  absl::StatusOr<std::unique_ptr<loam::Stream>> const connection =
-      loam::connect(context, address, loam::seconds(2), yield);
+  common::Moment const began = common::boot_now();
+  absl::StatusOr<std::unique_ptr<common::Stream>> const connection =
+      common::connect(context, address, common::seconds(2), yield);
   if (!connection.ok()) {
     return seen;
   }
-  loam::Stream& stream = **connection;
-  loam::Ask ask{http::string_to_verb(call.mix.method), call.mix.path, 11};
+  common::Stream& stream = **connection;
+  common::Ask ask{http::string_to_verb(call.mix.method), call.mix.path, 11};
   ask.set(http::field::host, call.mix.host.empty() ? address : call.mix.host);
   ask.set(http::field::content_type, "application/json");
   if (!call.home.empty()) {
@@ -107,7 +107,7 @@
   ask.keep_alive(false);
   ask.prepare_payload();
   error_code error;
-  stream.expires_after(loam::duration(std::max<loam::Span>(until - began, 1000)));
+  stream.expires_after(common::duration(std::max<common::Span>(until - began, 1000)));
   http::async_write(stream, ask, yield[error]);
   boost::beast::flat_buffer buffer;
   http::response_parser<http::buffer_body> parser;
@@ -121,7 +121,7 @@
   seen.ran_no = parser.get()["Finchlink-May-Have-Run"] == "no";
   seen.location = std::string(parser.get()[http::field::location]);
   seen.stream = parser.get()[http::field::content_type].starts_with("text/event-stream");
-  furrow::EventReader reader(4);
+  data_plane::EventReader reader(4);
   std::uint64_t expected = 1;
   while (!parser.is_done()) {
     char piece[16384];
@@ -133,15 +133,15 @@
     }
     std::string_view const bytes(piece, sizeof(piece) - parser.get().body().size);
     if (seen.first == 0) {
-      seen.first = static_cast<double>(loam::boot_now() - began) / 1e6;
+      seen.first = static_cast<double>(common::boot_now() - began) / 1e6;
     }
     if (!seen.stream) {
       seen.text.append(bytes);
       continue;
     }
-    std::vector<furrow::StreamEvent> events;
+    std::vector<data_plane::StreamEvent> events;
     (void)reader.feed(bytes, events);  // an error event has no number
-    for (furrow::StreamEvent const& event : events) {
+    for (data_plane::StreamEvent const& event : events) {
       seen.numbered = seen.numbered && event.number == expected++ && !seen.complete;
       seen.complete = seen.complete || event.last;
       seen.text += event.text;
@@ -151,8 +151,8 @@
   return seen;
 }
 
-void judge(Book& book, Call const& call, Seen const& seen, loam::Moment began, int redirects) {
-  double const took = static_cast<double>(loam::boot_now() - began) / 1e6;
+void judge(Book& book, Call const& call, Seen const& seen, common::Moment began, int redirects) {
+  double const took = static_cast<double>(common::boot_now() - began) / 1e6;
   std::lock_guard<std::mutex> const guard(book.lock);
   Tally& tally = book.tallies[call.mix.name];
   tally.redirects += static_cast<std::uint64_t>(redirects);
@@ -232,8 +232,8 @@
 }
 
 void run_call(boost::asio::io_context& context, Book& book, Call const& call, std::string address,
-              std::vector<std::string> const& others, loam::Span deadline, loam::Yield yield) {
-  loam::Moment const began = loam::boot_now();
+              std::vector<std::string> const& others, common::Span deadline, common::Yield yield) {
+  common::Moment const began = common::boot_now();
   Seen seen;
   int redirects = 0;
   // A tenant's caller knows all furrows and asks another when one is gone or full.
@@ -242,8 +242,8 @@
     if ((seen.status != 0 && seen.status != 503) || tries == 3) {
       break;
     }
-    loam::pause(context, seen.status == 503 ? loam::milliseconds(300) : loam::milliseconds(20), yield);
-    address = others[loam::random_number() % others.size()];
+    common::pause(context, seen.status == 503 ? common::milliseconds(300) : common::milliseconds(20), yield);
+    address = others[common::random_number() % others.size()];
   }
   for (; call.mix.tenants == 0 && redirects < 3; ++redirects) {
     seen = talk(context, call, address, began + deadline, yield);
@@ -267,7 +267,7 @@
 
 std::string report(Book& book, std::string const& ran) {
   std::lock_guard<std::mutex> const guard(book.lock);
-  loam::Tree object(cJSON_CreateObject());
+  common::Tree object(cJSON_CreateObject());
   std::uint64_t refused_ran = 0;
   std::stringstream lines(ran);
   std::string nonce;
@@ -306,29 +306,29 @@
     cJSON_AddNumberToObject(part, "whole_p50_ms", std::round(percentile(tally.whole, 0.5) * 10000) / 10);
     cJSON_AddNumberToObject(part, "whole_p99_ms", std::round(percentile(tally.whole, 0.99) * 10000) / 10);
   }
-  return loam::print_tree(object.get(), true);
+  return common::print_tree(object.get(), true);
 }
 }  // namespace
 
 int main(int count, char** values) {
   if (count < 2 || count > 3 || std::string(values[1]) == "--help") {
     std::cerr << "gleaner FILE [SECONDS]   (a harvest: see schema/standin.json)\n";
-    return count == 2 ? 0 : loam::exit_usage;
+    return count == 2 ? 0 : common::exit_usage;
   }
   std::ifstream file(values[1]);
   std::stringstream content;
   content << file.rdbuf();
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(content.str());
+  absl::StatusOr<common::Tree> const tree = common::read_tree(content.str());
   schema::Harvest harvest;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   if (!tree.ok()) {
     std::cerr << "gleaner: " << values[1] << ": " << tree.status().message() << "\n";
-    return loam::exit_usage;
+    return common::exit_usage;
   }
   schema::read(tree->get(), "", harvest, faults);
   if (!faults.empty() || harvest.targets.empty()) {
-    std::cerr << "gleaner: " << loam::describe(faults) << "\n";
-    return loam::exit_usage;
+    std::cerr << "gleaner: " << common::describe(faults) << "\n";
+    return common::exit_usage;
   }
   if (count == 3) {
     harvest.seconds = std::atof(values[2]);
@@ -337,26 +337,26 @@
   boost::asio::io_context context(static_cast<int>(harvest.threads));
   Book book;
   std::atomic<std::size_t> mixes_left = harvest.mixes.size();
-  std::string const run = std::to_string(loam::random_identity());
-  loam::Moment const start_of_run = loam::boot_now();
+  std::string const run = std::to_string(common::random_identity());
+  common::Moment const start_of_run = common::boot_now();
   std::uint64_t seed = harvest.seed;
   for (schema::Mix const& mix : harvest.mixes) {
-    loam::start(context, [&, mix, mix_seed = ++seed](loam::Yield yield) {
+    common::start(context, [&, mix, mix_seed = ++seed](common::Yield yield) {
       std::mt19937_64 random(mix_seed);
       std::exponential_distribution<double> gap(std::max(0.001, mix.rate * harvest.scale));
-      loam::Moment next = loam::boot_now();
-      loam::Moment const until = next + static_cast<loam::Span>(harvest.seconds * 1e6);
+      common::Moment next = common::boot_now();
+      common::Moment const until = next + static_cast<common::Span>(harvest.seconds * 1e6);
       std::uint64_t number = 0;
       while (next < until) {
-        next += static_cast<loam::Span>(gap(random) * 1e6);
-        loam::Moment const now = loam::boot_now();
+        next += static_cast<common::Span>(gap(random) * 1e6);
+        common::Moment const now = common::boot_now();
         if (next > now) {
-          loam::pause(context, next - now, yield);
+          common::pause(context, next - now, yield);
         }
         Call call;
         call.mix = mix;
         if (harvest.swing_seconds > 0 &&
-            loam::boot_now() - start_of_run > static_cast<loam::Span>(harvest.swing_seconds * 1e6)) {
+            common::boot_now() - start_of_run > static_cast<common::Span>(harvest.swing_seconds * 1e6)) {
           std::swap(call.mix.outputs, call.mix.own_bytes);
         }
         call.nonce = run + "-" + mix.name + "-" + std::to_string(++number);
@@ -384,23 +384,23 @@
           continue;
         }
         ++book.open;
-        loam::start(context, [&context, &book, &harvest, call, address](loam::Yield inner) {
+        common::start(context, [&context, &book, &harvest, call, address](common::Yield inner) {
           run_call(context, book, call, address, harvest.targets,
-                   loam::milliseconds(static_cast<std::int64_t>(harvest.deadline_ms)), inner);
+                   common::milliseconds(static_cast<std::int64_t>(harvest.deadline_ms)), inner);
         });
       }
       --mixes_left;
     });
   }
-  loam::start(context, [&](loam::Yield yield) {
+  common::start(context, [&](common::Yield yield) {
     while (mixes_left > 0 || book.open > 0) {
-      loam::pause(context, loam::milliseconds(50), yield);
+      common::pause(context, common::milliseconds(50), yield);
     }
     std::string ran;
     if (!harvest.ledger.empty()) {
-      loam::Ask ask{http::verb::get, "/ledger/ran", 11};
-      absl::StatusOr<loam::Answer> const answer =
-          loam::ask_once(context, harvest.ledger, ask, loam::seconds(10), 1u << 30u, yield);
+      common::Ask ask{http::verb::get, "/ledger/ran", 11};
+      absl::StatusOr<common::Answer> const answer =
+          common::ask_once(context, harvest.ledger, ask, common::seconds(10), 1u << 30u, yield);
       if (!answer.ok()) {
         std::cerr << "gleaner: the ledger can't be read: " << answer.status().message() << "\n";
       } else {
--- a/source/membership/departure/departure.cpp
+++ b/source/membership/departure/departure.cpp
@@ -2,12 +2,12 @@
 
 #include <algorithm>
 
+#include "common/constants.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/constants.hpp"
 
 namespace finchlink::membership {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 bool stays(DepartureStep step) {
   return step == DepartureStep::await_successor || step == DepartureStep::await_votes;
@@ -31,7 +31,7 @@
   return "";
 }
 
-DepartureStep Departure::decide(schema::VoterSet const& set, std::vector<Peer> const& peers, loam::Moment now) {
+DepartureStep Departure::decide(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) {
   if (last_ == 0 || now - last_ > constants::departure_gap) {
     running_from_ = now;
   }
@@ -57,12 +57,12 @@
   return DepartureStep::go_unreplaced;
 }
 
-bool Departure::in_contact(Peer const& peer, loam::Moment now) const {
+bool Departure::in_contact(Peer const& peer, common::Moment now) const {
   // After a freeze of this machine all would seem silent by the clock.
   return now - std::max(peer.heard, running_from_) <= constants::departure_contact;
 }
 
-bool Departure::spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, loam::Moment now) const {
+bool Departure::spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const {
   for (Peer const& peer : peers) {
     bool const spare = peer.entry.disk && peer.entry.holder != 0 && !peer.entry.leaving &&
                        !consensus::names(set.holders, peer.entry.holder);
--- a/source/membership/departure/departure.hpp
+++ b/source/membership/departure/departure.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::membership {
@@ -13,7 +13,7 @@
 /// A peer as gossip last told of it.
 struct Peer {
   schema::TrellisEntry entry;
-  loam::Moment heard = 0;  ///< when it last spoke for itself, by the own clock
+  common::Moment heard = 0;  ///< when it last spoke for itself, by the own clock
 };
 
 /// What a departing process does now, and why.
@@ -40,26 +40,26 @@
 /// again and again; the grace bounds every wait.
 class Departure {
  public:
-  Departure(std::uint64_t incarnation, loam::Moment until, DepartureGuards guards = {})
+  Departure(std::uint64_t incarnation, common::Moment until, DepartureGuards guards = {})
       : incarnation_(incarnation), until_(until), guards_(guards) {}
 
   /// `set` is the newest voter set known, `peers` all others that gossip tells of.
-  [[nodiscard]] DepartureStep decide(schema::VoterSet const& set, std::vector<Peer> const& peers, loam::Moment now);
+  [[nodiscard]] DepartureStep decide(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now);
 
  private:
-  [[nodiscard]] bool in_contact(Peer const& peer, loam::Moment now) const;
-  [[nodiscard]] bool spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, loam::Moment now) const;
+  [[nodiscard]] bool in_contact(Peer const& peer, common::Moment now) const;
+  [[nodiscard]] bool spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const;
   /// Whether a voter that this epoch brought in is not known to vote yet.
   [[nodiscard]] bool vote_missing(schema::VoterSet const& set) const;
   void note_votes(schema::VoterSet const& set, std::vector<Peer> const& peers);
 
   std::uint64_t incarnation_;
-  loam::Moment until_;
+  common::Moment until_;
   DepartureGuards guards_;
-  std::uint64_t epoch_ = 0;        ///< the epoch that `voted_` is of
-  std::set<std::uint64_t> voted_;  ///< incarnations that told of their vote in this epoch
-  loam::Moment last_ = 0;          ///< when it was last asked
-  loam::Moment running_from_ = 0;  ///< since when it was asked without a gap
+  std::uint64_t epoch_ = 0;          ///< the epoch that `voted_` is of
+  std::set<std::uint64_t> voted_;    ///< incarnations that told of their vote in this epoch
+  common::Moment last_ = 0;          ///< when it was last asked
+  common::Moment running_from_ = 0;  ///< since when it was asked without a gap
 };
 
 /// Incarnations of the voters whose processes say that they leave.
--- a/source/membership/freshness/freshness_lease.cpp
+++ b/source/membership/freshness/freshness_lease.cpp
@@ -2,11 +2,11 @@
 
 #include <algorithm>
 
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 namespace finchlink::membership {
 
-bool FreshnessLease::may_adopt(schema::NewsAnswer const& answer, loam::Moment asked) {
+bool FreshnessLease::may_adopt(schema::NewsAnswer const& answer, common::Moment asked) {
   if (!first_answered_ask_.has_value()) {
     first_answered_ask_ = asked;
   }
@@ -16,8 +16,8 @@
   return asked - *first_answered_ask_ >= bounds_.unvouched_wait;
 }
 
-std::vector<schema::NamedValue> FreshnessLease::take(schema::NewsAnswer const& answer, loam::Moment asked,
-                                                     loam::Moment now) {
+std::vector<schema::NamedValue> FreshnessLease::take(schema::NewsAnswer const& answer, common::Moment asked,
+                                                     common::Moment now) {
   std::vector<schema::NamedValue> adopted;
   std::vector<schema::NamedValue> const nothing;
   bool whole = true;
@@ -29,7 +29,7 @@
     }
     std::uint64_t& held = held_[news.name];
     if (news.revision > held || (!guards_.never_back && news.revision != held)) {
-      loam::check(loam::Invariant::adopted_revision_rises, news.revision > held, [&] {
+      common::check(common::Invariant::adopted_revision_rises, news.revision > held, [&] {
         return news.name + " falls from revision " + std::to_string(held) + " to " + std::to_string(news.revision);
       });
       held = news.revision;
@@ -47,15 +47,15 @@
   return adopted;
 }
 
-bool FreshnessLease::vouched(loam::Moment now) const {
+bool FreshnessLease::vouched(common::Moment now) const {
   return now < vouched_until_ || (!guards_.stop_unvouched && vouched_until_ > 0);
 }
 
-bool FreshnessLease::confirmed_within(loam::Span span, loam::Moment now) const {
+bool FreshnessLease::confirmed_within(common::Span span, common::Moment now) const {
   return confirmed_ask_.has_value() && now - *confirmed_ask_ < span;
 }
 
-bool FreshnessLease::list_fresh(loam::Moment now) const {
+bool FreshnessLease::list_fresh(common::Moment now) const {
   return list_as_of_ > 0 && now - list_as_of_ < bounds_.list;
 }
 
--- a/source/membership/freshness/freshness_lease.hpp
+++ b/source/membership/freshness/freshness_lease.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/freshness_constants.hpp"
-#include "loam/time/moment.hpp"
+#include "common/constants.hpp"
+#include "common/freshness_constants.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::membership {
@@ -24,9 +24,9 @@
 /// How long a vouch lasts, how old a platform list may be, and how long one that has just started waits for a
 /// vouched word before it adopts an unvouched one.
 struct FreshnessBounds {
-  loam::Span vouch = loam::constants::vouch_bound;
-  loam::Span list = loam::constants::list_bound;
-  loam::Span unvouched_wait = loam::constants::unvouched_wait;
+  common::Span vouch = common::constants::vouch_bound;
+  common::Span list = common::constants::list_bound;
+  common::Span unvouched_wait = common::constants::unvouched_wait;
 };
 
 /// What a furrow knows for sure (section 6.2): revisions in force, how long it
@@ -36,27 +36,27 @@
   explicit FreshnessLease(FreshnessGuards guards = {}, FreshnessBounds bounds = {})
       : guards_(guards), bounds_(bounds) {}
   /// Takes an answer to an ask sent at `asked`; gives what is newly in force.
-  [[nodiscard]] std::vector<schema::NamedValue> take(schema::NewsAnswer const& answer, loam::Moment asked,
-                                                     loam::Moment now);
-  [[nodiscard]] bool vouched(loam::Moment now) const;
+  [[nodiscard]] std::vector<schema::NamedValue> take(schema::NewsAnswer const& answer, common::Moment asked,
+                                                     common::Moment now);
+  [[nodiscard]] bool vouched(common::Moment now) const;
   /// A majority confirmed what is held for an ask that was sent less than `span` ago.
-  [[nodiscard]] bool confirmed_within(loam::Span span, loam::Moment now) const;
-  [[nodiscard]] bool list_fresh(loam::Moment now) const;
+  [[nodiscard]] bool confirmed_within(common::Span span, common::Moment now) const;
+  [[nodiscard]] bool list_fresh(common::Moment now) const;
   /// True when the answer's list was asked for later than the one held.
   [[nodiscard]] bool list_newer() const { return list_newer_; }
   [[nodiscard]] std::map<std::string, std::uint64_t> const& held() const { return held_; }
 
  private:
   /// Whether what the answer tells may be put in force (section 13.15).
-  [[nodiscard]] bool may_adopt(schema::NewsAnswer const& answer, loam::Moment asked);
+  [[nodiscard]] bool may_adopt(schema::NewsAnswer const& answer, common::Moment asked);
 
   FreshnessGuards guards_;
   FreshnessBounds bounds_;
   std::map<std::string, std::uint64_t> held_;
-  std::optional<loam::Moment> first_answered_ask_;
-  std::optional<loam::Moment> confirmed_ask_;  ///< when the newest ask with a vouched answer was sent
-  loam::Moment vouched_until_ = 0;
-  loam::Moment list_as_of_ = 0;
+  std::optional<common::Moment> first_answered_ask_;
+  std::optional<common::Moment> confirmed_ask_;  ///< when the newest ask with a vouched answer was sent
+  common::Moment vouched_until_ = 0;
+  common::Moment list_as_of_ = 0;
   bool list_newer_ = false;
 };
 
--- a/source/membership/gossip/gossip_schedule.hpp
+++ b/source/membership/gossip/gossip_schedule.hpp
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
 namespace finchlink::membership {
 
@@ -16,13 +16,13 @@
  public:
   /// The peers among `peers` that are told now; they count as waiting until
   /// settled() or until `patience` is over.
-  [[nodiscard]] std::vector<std::string> start_round(std::vector<std::string> const& peers, loam::Moment now,
-                                                     loam::Span patience);
+  [[nodiscard]] std::vector<std::string> start_round(std::vector<std::string> const& peers, common::Moment now,
+                                                     common::Span patience);
   /// The peer answered, or the call to it failed.
   void settled(std::string const& peer);
 
  private:
-  std::map<std::string, loam::Moment> waiting_until_;
+  std::map<std::string, common::Moment> waiting_until_;
 };
 
 }  // namespace finchlink::membership
--- a/source/membership/listing/listing.cpp
+++ b/source/membership/listing/listing.cpp
@@ -3,9 +3,9 @@
 #include <algorithm>
 #include <set>
 
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
-#include "membership/copy/lead_on.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
+#include "membership/replica/apply_changes.hpp"
 
 namespace finchlink::membership {
 
@@ -17,7 +17,7 @@
     entries[""] = std::to_string(list.revision);
   }
   for (schema::WorkerEntry const& worker : list.workers) {
-    loam::Digest digest;
+    common::Digest digest;
     digest.add(worker.address)
         .add(worker.zone)
         .add(worker.kind)
@@ -35,16 +35,16 @@
 }  // namespace
 
 std::uint64_t digest_of(schema::PlatformList const& list) {
-  return loam::digest_of(counted(list));
+  return common::digest_of(counted(list));
 }
 
-bool Listing::keep(schema::PlatformList const& list, loam::Moment as_of, loam::Moment now) {
+bool Listing::keep(schema::PlatformList const& list, common::Moment as_of, common::Moment now) {
   if (as_of <= as_of_) {
     return false;
   }
   if (list.revision > 0 && list.revision < list_.revision) {
     back_since_ = back_since_ == 0 ? now : back_since_;
-    if (now - back_since_ < loam::constants::list_back_span) {
+    if (now - back_since_ < common::constants::list_back_span) {
       return false;
     }
   }
@@ -60,14 +60,15 @@
   return true;
 }
 
-void Listing::renew(loam::Moment as_of) {
+void Listing::renew(common::Moment as_of) {
   if (as_of > as_of_) {
     count_down(list_, as_of - as_of_);
     as_of_ = as_of;
   }
 }
 
-std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, loam::Span passed, ListNews const& news) {
+std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, common::Span passed,
+                                           ListNews const& news) {
   schema::PlatformList list = held;
   count_down(list, passed);
   list.revision = news.list.revision;
@@ -78,7 +79,7 @@
   return list;
 }
 
-bool Listing::take(ListNews const& news, loam::Moment as_of, loam::Moment now) {
+bool Listing::take(ListNews const& news, common::Moment as_of, common::Moment now) {
   std::uint64_t const before = digest();
   if (news.same) {
     if (news.digest == before) {
@@ -99,7 +100,7 @@
 ListNews Listing::since(std::uint64_t digest) const {
   ListNews news;
   news.digest = source_.digest();
-  std::optional<loam::Delta> const delta = source_.since(digest);
+  std::optional<common::Delta> const delta = source_.since(digest);
   news.same = !delta.has_value();
   if (news.same) {
     return news;
@@ -125,9 +126,9 @@
   return news;
 }
 
-void count_down(schema::PlatformList& list, loam::Span passed) {
+void count_down(schema::PlatformList& list, common::Span passed) {
   // At least one is left: that it reached zero is for the list itself to say.
-  std::uint64_t const gone = static_cast<std::uint64_t>(std::max<loam::Span>(passed, 0)) / 1000;
+  std::uint64_t const gone = static_cast<std::uint64_t>(std::max<common::Span>(passed, 0)) / 1000;
   for (schema::WorkerEntry& worker : list.workers) {
     worker.cold_ms = worker.cold_ms > 0 ? worker.cold_ms - std::min(worker.cold_ms - 1, gone) : 0;
     worker.left_ms = worker.left_ms > 0 ? worker.left_ms - std::min(worker.left_ms - 1, gone) : 0;
--- a/source/membership/listing/listing.hpp
+++ b/source/membership/listing/listing.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/delta/delta.hpp"
-#include "loam/time/moment.hpp"
+#include "common/constants.hpp"
+#include "common/delta/delta.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::membership {
@@ -17,7 +17,7 @@
 [[nodiscard]] std::uint64_t digest_of(schema::PlatformList const& list);
 
 /// Makes what counts down less by what passed, but not nothing.
-void count_down(schema::PlatformList& list, loam::Span passed);
+void count_down(schema::PlatformList& list, common::Span passed);
 
 /// What an asker is told of a list (section 6.4): that it holds it, or what
 /// leads on from the list that it holds, or all.
@@ -31,7 +31,7 @@
 
 /// The list that news lead to from one held that is older by what passed;
 /// nothing when they don't lead to the one they name.
-[[nodiscard]] std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, loam::Span passed,
+[[nodiscard]] std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, common::Span passed,
                                                          ListNews const& news);
 
 /// The platform list as a trellis keeps it (section 6.3): later asked wins, a
@@ -40,27 +40,27 @@
 class Listing {
  public:
   /// Takes a list that was asked for at `as_of`; true when it is kept.
-  bool keep(schema::PlatformList const& list, loam::Moment as_of, loam::Moment now);
+  bool keep(schema::PlatformList const& list, common::Moment as_of, common::Moment now);
   /// Takes what a colleague that was asked tells, of a list asked for at
   /// `as_of`; true when the list is another. What does not lead to the list it
   /// names is left, and wanted() asks for all.
-  bool take(ListNews const& news, loam::Moment as_of, loam::Moment now);
+  bool take(ListNews const& news, common::Moment as_of, common::Moment now);
   /// Digest of what a colleague may lead on from; 0: all is wanted.
   [[nodiscard]] std::uint64_t wanted() const { return astray_ ? 0 : digest(); }
   /// The list held was found the same at `as_of`: what counts down is less by then.
-  void renew(loam::Moment as_of);
+  void renew(common::Moment as_of);
   [[nodiscard]] schema::PlatformList const& list() const { return list_; }
   [[nodiscard]] std::uint64_t digest() const { return source_.digest(); }
   /// For an asker that holds the list of this digest; 0: none.
   [[nodiscard]] ListNews since(std::uint64_t digest) const;
   /// Negative: never read.
-  [[nodiscard]] loam::Span age(loam::Moment now) const { return as_of_ == 0 ? -1 : now - as_of_; }
+  [[nodiscard]] common::Span age(common::Moment now) const { return as_of_ == 0 ? -1 : now - as_of_; }
 
  private:
   schema::PlatformList list_;
-  loam::DeltaSource source_{loam::constants::delta_states};
-  loam::Moment as_of_ = 0;
-  loam::Moment back_since_ = 0;
+  common::DeltaSource source_{common::constants::delta_states};
+  common::Moment as_of_ = 0;
+  common::Moment back_since_ = 0;
   bool astray_ = false;  ///< news did not lead where they said
 };
 
--- a/source/membership/reconfiguration/reconfiguration.cpp
+++ b/source/membership/reconfiguration/reconfiguration.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
+#include "common/constants.hpp"
+#include "common/json/tree.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/constants.hpp"
-#include "loam/json/tree.hpp"
 
 namespace finchlink::membership {
 
@@ -35,7 +35,7 @@
     if (voter.address == self.address) {
       return &voter;
     }
-    if (missed_by(view, voter, guards) >= loam::constants::join_misses) {
+    if (missed_by(view, voter, guards) >= common::constants::join_misses) {
       lost = &voter;
     }
   }
@@ -128,7 +128,7 @@
 }
 
 consensus::ProposalFunction reconfiguration_proposal(schema::VoterSet const& set, schema::VoterSet const& next) {
-  return consensus::replace_at(set.epoch - 1, loam::print_tree(loam::Tree(schema::write(next)).get()));
+  return consensus::replace_at(set.epoch - 1, common::print_tree(common::Tree(schema::write(next)).get()));
 }
 
 }  // namespace finchlink::membership
--- a/source/membership/reconfiguration/voter_looks.cpp
+++ b/source/membership/reconfiguration/voter_looks.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 
 namespace finchlink::membership {
 
@@ -21,11 +21,11 @@
     missing_.erase(answer.incarnation);
   } else if (answer.incarnation != asked) {
     // Whoever stands there with a new disk takes that place himself.
-    misses_[asked] = std::min(misses_[asked], loam::constants::join_misses - 1);
+    misses_[asked] = std::min(misses_[asked], common::constants::join_misses - 1);
     missing_.erase(asked);
-  } else if (++catching_up_[asked] <= loam::constants::catching_up_looks) {
+  } else if (++catching_up_[asked] <= common::constants::catching_up_looks) {
     // Were it replaced, its successor would have to catch up as well.
-    misses_[asked] = std::min(misses_[asked], loam::constants::join_misses - 1);
+    misses_[asked] = std::min(misses_[asked], common::constants::join_misses - 1);
   }
 }
 
--- a/source/membership/copy/copy.cpp
+++ b/source/membership/replica/replica.cpp
@@ -1,6 +1,6 @@
-#include "membership/copy/copy.hpp"
+#include "membership/replica/replica.hpp"
 
-#include "membership/copy/lead_on.hpp"
+#include "membership/replica/apply_changes.hpp"
 
 namespace finchlink::membership {
 
@@ -11,8 +11,8 @@
   return ListNews{told.list_same, told.list_from, told.list, told.list_gone, told.list_digest};
 }
 
-bool ListCopy::take(ListNews const& news, loam::Span age, loam::Moment asked) {
-  loam::Moment const as_of = asked - age;
+bool ListCopy::take(ListNews const& news, common::Span age, common::Moment asked) {
+  common::Moment const as_of = asked - age;
   if (age < 0 || as_of <= as_of_) {
     return false;
   }
@@ -37,7 +37,7 @@
   return true;
 }
 
-void ListCopy::put(schema::PlatformList const& list, loam::Moment as_of) {
+void ListCopy::put(schema::PlatformList const& list, common::Moment as_of) {
   list_ = list;
   digest_ = 0;
   as_of_ = as_of;
--- a/source/membership/copy/copy.hpp
+++ b/source/membership/replica/replica.hpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "membership/listing/listing.hpp"
 #include "membership/session/sessions.hpp"
 #include "schema/wire.hpp"
@@ -16,18 +16,18 @@
 class ListCopy {
  public:
   /// Takes what an answer to an ask sent at `asked` tells; true when the list is another.
-  bool take(ListNews const& news, loam::Span age, loam::Moment asked);
+  bool take(ListNews const& news, common::Span age, common::Moment asked);
   /// A list that was read elsewhere at `as_of`; no teller knows it.
-  void put(schema::PlatformList const& list, loam::Moment as_of);
+  void put(schema::PlatformList const& list, common::Moment as_of);
   [[nodiscard]] schema::PlatformList const& list() const { return list_; }
   /// To be sent with the next ask; 0 asks for all.
   [[nodiscard]] std::uint64_t digest() const { return digest_; }
-  [[nodiscard]] loam::Moment as_of() const { return as_of_; }
+  [[nodiscard]] common::Moment as_of() const { return as_of_; }
 
  private:
   schema::PlatformList list_;
   std::uint64_t digest_ = 0;
-  loam::Moment as_of_ = 0;
+  common::Moment as_of_ = 0;
 };
 /// What an answer tells of the list.
 [[nodiscard]] ListNews list_news(schema::NewsAnswer const& answer);
--- a/source/membership/responder/news_responder.cpp
+++ b/source/membership/responder/update_responder.cpp
@@ -1,8 +1,8 @@
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
 
 #include <algorithm>
 
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 namespace finchlink::membership {
 
@@ -30,19 +30,19 @@
   return news;
 }
 
-NewsDecision decide_answer(schema::NewsAsk const& ask, loam::Moment arrival, loam::Moment confirmed_from,
-                           std::map<std::string, schema::Value> const& values, bool other_news, loam::Moment now,
+NewsDecision decide_answer(schema::NewsAsk const& ask, common::Moment arrival, common::Moment confirmed_from,
+                           std::map<std::string, schema::Value> const& values, bool other_news, common::Moment now,
                            NewsGuards guards, NewsBounds bounds) {
   NewsDecision verdict;
   bool const vouched = confirmed_from >= arrival || (!guards.confirm_after_arrival && confirmed_from > 0);
   schema::NewsAnswer answer;
   answer.vouched = vouched;
   answer.news = news_for(ask, values, bounds.inline_bytes);
-  loam::Span const waited = now - arrival;
+  common::Span const waited = now - arrival;
   bool const news = other_news || !answer.news.empty();
   verdict.hurry = !vouched && ask.member.held.empty() && !answer.news.empty();
   if ((vouched && (news || waited >= bounds.hold)) || (!vouched && waited >= bounds.patience)) {
-    loam::check(loam::Invariant::vouch_after_ask, !answer.vouched || confirmed_from >= arrival, [&] {
+    common::check(common::Invariant::vouch_after_ask, !answer.vouched || confirmed_from >= arrival, [&] {
       return "an ask of " + ask.member.name + " is vouched for by a read that began " +
              std::to_string(arrival - confirmed_from) + " us before it";
     });
--- a/source/membership/responder/news_responder.hpp
+++ b/source/membership/responder/update_responder.hpp
@@ -4,8 +4,8 @@
 #include <optional>
 #include <string>
 
-#include "loam/constants.hpp"
-#include "loam/time/moment.hpp"
+#include "common/constants.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::membership {
@@ -17,9 +17,9 @@
 /// How long an ask is held, and how long an unconfirmed one; and how many bytes
 /// of contents an answer carries: more is fetched in pieces (section 5.9).
 struct NewsBounds {
-  loam::Span hold = loam::constants::ask_hold;
-  loam::Span patience = loam::constants::ask_patience;
-  std::size_t inline_bytes = loam::constants::inline_news_bytes;
+  common::Span hold = common::constants::ask_hold;
+  common::Span patience = common::constants::ask_patience;
+  std::size_t inline_bytes = common::constants::inline_news_bytes;
 };
 
 /// What the asker does not hold yet, contents beyond the bound withheld, large
@@ -32,13 +32,14 @@
 /// or nothing yet, and until when to wait for something to change.
 struct NewsDecision {
   std::optional<schema::NewsAnswer> answer;
-  loam::Span wait = 0;
+  common::Span wait = 0;
   /// The asker holds nothing, so it can serve nobody, and there is news for it:
   /// only a read begun now is missing, and it isn't left for the next turn.
   bool hurry = false;
 };
-[[nodiscard]] NewsDecision decide_answer(schema::NewsAsk const& ask, loam::Moment arrival, loam::Moment confirmed_from,
+[[nodiscard]] NewsDecision decide_answer(schema::NewsAsk const& ask, common::Moment arrival,
+                                         common::Moment confirmed_from,
                                          std::map<std::string, schema::Value> const& values, bool other_news,
-                                         loam::Moment now, NewsGuards guards = {}, NewsBounds bounds = {});
+                                         common::Moment now, NewsGuards guards = {}, NewsBounds bounds = {});
 
 }  // namespace finchlink::membership
--- a/source/membership/session/sessions.cpp
+++ b/source/membership/session/sessions.cpp
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
+#include "common/wire/pack.hpp"
 
 namespace finchlink::membership {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 std::string counted(schema::Member const& member) {
-  return loam::Digest()
+  return common::Digest()
       .add(member.name)
       .add(member.incarnation)
       .add(member.hall)
@@ -27,33 +27,33 @@
   for (schema::Member const& member : members) {
     entries[member.name] = counted(member);
   }
-  return loam::digest_of(entries);
+  return common::digest_of(entries);
 }
 
 void Sessions::stand(std::string const& name, Standing standing) {
   (void)members_.put(name, counted(standing.member));
   if (standing.direct) {
-    (void)own_.put(name, loam::pack(standing.member));
+    (void)own_.put(name, common::pack(standing.member));
   } else {
     (void)own_.remove(name);
   }
   sessions_[name] = std::move(standing);
 }
 
-bool Sessions::heard(schema::Member const& member, loam::Moment now) {
+bool Sessions::heard(schema::Member const& member, common::Moment now) {
   std::map<std::string, Standing>::const_iterator const before = sessions_.find(member.name);
   bool const opened = before == sessions_.end() || before->second.member.incarnation != member.incarnation;
   stand(member.name, Standing{member, now, true});
   return opened;
 }
 
-void Sessions::met(schema::TrellisEntry const& trellis, loam::Moment now) {
+void Sessions::met(schema::TrellisEntry const& trellis, common::Moment now) {
   if (trellis.address != self_.address && !trellis.address.empty()) {
     trellises_[trellis.address] = Known{trellis, now};
   }
 }
 
-void Sessions::adopt(schema::Member const& member, loam::Moment heard) {
+void Sessions::adopt(schema::Member const& member, common::Moment heard) {
   std::map<std::string, Standing>::iterator const standing = sessions_.find(member.name);
   if (standing != sessions_.end() && heard <= standing->second.heard) {
     return;
@@ -65,12 +65,12 @@
   }
 }
 
-std::uint64_t Sessions::lead_on(schema::Tell const& tell, loam::Moment now) {
+std::uint64_t Sessions::lead_on(schema::Tell const& tell, common::Moment now) {
   Told& told = told_[tell.from.address];
   if (tell.sessions_from == told.copy.digest() || tell.sessions_from == 0) {
-    loam::Delta delta{tell.sessions_from == 0, {}, tell.sessions_gone, tell.sessions_digest};
+    common::Delta delta{tell.sessions_from == 0, {}, tell.sessions_gone, tell.sessions_digest};
     for (schema::Session const& session : tell.sessions) {
-      delta.put.emplace_back(session.member.name, loam::pack(session.member));
+      delta.put.emplace_back(session.member.name, common::pack(session.member));
     }
     bool const news = delta.whole || !delta.put.empty() || !delta.removed.empty() || delta.digest != told.copy.digest();
     if (news && told.copy.apply(delta)) {
@@ -99,13 +99,13 @@
   }
   std::size_t index = 0;
   for (std::pair<std::string const, schema::Member> const& entry : told.members) {
-    loam::Span const ago = static_cast<loam::Span>(std::min<std::uint64_t>(tell.heard_ago_ms[index++], 1u << 30u));
-    adopt(entry.second, now - loam::milliseconds(ago));
+    common::Span const ago = static_cast<common::Span>(std::min<std::uint64_t>(tell.heard_ago_ms[index++], 1u << 30u));
+    adopt(entry.second, now - common::milliseconds(ago));
   }
   return told.copy.digest();
 }
 
-std::uint64_t Sessions::told(schema::Tell const& tell, loam::Moment now) {
+std::uint64_t Sessions::told(schema::Tell const& tell, common::Moment now) {
   met(tell.from, now);
   for (schema::TrellisEntry const& other : tell.others) {
     // Second-hand word makes a trellis known, but does not keep it listed.
@@ -119,7 +119,7 @@
   return lead_on(tell, now);
 }
 
-std::vector<std::string> Sessions::expire(loam::Moment now) {
+std::vector<std::string> Sessions::expire(common::Moment now) {
   std::vector<std::string> ended;
   for (std::map<std::string, Standing>::iterator entry = sessions_.begin(); entry != sessions_.end();) {
     if (now - entry->second.heard > bound_) {
@@ -147,7 +147,7 @@
   return members;
 }
 
-std::vector<schema::Session> Sessions::tellable(loam::Moment now) const {
+std::vector<schema::Session> Sessions::tellable(common::Moment now) const {
   std::vector<schema::Session> sessions;
   for (std::pair<std::string const, Standing> const& entry : sessions_) {
     if (entry.second.direct) {
@@ -160,7 +160,7 @@
 MemberNews Sessions::since(std::uint64_t digest) const {
   MemberNews news;
   news.digest = members_.digest();
-  std::optional<loam::Delta> const delta = members_.since(digest);
+  std::optional<common::Delta> const delta = members_.since(digest);
   news.same = !delta.has_value();
   if (news.same) {
     return news;
@@ -177,9 +177,9 @@
   return news;
 }
 
-void Sessions::tell(std::uint64_t known, loam::Moment now, schema::Tell& tell) const {
+void Sessions::tell(std::uint64_t known, common::Moment now, schema::Tell& tell) const {
   tell.sessions_digest = own_.digest();
-  std::optional<loam::Delta> const delta = own_.since(known);
+  std::optional<common::Delta> const delta = own_.since(known);
   if (delta.has_value() && delta->whole) {
     tell.sessions = tellable(now);
     return;
@@ -195,8 +195,8 @@
   for (std::pair<std::string const, Standing> const& entry : sessions_) {
     if (entry.second.direct) {
       // Rounded to the older side.
-      tell.heard_ago_ms.push_back(static_cast<std::uint64_t>(std::max<loam::Span>(now - entry.second.heard, 0) + 999) /
-                                  1000);
+      tell.heard_ago_ms.push_back(
+          static_cast<std::uint64_t>(std::max<common::Span>(now - entry.second.heard, 0) + 999) / 1000);
     }
   }
 }
--- a/source/membership/session/sessions.hpp
+++ b/source/membership/session/sessions.hpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/delta/delta.hpp"
-#include "loam/time/moment.hpp"
+#include "common/constants.hpp"
+#include "common/delta/delta.hpp"
+#include "common/time/moment.hpp"
 #include "membership/departure/departure.hpp"
 #include "schema/wire.hpp"
 
@@ -30,20 +30,20 @@
 /// stands, and the trellises that tell each other of them. Plain state.
 class Sessions {
  public:
-  explicit Sessions(schema::TrellisEntry self, loam::Span bound = loam::constants::session_bound)
+  explicit Sessions(schema::TrellisEntry self, common::Span bound = common::constants::session_bound)
       : self_(std::move(self)), bound_(bound) {}
   /// How long a session lasts after its last ask.
-  void set_bound(loam::Span bound) { bound_ = bound; }
+  void set_bound(common::Span bound) { bound_ = bound; }
 
   /// A furrow asked here; true when that opened a session.
-  bool heard(schema::Member const& member, loam::Moment now);
+  bool heard(schema::Member const& member, common::Moment now);
   /// A colleague told of itself, its sessions and others; gives the digest of
   /// its sessions as they are known here then, which it is to be told: 0 when
   /// what it told did not lead to what it says (section 6.4).
-  std::uint64_t told(schema::Tell const& tell, loam::Moment now);
-  void met(schema::TrellisEntry const& trellis, loam::Moment now);
+  std::uint64_t told(schema::Tell const& tell, common::Moment now);
+  void met(schema::TrellisEntry const& trellis, common::Moment now);
   /// Ends what is over; the names that ended.
-  [[nodiscard]] std::vector<std::string> expire(loam::Moment now);
+  [[nodiscard]] std::vector<std::string> expire(common::Moment now);
 
   [[nodiscard]] std::vector<schema::Member> members() const;
   /// Digest of what readiness and addresses need of the members.
@@ -51,10 +51,10 @@
   /// For an asker that holds the members of this digest; 0: none.
   [[nodiscard]] MemberNews since(std::uint64_t digest) const;
   /// Sessions as told to colleagues, each with how long ago it was heard of.
-  [[nodiscard]] std::vector<schema::Session> tellable(loam::Moment now) const;
+  [[nodiscard]] std::vector<schema::Session> tellable(common::Moment now) const;
   /// The sessions of a telling to a colleague that knows those of this digest:
   /// whole ones where they changed, and of all how long ago they were heard of.
-  void tell(std::uint64_t known, loam::Moment now, schema::Tell& tell) const;
+  void tell(std::uint64_t known, common::Moment now, schema::Tell& tell) const;
   [[nodiscard]] std::vector<schema::TrellisEntry> trellises() const;
   /// All other trellises, each with when it was last heard of.
   [[nodiscard]] std::vector<Peer> peers() const;
@@ -64,29 +64,29 @@
  private:
   struct Standing {
     schema::Member member;
-    loam::Moment heard = 0;
+    common::Moment heard = 0;
     bool direct = false;
   };
   struct Known {
     schema::TrellisEntry entry;
-    loam::Moment heard = 0;
+    common::Moment heard = 0;
   };
   /// What a colleague told of its sessions so far.
   struct Told {
-    loam::DeltaCopy copy;
+    common::DeltaCopy copy;
     std::map<std::string, schema::Member> members;
   };
   void stand(std::string const& name, Standing standing);
-  void adopt(schema::Member const& member, loam::Moment heard);
-  [[nodiscard]] std::uint64_t lead_on(schema::Tell const& tell, loam::Moment now);
+  void adopt(schema::Member const& member, common::Moment heard);
+  [[nodiscard]] std::uint64_t lead_on(schema::Tell const& tell, common::Moment now);
 
   schema::TrellisEntry self_;
-  loam::Span bound_;
+  common::Span bound_;
   std::map<std::string, Standing> sessions_;
   std::map<std::string, Known> trellises_;
   std::map<std::string, Told> told_;  ///< by the colleague's address
-  loam::DeltaSource members_{loam::constants::delta_states};
-  loam::DeltaSource own_{loam::constants::delta_states};  ///< sessions held here, as they are told
+  common::DeltaSource members_{common::constants::delta_states};
+  common::DeltaSource own_{common::constants::delta_states};  ///< sessions held here, as they are told
 };
 
 }  // namespace finchlink::membership
--- a/source/membership/status/voter_status.cpp
+++ b/source/membership/status/voter_status.cpp
@@ -2,16 +2,16 @@
 
 #include <algorithm>
 
+#include "common/constants.hpp"
+#include "common/health_constants.hpp"
 #include "consensus/ballot/ballot.hpp"
-#include "loam/constants.hpp"
-#include "loam/health_constants.hpp"
 
 namespace finchlink::membership {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
-std::string in_milliseconds(loam::Span span) {
+std::string in_milliseconds(common::Span span) {
   return std::to_string(span / 1000) + " ms";
 }
 
@@ -36,7 +36,8 @@
 }
 }  // namespace
 
-std::vector<VoterStatus> voter_statuses(schema::VoterSet const& set, std::vector<Peer> const& peers, loam::Moment now) {
+std::vector<VoterStatus> voter_statuses(schema::VoterSet const& set, std::vector<Peer> const& peers,
+                                        common::Moment now) {
   std::vector<VoterStatus> statuses;
   for (schema::Voter const& voter : set.holders) {
     VoterStatus status;
@@ -50,7 +51,7 @@
       status.voting = peer.entry.voting && peer.entry.epoch == set.epoch;
       status.catching_up = !peer.entry.voting;
       status.leaving = peer.entry.leaving;
-      status.contact = std::max<loam::Span>(now - peer.heard, 0);
+      status.contact = std::max<common::Span>(now - peer.heard, 0);
     }
     statuses.push_back(status);
   }
--- a/source/platform/dialect.cpp
+++ b/source/platform/dialect.cpp
@@ -1,11 +1,11 @@
 #include "platform/dialect.hpp"
 
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 
 namespace finchlink::platform {
 
-furrow::Dialect dialect() {
-  furrow::Dialect dialect;
+data_plane::Dialect dialect() {
+  data_plane::Dialect dialect;
   dialect.query = "Attempt-Id";
   dialect.seal = "Answer-Seal";
   dialect.left = "Time-Left";
@@ -18,15 +18,15 @@
   dialect.urgency = "Request-Urgency";
   dialect.ready_path = "/v1/readiness";
   dialect.directory_path = "/v1/resolve";
-  dialect.read_parts = furrow::read_parts;
+  dialect.read_parts = data_plane::read_parts;
   dialect.print_directory = [](std::vector<std::string> const& addresses, double seconds) {
-    loam::Tree object(cJSON_CreateObject());
+    common::Tree object(cJSON_CreateObject());
     cJSON* const list = cJSON_AddArrayToObject(object.get(), "addresses");
     for (std::string const& address : addresses) {
       cJSON_AddItemToArray(list, cJSON_CreateString(address.c_str()));
     }
     cJSON_AddNumberToObject(object.get(), "ttl_s", seconds);
-    return loam::print_tree(object.get());
+    return common::print_tree(object.get());
   };
   return dialect;
 }
--- a/source/platform/dialect.hpp
+++ b/source/platform/dialect.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "furrow/relay/dialect.hpp"
+#include "data_plane/relay/dialect.hpp"
 
 namespace finchlink::platform {
 
 /// The platform's headers and paths on the way of a query.
-[[nodiscard]] furrow::Dialect dialect();
+[[nodiscard]] data_plane::Dialect dialect();
 
 }  // namespace finchlink::platform
--- a/source/platform/listing.cpp
+++ b/source/platform/listing.cpp
@@ -1,9 +1,9 @@
 #include "platform/listing.hpp"
 
-#include "loam/constants.hpp"
-#include "loam/error/error.hpp"
-#include "loam/http/http.hpp"
-#include "loam/json/tree.hpp"
+#include "common/constants.hpp"
+#include "common/error/error.hpp"
+#include "common/http/http.hpp"
+#include "common/json/tree.hpp"
 
 namespace finchlink::platform {
 
@@ -33,10 +33,10 @@
 }  // namespace
 
 absl::StatusOr<ListPage> parse_page(std::string const& text) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   cJSON const* const instances = tree.ok() ? cJSON_GetObjectItemCaseSensitive(tree->get(), "instances") : nullptr;
   if (cJSON_IsArray(instances) == 0) {
-    return loam::defect(absl::StatusCode::kDataLoss, "list", "the answer is no list of workers");
+    return common::defect(absl::StatusCode::kDataLoss, "list", "the answer is no list of workers");
   }
   ListPage page;
   page.next = text_of(tree->get(), "next_token");
@@ -47,7 +47,7 @@
     worker.zone = text_of(entry, "zone");
     worker.service = text_of(entry, "plant");
     if (worker.id.empty() || worker.address.empty()) {
-      return loam::defect(absl::StatusCode::kDataLoss, "list", "a worker has no id or address");
+      return common::defect(absl::StatusCode::kDataLoss, "list", "a worker has no id or address");
     }
     bool const model = cJSON_GetObjectItemCaseSensitive(entry, "models") != nullptr ||
                        cJSON_GetObjectItemCaseSensitive(entry, "phase") != nullptr;
@@ -64,26 +64,26 @@
 }
 
 absl::StatusOr<schema::PlatformList> read_list(boost::asio::io_context& context, std::string const& address,
-                                               loam::Span deadline, loam::Yield yield) {
-  loam::Moment const until = loam::boot_now() + deadline;
+                                               common::Span deadline, common::Yield yield) {
+  common::Moment const until = common::boot_now() + deadline;
   schema::PlatformList list;
   std::string token;
   do {
-    loam::Span const left = until - loam::boot_now();
+    common::Span const left = until - common::boot_now();
     if (left <= 0) {
-      return loam::defect(absl::StatusCode::kDeadlineExceeded, "list", "its pages take too long");
+      return common::defect(absl::StatusCode::kDeadlineExceeded, "list", "its pages take too long");
     }
-    loam::Ask const ask{loam::http::verb::get, token.empty() ? "/workers" : "/workers?page_token=" + escaped(token),
-                        11};
-    absl::StatusOr<loam::Answer> const answer =
-        loam::ask_once(context, address, ask, left, loam::constants::list_limit, yield);
+    common::Ask const ask{common::http::verb::get, token.empty() ? "/workers" : "/workers?page_token=" + escaped(token),
+                          11};
+    absl::StatusOr<common::Answer> const answer =
+        common::ask_once(context, address, ask, left, common::constants::list_limit, yield);
     if (!answer.ok()) {
       return answer.status();
     }
-    if (answer->result() != loam::http::status::ok) {
-      bool const often = answer->result() == loam::http::status::too_many_requests;
-      return loam::defect(often ? absl::StatusCode::kResourceExhausted : absl::StatusCode::kUnavailable, "list",
-                          "status " + std::to_string(answer->result_int()));
+    if (answer->result() != common::http::status::ok) {
+      bool const often = answer->result() == common::http::status::too_many_requests;
+      return common::defect(often ? absl::StatusCode::kResourceExhausted : absl::StatusCode::kUnavailable, "list",
+                            "status " + std::to_string(answer->result_int()));
     }
     absl::StatusOr<ListPage> const page = parse_page(answer->body());
     if (!page.ok()) {
--- a/source/platform/listing.hpp
+++ b/source/platform/listing.hpp
@@ -5,7 +5,7 @@
 
 #include <absl/status/statusor.h>
 
-#include "loam/net/net.hpp"
+#include "common/net/net.hpp"
 #include "schema/wire.hpp"
 
 namespace finchlink::platform {
@@ -20,7 +20,7 @@
 /// Reads the platform's worker list over all its pages (section 13.4).
 /// ResourceExhausted: it was asked too often.
 [[nodiscard]] absl::StatusOr<schema::PlatformList> read_list(boost::asio::io_context& context,
-                                                             std::string const& address, loam::Span deadline,
-                                                             loam::Yield yield);
+                                                             std::string const& address, common::Span deadline,
+                                                             common::Yield yield);
 
 }  // namespace finchlink::platform
--- a/source/platform/notation.cpp
+++ b/source/platform/notation.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 
 namespace finchlink::platform {
 
@@ -10,10 +10,10 @@
 /// Reads one object of the platform's, adding faults by their place.
 class Entry {
  public:
-  Entry(cJSON const* node, std::string path, std::vector<loam::Fault>& faults)
+  Entry(cJSON const* node, std::string path, std::vector<common::Fault>& faults)
       : node_(node), path_(std::move(path)), faults_(faults) {
     if (cJSON_IsObject(node_) == 0) {
-      faults_.push_back(loam::Fault{path_, "must be an object"});
+      faults_.push_back(common::Fault{path_, "must be an object"});
     }
   }
   [[nodiscard]] cJSON const* find(char const* field) const {
@@ -64,17 +64,17 @@
   }
   [[nodiscard]] std::string place(char const* field) const { return path_ + "/" + field; }
   void fault(char const* field, std::string const& reason) const {
-    faults_.push_back(loam::Fault{place(field), reason});
+    faults_.push_back(common::Fault{place(field), reason});
   }
 
  private:
   static constexpr double exact_most = 9007199254740992.0;  // 2^53: above it a double skips whole numbers
   cJSON const* node_;
   std::string path_;
-  std::vector<loam::Fault>& faults_;
+  std::vector<common::Fault>& faults_;
 };
 
-schema::Lane lane_of(cJSON const* node, std::string const& path, std::vector<loam::Fault>& faults) {
+schema::Lane lane_of(cJSON const* node, std::string const& path, std::vector<common::Fault>& faults) {
   Entry const entry(node, path, faults);
   schema::Lane lane;
   lane.name = entry.name();
@@ -109,7 +109,7 @@
   return lane;
 }
 
-schema::Service service_of(cJSON const* node, std::string const& path, std::vector<loam::Fault>& faults) {
+schema::Service service_of(cJSON const* node, std::string const& path, std::vector<common::Fault>& faults) {
   Entry const entry(node, path, faults);
   schema::Service service;
   service.name = entry.name();
@@ -130,9 +130,9 @@
 
 config::CharterReading read_charter(std::string const& text) {
   config::CharterReading reading;
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
-    reading.faults.push_back(loam::Fault{"", std::string(tree.status().message())});
+    reading.faults.push_back(common::Fault{"", std::string(tree.status().message())});
     return reading;
   }
   Entry const root(tree->get(), "", reading.faults);
@@ -156,7 +156,7 @@
     target.header_wait_ms = limits.natural("header_wait_ms", target.header_wait_ms);
     target.idle_ms = limits.natural("idle_ms", target.idle_ms);
   }
-  std::vector<loam::Fault> const more = config::check(reading.charter);
+  std::vector<common::Fault> const more = config::check(reading.charter);
   reading.faults.insert(reading.faults.end(), more.begin(), more.end());
   return reading;
 }
--- a/source/platform/notation.hpp
+++ b/source/platform/notation.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "config/charter/charter.hpp"
+#include "config/routing/routing_config.hpp"
 
 namespace finchlink::platform {
 
--- a/source/platform/operator.cpp
+++ b/source/platform/operator.cpp
@@ -2,8 +2,8 @@
 
 namespace finchlink::platform {
 
-trellis::OperatorPaths operator_paths() {
-  return trellis::OperatorPaths{"/v1/config", "/v1/drain/", ""};
+control_plane::OperatorPaths operator_paths() {
+  return control_plane::OperatorPaths{"/v1/config", "/v1/drain/", ""};
 }
 
 }  // namespace finchlink::platform
--- a/source/platform/operator.hpp
+++ b/source/platform/operator.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "trellis/operator/paths.hpp"
+#include "control_plane/operator/paths.hpp"
 
 namespace finchlink::platform {
 
 /// The paths under which the platform's operator sends its orders.
-[[nodiscard]] trellis::OperatorPaths operator_paths();
+[[nodiscard]] control_plane::OperatorPaths operator_paths();
 
 }  // namespace finchlink::platform
--- a/source/tilth/fit/fit.cpp
+++ b/source/scheduling/fit/fit.cpp
@@ -1,10 +1,10 @@
-#include "tilth/fit/fit.hpp"
+#include "scheduling/fit/fit.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 /// Least squares over the columns that are not held at zero.
@@ -111,4 +111,4 @@
   return fit;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/fit/fit.hpp
+++ b/source/scheduling/fit/fit.hpp
@@ -3,7 +3,7 @@
 #include <Eigen/Dense>
 #include <vector>
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Non-negative least squares by the active-set method of Lawson and Hanson:
 /// the x >= 0 that makes |A x - b| least (section 8.3).
@@ -26,4 +26,4 @@
 /// that the relative error is what is made small.
 [[nodiscard]] Fit fit_rows(std::vector<FitRow> const& rows, std::size_t least_rows);
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/grove/grove.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -1,18 +1,18 @@
-#include "tilth/grove/grove.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "loam/relay_constants.hpp"
-#include "tilth/prefix/prefix.hpp"
-#include "tilth/scaler/pools.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
+#include "scheduling/scaler/pools.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
-double seconds_of(loam::Span span) {
+double seconds_of(common::Span span) {
   return static_cast<double>(span) / 1e6;
 }
 /// What a prompt shares with others: all parts but the last, which is its own;
@@ -31,7 +31,7 @@
 }
 }  // namespace
 
-void Grove::update(std::vector<Stand> const& stands, GroveTerms const& terms, loam::Moment now) {
+void Grove::update(std::vector<Stand> const& stands, GroveTerms const& terms, common::Moment now) {
   terms_ = terms;
   by_service_.clear();
   std::map<std::string, Worker> next;
@@ -40,7 +40,7 @@
     Worker worker;
     if (found != workers_.end()) {
       worker = std::move(found->second);
-      loam::Moment cold_until = std::max(stand.cold_until, worker.stand.cold_until);
+      common::Moment cold_until = std::max(stand.cold_until, worker.stand.cold_until);
       if (guards_.suspect_returned && worker.stand.evacuated && !stand.evacuated) {
         // What became of it meanwhile shows in the list a little later.
         cold_until = std::max(cold_until, now + constants::cold_suspect);
@@ -136,14 +136,14 @@
   }
 }
 
-void Grove::Demand::fade(loam::Moment now) {
+void Grove::Demand::fade(common::Moment now) {
   double const keep = std::exp(-seconds_of(now - at) / constants::demand_memory);
   prefill *= keep;
   decode *= keep;
   at = now;
 }
 
-bool Grove::fed_long(Worker const& worker, loam::Moment) const {
+bool Grove::fed_long(Worker const& worker, common::Moment) const {
   if (!worker.stand.phase.empty()) {
     return worker.stand.phase != "decode";
   }
@@ -179,7 +179,7 @@
   return ahead < tenders ? 1 : 0;
 }
 
-double Grove::load(Worker const& worker, loam::Moment now) const {
+double Grove::load(Worker const& worker, common::Moment now) const {
   double const age = worker.told_at == 0 ? 1e9 : seconds_of(now - worker.told_at);
   double const told = age > constants::load_memory ? 0
                                                    : (worker.told_total + static_cast<double>(worker.sent_since)) *
@@ -187,7 +187,7 @@
   return std::max(told, static_cast<double>(worker.own));
 }
 
-bool Grove::open(Worker const& worker, Wanted const& wanted, loam::Moment now) const {
+bool Grove::open(Worker const& worker, Wanted const& wanted, common::Moment now) const {
   Stand const& stand = worker.stand;
   if (stand.draining || stand.evacuated) {
     return false;
@@ -201,7 +201,7 @@
   }
   if (cold(worker, now) && stand.cold_rate > 0) {
     std::size_t recent = 0;
-    for (loam::Moment const sent : worker.sends) {
+    for (common::Moment const sent : worker.sends) {
       recent += now - sent < constants::cold_window ? 1 : 0;
     }
     if (static_cast<double>(recent) >= cold_part(worker)) {
@@ -221,7 +221,7 @@
   return worker.stand.phase.empty() ? terms_.keep_long_apart && worker.ranks >= 3 : worker.stand.phase != "both";
 }
 
-Grove::Price Grove::price(Worker const& worker, Wanted const& wanted, bool owner, loam::Moment now) const {
+Grove::Price Grove::price(Worker const& worker, Wanted const& wanted, bool owner, common::Moment now) const {
   Stand const& stand = worker.stand;
   bool const near = stand.region == terms_.region;
   double const running = load(worker, now);
@@ -274,7 +274,7 @@
   return roams && found != free_.end() ? &found->second : nullptr;
 }
 
-Grove::Worker const* Grove::best(std::string const& service, Wanted const& wanted, loam::Moment now,
+Grove::Worker const* Grove::best(std::string const& service, Wanted const& wanted, common::Moment now,
                                  Price& price_found) const {
   std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(service);
   Worker const* found = nullptr;
@@ -323,7 +323,7 @@
   return found;
 }
 
-std::variant<Spot, NoSpot> Grove::choose(Wanted const& wanted, loam::Moment now) {
+std::variant<Spot, NoSpot> Grove::choose(Wanted const& wanted, common::Moment now) {
   double whole = 0;
   for (schema::Share const& share : wanted.shares) {
     whole += share.weight;
@@ -355,7 +355,7 @@
       ++worker.own;
       ++worker.sent_since;
       worker.own_prefill += offer.uncached;
-      witness(worker, Sent{next_ticket_, now + static_cast<loam::Span>(offer.seconds * 1e6)}, now);
+      witness(worker, Sent{next_ticket_, now + static_cast<common::Span>(offer.seconds * 1e6)}, now);
       if (worker.stand.model) {
         Demand& demand = demand_[{worker.stand.service, worker.stand.region}];
         demand.fade(now);
@@ -384,7 +384,7 @@
   return NoSpot{!workers_.empty(), constants::plain_seconds};
 }
 
-bool Grove::alternative(Wanted const& wanted, loam::Moment now) const {
+bool Grove::alternative(Wanted const& wanted, common::Moment now) const {
   for (schema::Share const& share : wanted.shares) {
     Price offer;
     if (share.weight > 0 && best(share.service, wanted, now, offer) != nullptr) {
@@ -424,7 +424,7 @@
   }
 }
 
-void Grove::ended(Spot const& spot, bool first_seen, Outcome outcome, loam::Moment now) {
+void Grove::ended(Spot const& spot, bool first_seen, Outcome outcome, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(spot.worker);
   if (found == workers_.end()) {
     return;
@@ -445,7 +445,7 @@
   }
 }
 
-void Grove::witness(Worker& worker, Evidence const& evidence, loam::Moment now) {
+void Grove::witness(Worker& worker, Evidence const& evidence, common::Moment now) {
   for (JudgeAction const& action : judge_.take(worker.judged, evidence, now)) {
     if (std::holds_alternative<MayHaveForgotten>(action)) {
       worker.reuse.clear_walled();
@@ -467,14 +467,14 @@
   }
 }
 
-void Grove::heard(std::string const& id, loam::Moment now) {
+void Grove::heard(std::string const& id, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
     witness(found->second, Heard{}, now);
   }
 }
 
-double Grove::running_on(std::string const& id, loam::Moment now) const {
+double Grove::running_on(std::string const& id, common::Moment now) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
   return found == workers_.end() ? 0 : load(found->second, now);
 }
@@ -484,17 +484,17 @@
   return found == workers_.end() ? "" : pool_name(found->second.stand.region, found->second.stand.service);
 }
 
-bool Grove::ejected(std::string const& id, loam::Moment now) const {
+bool Grove::ejected(std::string const& id, common::Moment now) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
   return found != workers_.end() && judge_.ejected(found->second.judged, now);
 }
 
-loam::Moment Grove::heard_at(std::string const& id) const {
+common::Moment Grove::heard_at(std::string const& id) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
   return found == workers_.end() ? 0 : judge_.heard_at(found->second.judged);
 }
 
-void Grove::told(std::string const& id, double running, double waiting, double slots, loam::Moment now) {
+void Grove::told(std::string const& id, double running, double waiting, double slots, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found == workers_.end() || !guards_.told_load) {
     return;
@@ -508,4 +508,4 @@
   }
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/grove/grove.hpp
+++ b/source/scheduling/load_balancer/load_balancer.hpp
@@ -8,12 +8,12 @@
 #include <variant>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/outlier_detection/outlier_detector.hpp"
+#include "scheduling/prompt_cache/prompt_cache_estimate.hpp"
 #include "schema/setup.hpp"
-#include "tilth/judge/judge.hpp"
-#include "tilth/reuse/reuse.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// A worker as it is wanted now; the grove compares this with what it has.
 struct Stand {
@@ -27,7 +27,7 @@
   bool evacuated = false;
   std::uint64_t capacity = 1;
   std::uint64_t connections = 0;  ///< from all callers; 0: not told
-  loam::Moment cold_until = 0;
+  common::Moment cold_until = 0;
   double cold_rate = 0;  ///< queries a second while cold; 0: no bound
   double kept_tokens = 0;
   std::string phase;  ///< by the split: prefill, decode or both; empty: no split here
@@ -96,26 +96,26 @@
  public:
   explicit Grove(GroveGuards guards = {})
       : guards_(guards), judge_(JudgeGuards{guards.rest, guards.ejection_bound, guards.hall_suspicion}) {}
-  void update(std::vector<Stand> const& stands, GroveTerms const& terms, loam::Moment now);
+  void update(std::vector<Stand> const& stands, GroveTerms const& terms, common::Moment now);
   /// Takes the place, too; ended() gives it back.
-  [[nodiscard]] std::variant<Spot, NoSpot> choose(Wanted const& wanted, loam::Moment now);
+  [[nodiscard]] std::variant<Spot, NoSpot> choose(Wanted const& wanted, common::Moment now);
   /// May bytes go there still? Asked right before they do.
   [[nodiscard]] bool usable(std::string const& worker) const;
   [[nodiscard]] bool serves(std::string const& worker, std::string const& service) const;
   [[nodiscard]] bool stands_in(std::string const& worker, std::vector<std::string> const& regions) const;
   void first_token(Spot const& spot, std::vector<Part> const& parts, double seconds);
-  void ended(Spot const& spot, bool first_seen, Outcome outcome, loam::Moment now);
+  void ended(Spot const& spot, bool first_seen, Outcome outcome, common::Moment now);
   /// What a worker said of its load, all callers counted.
-  void told(std::string const& worker, double running, double waiting, double slots, loam::Moment now);
+  void told(std::string const& worker, double running, double waiting, double slots, common::Moment now);
   /// Bytes of an answer came from it; it is not dark.
-  void heard(std::string const& worker, loam::Moment now);
-  [[nodiscard]] loam::Moment heard_at(std::string const& worker) const;
+  void heard(std::string const& worker, common::Moment now);
+  [[nodiscard]] common::Moment heard_at(std::string const& worker) const;
   /// Does it rest for what it did to queries?
-  [[nodiscard]] bool ejected(std::string const& worker, loam::Moment now) const;
+  [[nodiscard]] bool ejected(std::string const& worker, common::Moment now) const;
   /// Has another worker a place for it? (Before a silent one is given up.)
-  [[nodiscard]] bool alternative(Wanted const& wanted, loam::Moment now) const;
+  [[nodiscard]] bool alternative(Wanted const& wanted, common::Moment now) const;
   /// Queries that run or wait there, as told and sent.
-  [[nodiscard]] double running_on(std::string const& worker, loam::Moment now) const;
+  [[nodiscard]] double running_on(std::string const& worker, common::Moment now) const;
   /// The pool that a split is made for (section 13.11).
   [[nodiscard]] std::string pool_of(std::string const& worker) const;
   /// Its walled parts count for nothing any more (section 14.3).
@@ -129,8 +129,8 @@
   struct Demand {
     double prefill = 0;
     double decode = 0;
-    loam::Moment at = 0;
-    void fade(loam::Moment now);
+    common::Moment at = 0;
+    void fade(common::Moment now);
   };
   struct Worker {
     Stand stand;
@@ -142,32 +142,32 @@
     double own_prefill = 0;  ///< tokens sent whose first answer is not here yet
     double told_total = 0;
     double told_waiting = 0;
-    loam::Moment told_at = 0;
+    common::Moment told_at = 0;
     std::uint64_t sent_since = 0;
     double slots = 0;
-    double pace = 1;                 ///< seen over predicted, smoothed
-    std::deque<loam::Moment> sends;  ///< within the last second, while cold
+    double pace = 1;                   ///< seen over predicted, smoothed
+    std::deque<common::Moment> sends;  ///< within the last second, while cold
     Reuse reuse;
   };
-  [[nodiscard]] bool cold(Worker const& worker, loam::Moment now) const { return now < worker.stand.cold_until; }
+  [[nodiscard]] bool cold(Worker const& worker, common::Moment now) const { return now < worker.stand.cold_until; }
   /// Queries that this furrow may send it within one second while it is cold.
   [[nodiscard]] double cold_part(Worker const& worker) const;
-  [[nodiscard]] double load(Worker const& worker, loam::Moment now) const;
-  [[nodiscard]] bool open(Worker const& worker, Wanted const& wanted, loam::Moment now) const;
+  [[nodiscard]] double load(Worker const& worker, common::Moment now) const;
+  [[nodiscard]] bool open(Worker const& worker, Wanted const& wanted, common::Moment now) const;
   struct Price {
     double seconds = 0;  ///< to the first token, as predicted
     double cost = 0;     ///< the same and what else speaks against it
     double uncached = 0;
   };
-  [[nodiscard]] Price price(Worker const& worker, Wanted const& wanted, bool owner, loam::Moment now) const;
+  [[nodiscard]] Price price(Worker const& worker, Wanted const& wanted, bool owner, common::Moment now) const;
   [[nodiscard]] bool kept_apart(Worker const& worker) const;
   /// Regions of a service whose workers own what queries without a home share.
   [[nodiscard]] std::set<std::string> const* free_regions(std::string const& service, Wanted const& wanted) const;
-  [[nodiscard]] bool fed_long(Worker const& worker, loam::Moment now) const;
-  [[nodiscard]] Worker const* best(std::string const& service, Wanted const& wanted, loam::Moment now,
+  [[nodiscard]] bool fed_long(Worker const& worker, common::Moment now) const;
+  [[nodiscard]] Worker const* best(std::string const& service, Wanted const& wanted, common::Moment now,
                                    Price& price_found) const;
   /// What this furrow saw of the worker, for the judge, and what follows from it.
-  void witness(Worker& worker, Evidence const& evidence, loam::Moment now);
+  void witness(Worker& worker, Evidence const& evidence, common::Moment now);
 
   GroveGuards guards_;
   Judge judge_;
@@ -179,4 +179,4 @@
   std::map<std::pair<std::string, std::string>, Demand> demand_;  ///< service, region
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/mechanisms/mechanisms.cpp
+++ b/source/scheduling/mechanisms/mechanisms.cpp
@@ -1,12 +1,12 @@
-#include "tilth/mechanisms/mechanisms.hpp"
+#include "scheduling/mechanisms/mechanisms.hpp"
 
 #include <algorithm>
 #include <array>
 #include <string_view>
 
-#include "loam/error/error.hpp"
+#include "common/error/error.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 struct Switch {
@@ -37,7 +37,7 @@
     Switch const* const found =
         std::find_if(switches.begin(), switches.end(), [&name](Switch const& entry) { return entry.name == name; });
     if (found == switches.end()) {
-      return loam::defect(absl::StatusCode::kInvalidArgument, "/without", "no mechanism is named " + name);
+      return common::defect(absl::StatusCode::kInvalidArgument, "/without", "no mechanism is named " + name);
     }
     found->off(all);
   }
@@ -53,4 +53,4 @@
   return names;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/mechanisms/mechanisms.hpp
+++ b/source/scheduling/mechanisms/mechanisms.hpp
@@ -5,10 +5,10 @@
 
 #include <absl/status/statusor.h>
 
-#include "tilth/grove/grove.hpp"
-#include "tilth/silence/silence_watch.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
+#include "scheduling/stall_detection/stall_detector.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// The mechanisms of a relay's decisions that a measurement can switch off, all on by default (section 13.16).
 struct Mechanisms {
@@ -23,4 +23,4 @@
 /// The names that can be switched off, in the order of the table.
 [[nodiscard]] std::vector<std::string> mechanism_names();
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/model/model.hpp
+++ b/source/scheduling/model/model.hpp
@@ -3,10 +3,10 @@
 #include <cmath>
 #include <vector>
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 #include "schema/setup.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// A query in the design's terms (section 8.1), in tokens.
 struct Shape {
@@ -30,8 +30,8 @@
   double decode[3];
 
   WorkerModel() {
-    std::copy(std::begin(loam::constants::prefill_start), std::end(loam::constants::prefill_start), prefill);
-    std::copy(std::begin(loam::constants::decode_start), std::end(loam::constants::decode_start), decode);
+    std::copy(std::begin(common::constants::prefill_start), std::end(common::constants::prefill_start), prefill);
+    std::copy(std::begin(common::constants::decode_start), std::end(common::constants::decode_start), decode);
   }
   explicit WorkerModel(schema::Coefficients const& fitted) : WorkerModel() {
     if (fitted.prefill.size() == 4) {
@@ -51,4 +51,4 @@
   }
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/observe/observer.cpp
+++ b/source/scheduling/observer/observer.cpp
@@ -1,14 +1,14 @@
-#include "tilth/observe/observer.hpp"
+#include "scheduling/observer/observer.hpp"
 
-#include "loam/relay_constants.hpp"
-#include "tilth/fit/fit.hpp"
-#include "tilth/model/model.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/fit/fit.hpp"
+#include "scheduling/model/model.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-void Sighting::event(std::uint64_t count, loam::Moment now) {
+void Sighting::event(std::uint64_t count, common::Moment now) {
   if (count == 0) {
     return;
   }
@@ -66,7 +66,7 @@
   }
 }
 
-bool Observer::take(std::uint64_t slice, loam::Span span, schema::FurrowReport& report) {
+bool Observer::take(std::uint64_t slice, common::Span span, schema::FurrowReport& report) {
   if (figures_.empty()) {
     return false;
   }
@@ -84,4 +84,4 @@
   return true;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/observe/observer.hpp
+++ b/source/scheduling/observer/observer.hpp
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// What one stream showed of its worker (section 13.11).
 struct Sighting {
@@ -22,14 +22,14 @@
   double uncached = 0;  ///< tokens
   double cached = 0;
   double running = 0;  ///< queries on the worker, as told and sent
-  loam::Moment sent = 0;
-  loam::Moment first = 0;
-  loam::Moment last = 0;
+  common::Moment sent = 0;
+  common::Moment first = 0;
+  common::Moment last = 0;
   std::uint64_t events = 0;
   std::vector<double> gaps;  ///< seconds between events, the earliest ones
 
   /// Events came, as many as were read at once.
-  void event(std::uint64_t count, loam::Moment now);
+  void event(std::uint64_t count, common::Moment now);
 };
 
 /// What a furrow infers of its workers, summed up for the scaler (section
@@ -41,7 +41,7 @@
   /// Rows are wanted while a pool's times are not frozen.
   void freeze(std::set<std::string> pools) { frozen_ = std::move(pools); }
   /// Figures since the last report, and forgets them. False: there are none.
-  [[nodiscard]] bool take(std::uint64_t slice, loam::Span span, schema::FurrowReport& report);
+  [[nodiscard]] bool take(std::uint64_t slice, common::Span span, schema::FurrowReport& report);
 
  private:
   std::map<std::pair<std::string, std::string>, schema::WorkerFigures> figures_;  ///< pool, phase
@@ -49,4 +49,4 @@
   std::set<std::string> frozen_;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/judge/judge.cpp
+++ b/source/scheduling/outlier_detection/outlier_detector.cpp
@@ -1,12 +1,12 @@
-#include "tilth/judge/judge.hpp"
+#include "scheduling/outlier_detection/outlier_detector.hpp"
 
 #include <algorithm>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 Judge::Handle Judge::admit(Subject const& subject) {
   std::map<std::string, Handle>::const_iterator const found = handles_.find(subject.worker);
@@ -53,27 +53,27 @@
   }
 }
 
-std::vector<JudgeAction> Judge::take(Handle worker, Evidence const& evidence, loam::Moment now) {
+std::vector<JudgeAction> Judge::take(Handle worker, Evidence const& evidence, common::Moment now) {
   std::vector<JudgeAction> actions;
   std::visit([this, worker, now, &actions](auto const& entry) { act(records_[worker], entry, now, actions); },
              evidence);
   return actions;
 }
 
-void Judge::act(Record& record, Sent const& sent, loam::Moment, std::vector<JudgeAction>&) {
+void Judge::act(Record& record, Sent const& sent, common::Moment, std::vector<JudgeAction>&) {
   record.pending.push_back(Pending{sent.ticket, sent.due + constants::overdue_slack});
 }
 
-void Judge::act(Record& record, FirstToken const& first, loam::Moment, std::vector<JudgeAction>&) {
+void Judge::act(Record& record, FirstToken const& first, common::Moment, std::vector<JudgeAction>&) {
   std::erase_if(record.pending, [&first](Pending const& pending) { return pending.ticket == first.ticket; });
 }
 
-void Judge::act(Record& record, Heard const&, loam::Moment now, std::vector<JudgeAction>&) {
+void Judge::act(Record& record, Heard const&, common::Moment now, std::vector<JudgeAction>&) {
   record.heard_at = now;
   record.trial = false;
 }
 
-void Judge::act(Record& record, Ended const& ended, loam::Moment now, std::vector<JudgeAction>& actions) {
+void Judge::act(Record& record, Ended const& ended, common::Moment now, std::vector<JudgeAction>& actions) {
   std::erase_if(record.pending, [&ended](Pending const& pending) { return pending.ticket == ended.ticket; });
   switch (ended.outcome) {
     case Outcome::good:
@@ -95,7 +95,7 @@
     case Outcome::defect:
       actions.push_back(MayHaveForgotten{});  // it may come back without what it kept
       record.rest =
-          std::clamp<loam::Span>(record.rest * 2, constants::worker_rest_least, constants::worker_rest_most / 2);
+          std::clamp<common::Span>(record.rest * 2, constants::worker_rest_least, constants::worker_rest_most / 2);
       record.ill_until = std::max(record.ill_until, now + record.rest);
       record.trial = true;
       if (ended.outcome == Outcome::unreachable) {
@@ -105,7 +105,7 @@
   }
 }
 
-Verdict Judge::verdict(Handle worker, loam::Moment now) const {
+Verdict Judge::verdict(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
   if (!guards_.rest) {
     return Open{};
@@ -119,7 +119,7 @@
   return record.trial ? Verdict(OnTrial{}) : Verdict(Open{});
 }
 
-bool Judge::ejected(Handle worker, loam::Moment now) const {
+bool Judge::ejected(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
   if (!guards_.rest || now >= record.ill_until) {
     return false;
@@ -131,7 +131,7 @@
   // The worst rest, as many as the share allows; the others serve, on trial.
   std::size_t worse = 0;
   for (Handle const other : pool->second) {
-    loam::Moment const until = records_[other].ill_until;
+    common::Moment const until = records_[other].ill_until;
     worse += until > record.ill_until || (until == record.ill_until && other < worker) ? 1 : 0;
   }
   return static_cast<double>(worse + 1) <= constants::ejection_share * static_cast<double>(pool->second.size());
@@ -142,7 +142,7 @@
   return std::any_of(pending.begin(), pending.end(), [ticket](Pending const& entry) { return entry.ticket == ticket; });
 }
 
-double Judge::overdue(Handle worker, loam::Moment now) const {
+double Judge::overdue(Handle worker, common::Moment now) const {
   double late = 0;
   for (Pending const& pending : records_[worker].pending) {
     late = std::max(late, static_cast<double>(now - pending.due) / 1e6);
@@ -150,20 +150,20 @@
   return late;
 }
 
-bool Judge::hall_dark(Handle worker, loam::Moment now) const {
+bool Judge::hall_dark(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
-  std::map<std::string, std::map<std::string, loam::Moment>>::const_iterator const found =
+  std::map<std::string, std::map<std::string, common::Moment>>::const_iterator const found =
       dark_.find(record.subject.hall);
   if (!guards_.hall_suspicion || found == dark_.end()) {
     return false;
   }
   std::size_t recent = 0;
-  loam::Moment last = 0;
-  for (std::pair<std::string const, loam::Moment> const& entry : found->second) {
+  common::Moment last = 0;
+  for (std::pair<std::string const, common::Moment> const& entry : found->second) {
     recent += now - entry.second < constants::dark_memory ? 1 : 0;
     last = std::max(last, entry.second);
   }
   return recent >= 2 && record.heard_at < last - constants::alive_span;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/judge/judge.hpp
+++ b/source/scheduling/outlier_detection/outlier_detector.hpp
@@ -6,9 +6,9 @@
 #include <variant>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// How a dispatch ended, seen from this furrow.
 enum class Outcome { good, refused, unreachable, defect, abandoned, misdirected };
@@ -16,7 +16,7 @@
 /// Evidence of one worker: what this furrow saw, nothing that others say.
 struct Sent {
   std::uint64_t ticket = 0;
-  loam::Moment due = 0;  ///< by when a first token is predicted
+  common::Moment due = 0;  ///< by when a first token is predicted
 };
 struct FirstToken {
   std::uint64_t ticket = 0;
@@ -37,7 +37,7 @@
 /// Out of a rest: one query at a time until it is heard.
 struct OnTrial {};
 struct Resting {
-  loam::Moment until = 0;
+  common::Moment until = 0;
 };
 using Verdict = std::variant<Open, OnTrial, Resting>;
 
@@ -67,39 +67,39 @@
   /// The same worker keeps its handle until it is dismissed.
   Handle admit(Subject const& subject);
   void dismiss(std::string const& worker);
-  std::vector<JudgeAction> take(Handle worker, Evidence const& evidence, loam::Moment now);
+  std::vector<JudgeAction> take(Handle worker, Evidence const& evidence, common::Moment now);
 
-  [[nodiscard]] Verdict verdict(Handle worker, loam::Moment now) const;
+  [[nodiscard]] Verdict verdict(Handle worker, common::Moment now) const;
   /// Does it rest for what it did to queries, not for being full or gone?
-  [[nodiscard]] bool ejected(Handle worker, loam::Moment now) const;
+  [[nodiscard]] bool ejected(Handle worker, common::Moment now) const;
   /// Is a first token of this dispatch still waited for?
   [[nodiscard]] bool awaits(Handle worker, std::uint64_t ticket) const;
   /// Seconds by which its oldest own query is later than predicted: what others
   /// have it read can't be seen, but it shows here.
-  [[nodiscard]] double overdue(Handle worker, loam::Moment now) const;
+  [[nodiscard]] double overdue(Handle worker, common::Moment now) const;
   /// Two workers of its hall could not be reached of late, and it was not heard since.
-  [[nodiscard]] bool hall_dark(Handle worker, loam::Moment now) const;
-  [[nodiscard]] loam::Moment heard_at(Handle worker) const { return records_[worker].heard_at; }
+  [[nodiscard]] bool hall_dark(Handle worker, common::Moment now) const;
+  [[nodiscard]] common::Moment heard_at(Handle worker) const { return records_[worker].heard_at; }
 
  private:
   /// A query of this furrow that has had no first token yet.
   struct Pending {
     std::uint64_t ticket = 0;
-    loam::Moment due = 0;
+    common::Moment due = 0;
   };
   struct Record {
     Subject subject;
     std::vector<Pending> pending;
-    loam::Moment heard_at = 0;
-    loam::Moment rest_until = 0;  ///< it refused, or another has its address
-    loam::Moment ill_until = 0;   ///< it failed queries
-    loam::Span rest = 0;          ///< the last pause for that
+    common::Moment heard_at = 0;
+    common::Moment rest_until = 0;  ///< it refused, or another has its address
+    common::Moment ill_until = 0;   ///< it failed queries
+    common::Span rest = 0;          ///< the last pause for that
     bool trial = false;
   };
-  void act(Record& record, Sent const& sent, loam::Moment now, std::vector<JudgeAction>& actions);
-  void act(Record& record, FirstToken const& first, loam::Moment now, std::vector<JudgeAction>& actions);
-  void act(Record& record, Heard const& heard, loam::Moment now, std::vector<JudgeAction>& actions);
-  void act(Record& record, Ended const& ended, loam::Moment now, std::vector<JudgeAction>& actions);
+  void act(Record& record, Sent const& sent, common::Moment now, std::vector<JudgeAction>& actions);
+  void act(Record& record, FirstToken const& first, common::Moment now, std::vector<JudgeAction>& actions);
+  void act(Record& record, Heard const& heard, common::Moment now, std::vector<JudgeAction>& actions);
+  void act(Record& record, Ended const& ended, common::Moment now, std::vector<JudgeAction>& actions);
 
   void enter(Handle worker, bool in);
 
@@ -109,7 +109,7 @@
   std::map<std::string, Handle> handles_;
   std::map<std::string, std::vector<Handle>> pools_;  ///< those that serve
   /// Workers of a hall that could not be reached lately, none heard since.
-  std::map<std::string, std::map<std::string, loam::Moment>> dark_;
+  std::map<std::string, std::map<std::string, common::Moment>> dark_;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/placement/placement.cpp
+++ b/source/scheduling/placement/placement.cpp
@@ -1,19 +1,19 @@
-#include "tilth/placement/placement.hpp"
+#include "scheduling/placement/placement.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 constexpr int misses_most = 3;          // looks at a worker's load, about a second
 constexpr double service_weight = 0.1;  // of the newest in the mean service time
-double in_seconds(loam::Span span) {
+double in_seconds(common::Span span) {
   return static_cast<double>(span) / 1e6;
 }
 }  // namespace
@@ -35,14 +35,14 @@
                                static_cast<std::size_t>(std::ceil(std::min(part, static_cast<double>(bounds_.limit)))));
 }
 
-bool Placement::open(Worker const& worker, loam::Moment now) const {
+bool Placement::open(Worker const& worker, common::Moment now) const {
   return worker.listed && worker.wish.usable && worker.heard && worker.misses < misses_most &&
          now >= worker.rest_until && (worker.warm || worker.wish.tended);
 }
 
 /// Section 8.7: one furrow ramps a cold worker, by what it has shown and by the
 /// time that it has had; the smaller of the two counts.
-std::size_t Placement::ramp(Worker const& worker, loam::Moment now) const {
+std::size_t Placement::ramp(Worker const& worker, common::Moment now) const {
   std::uint64_t const doublings = worker.good / std::max<std::uint64_t>(1, bounds_.ramp_step);
   double const shown =
       static_cast<double>(bounds_.ramp_first) * std::pow(2.0, std::min(static_cast<double>(doublings), 20.0));
@@ -53,7 +53,7 @@
   return static_cast<std::size_t>(std::max(1.0, std::min({shown, timed, static_cast<double>(bounds_.limit)})));
 }
 
-std::size_t Placement::window(Worker const& worker, loam::Moment now) const {
+std::size_t Placement::window(Worker const& worker, common::Moment now) const {
   // A missed look: it may be gone, and what answers next may be cold. Until it
   // tells its load again it counts as just come (section 8.7).
   if (guards_.doubt && worker.misses > 0) {
@@ -77,14 +77,14 @@
   return std::min(allowed, worker.own_at_look + static_cast<std::size_t>(std::ceil(free / 2)));
 }
 
-void Placement::settle_warmth(Worker& worker, loam::Moment now) {
+void Placement::settle_warmth(Worker& worker, common::Moment now) {
   if (worker.warm || !worker.heard) {
     return;
   }
   std::vector<std::string> const& boots = worker.wish.warm_boots;
   bool const known = std::find(boots.begin(), boots.end(), worker.boot) != boots.end();
   bool const ramped = worker.wish.tended && ramp(worker, now) >= bounds_.limit &&
-                      now - worker.warming_since >= loam::milliseconds(static_cast<std::int64_t>(bounds_.ramp_ms));
+                      now - worker.warming_since >= common::milliseconds(static_cast<std::int64_t>(bounds_.ramp_ms));
   worker.warm = known || ramped;
 }
 
@@ -97,7 +97,7 @@
   return std::max(0.0, std::min(cached, ticket.tokens - 1));
 }
 
-double Placement::predict(Worker const& worker, Ticket const& ticket, loam::Moment now) const {
+double Placement::predict(Worker const& worker, Ticket const& ticket, common::Moment now) const {
   double const cached = cached_tokens(worker, ticket);
   double const own = worker.wish.model.prefill_seconds(std::max(0.0, ticket.tokens - cached), cached);
   double ahead = 0;
@@ -129,11 +129,11 @@
   return phase && std::find(ticket.allowed.begin(), ticket.allowed.end(), worker.wish.id) != ticket.allowed.end();
 }
 
-bool Placement::has_place(Worker const& worker, loam::Moment now) const {
+bool Placement::has_place(Worker const& worker, common::Moment now) const {
   return worker.waiting.empty() && worker.running.size() < window(worker, now);
 }
 
-std::string Placement::choose_free(Ticket const& ticket, loam::Moment now) const {
+std::string Placement::choose_free(Ticket const& ticket, common::Moment now) const {
   std::string best;
   double best_cost = 0;
   for (std::pair<std::string const, Worker> const& entry : workers_) {
@@ -149,7 +149,7 @@
   return best;
 }
 
-std::string Placement::choose(Ticket const& ticket, loam::Moment now) const {
+std::string Placement::choose(Ticket const& ticket, common::Moment now) const {
   std::string best;
   double best_cost = std::numeric_limits<double>::infinity();
   std::uint64_t best_weight = 0;
@@ -188,7 +188,8 @@
   return best;
 }
 
-void Placement::launch(Worker& worker, Ticket const& ticket, loam::Moment now, std::vector<PlacementAction>& actions) {
+void Placement::launch(Worker& worker, Ticket const& ticket, common::Moment now,
+                       std::vector<PlacementAction>& actions) {
   double const cached = cached_tokens(worker, ticket);
   double const predicted = worker.wish.model.prefill_seconds(std::max(0.0, ticket.tokens - cached), cached);
   worker.running[ticket.id] = Running{ticket, now, predicted, false};
@@ -204,7 +205,7 @@
   begun_waiting_[ticket.rule] -= ticket.begun ? 1 : 0;
 }
 
-void Placement::place(Ticket const& ticket, bool bounded, loam::Moment now, std::vector<PlacementAction>& actions) {
+void Placement::place(Ticket const& ticket, bool bounded, common::Moment now, std::vector<PlacementAction>& actions) {
   // Begun queries that wait fill the waitlist for new ones, even where a first
   // leg finds a free place: more of them could not be finished (section 8.6).
   if (bounded && begun_waiting_[ticket.rule] > 0 && waiting_by_rule_[ticket.rule] >= ticket.waitlist_bound) {
@@ -224,7 +225,7 @@
   std::uint64_t& count = waiting_by_rule_[ticket.rule];
   double const predicted = predict(worker, ticket, now);
   if (bounded &&
-      (count >= ticket.waitlist_bound || now + static_cast<loam::Span>(predicted * 1e6) >= ticket.deadline)) {
+      (count >= ticket.waitlist_bound || now + static_cast<common::Span>(predicted * 1e6) >= ticket.deadline)) {
     actions.emplace_back(Denied{ticket.id, "busy", predicted});
     return;
   }
@@ -234,7 +235,7 @@
   worker.waiting.push_back(Waiting{ticket, worker.wish.model.prefill_seconds(ticket.tokens, 0)});
 }
 
-void Placement::fill(Worker& worker, loam::Moment now, std::vector<PlacementAction>& actions) {
+void Placement::fill(Worker& worker, common::Moment now, std::vector<PlacementAction>& actions) {
   while (open(worker, now) && worker.running.size() < window(worker, now)) {
     if (!worker.waiting.empty()) {
       Ticket const ticket = worker.waiting.front().ticket;
@@ -263,7 +264,7 @@
   }
 }
 
-void Placement::move_out(Worker& worker, bool all, loam::Moment now, std::vector<PlacementAction>& actions) {
+void Placement::move_out(Worker& worker, bool all, common::Moment now, std::vector<PlacementAction>& actions) {
   std::deque<Waiting> leaving;
   std::deque<Waiting> staying;
   for (Waiting const& waiting : worker.waiting) {
@@ -280,7 +281,7 @@
 
 std::vector<PlacementAction> Placement::update(std::vector<WorkerWish> const& wishes,
                                                schema::WorkerBounds const& bounds, schema::ScalerAims const& aims,
-                                               std::size_t furrows, loam::Moment now) {
+                                               std::size_t furrows, common::Moment now) {
   std::vector<PlacementAction> actions;
   bounds_ = bounds;
   aims_ = aims;
@@ -328,7 +329,7 @@
 }
 
 std::vector<PlacementAction> Placement::load(std::string const& id, double running, double waiting,
-                                             std::string const& boot, loam::Moment now) {
+                                             std::string const& boot, common::Moment now) {
   std::vector<PlacementAction> actions;
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found == workers_.end()) {
@@ -355,7 +356,7 @@
   return actions;
 }
 
-std::vector<PlacementAction> Placement::load_missed(std::string const& id, loam::Moment now) {
+std::vector<PlacementAction> Placement::load_missed(std::string const& id, common::Moment now) {
   std::vector<PlacementAction> actions;
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end() && ++found->second.misses == misses_most) {
@@ -364,7 +365,7 @@
   return actions;
 }
 
-std::vector<PlacementAction> Placement::lost(std::string const& id, loam::Moment now) {
+std::vector<PlacementAction> Placement::lost(std::string const& id, common::Moment now) {
   std::vector<PlacementAction> actions;
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end() && found->second.misses < misses_most) {
@@ -374,7 +375,7 @@
   return actions;
 }
 
-std::vector<PlacementAction> Placement::enqueue(Ticket const& ticket, loam::Moment now) {
+std::vector<PlacementAction> Placement::enqueue(Ticket const& ticket, common::Moment now) {
   std::vector<PlacementAction> actions;
   // Refusing what half ran would waste the half and serve nobody (section 8.6);
   // since it counts in its rule's waitlist, new queries are refused instead.
@@ -382,7 +383,7 @@
   return actions;
 }
 
-void Placement::first_token(std::uint64_t id, loam::Moment now) {
+void Placement::first_token(std::uint64_t id, common::Moment now) {
   (void)now;
   std::map<std::uint64_t, std::string>::const_iterator const place = where_.find(id);
   if (place != where_.end()) {
@@ -394,7 +395,7 @@
   }
 }
 
-std::vector<PlacementAction> Placement::finished(std::uint64_t id, Ending ending, loam::Moment now) {
+std::vector<PlacementAction> Placement::finished(std::uint64_t id, Ending ending, common::Moment now) {
   std::vector<PlacementAction> actions;
   std::map<std::uint64_t, std::string>::iterator const place = where_.find(id);
   if (place == where_.end()) {
@@ -425,7 +426,7 @@
   return actions;
 }
 
-std::vector<PlacementAction> Placement::cancel(std::uint64_t id, loam::Moment now) {
+std::vector<PlacementAction> Placement::cancel(std::uint64_t id, common::Moment now) {
   std::map<std::uint64_t, std::string>::iterator const place = where_.find(id);
   if (place == where_.end()) {
     return {};
@@ -442,7 +443,7 @@
   return finished(id, Ending::abandoned, now);
 }
 
-std::vector<PlacementAction> Placement::tick(loam::Moment now) {
+std::vector<PlacementAction> Placement::tick(common::Moment now) {
   std::vector<PlacementAction> actions;
   for (std::pair<std::string const, Worker>& entry : workers_) {
     std::deque<Waiting>& waiting = entry.second.waiting;
@@ -464,7 +465,7 @@
   return actions;
 }
 
-bool Placement::room(loam::Moment now) const {
+bool Placement::room(common::Moment now) const {
   for (std::pair<std::string const, Worker> const& entry : workers_) {
     Worker const& worker = entry.second;
     if (open(worker, now) && worker.waiting.empty() && worker.running.size() < window(worker, now)) {
@@ -499,4 +500,4 @@
              : std::max(found->second.told_running, static_cast<double>(found->second.running.size()));
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/placement/placement.hpp
+++ b/source/scheduling/placement/placement.hpp
@@ -8,12 +8,12 @@
 #include <variant>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/model/model.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 #include "schema/setup.hpp"
-#include "tilth/model/model.hpp"
-#include "tilth/prefix/prefix.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 enum class Phase { prefill, decode, both };
 [[nodiscard]] Phase phase_of(std::string const& text);
@@ -38,7 +38,7 @@
   double tokens = 0;
   double outputs = 0;
   Phase phase = Phase::both;
-  loam::Moment deadline = 0;
+  common::Moment deadline = 0;
   std::uint64_t waitlist_bound = 64;
   bool begun = false;  ///< a leg of it ran already: it waits, whatever the bound
 };
@@ -78,22 +78,22 @@
   explicit Placement(PlacementGuards guards = {}) : guards_(guards) {}
   [[nodiscard]] std::vector<PlacementAction> update(std::vector<WorkerWish> const& wishes,
                                                     schema::WorkerBounds const& bounds, schema::ScalerAims const& aims,
-                                                    std::size_t furrows, loam::Moment now);
+                                                    std::size_t furrows, common::Moment now);
   [[nodiscard]] std::vector<PlacementAction> load(std::string const& worker, double running, double waiting,
-                                                  std::string const& boot, loam::Moment now);
+                                                  std::string const& boot, common::Moment now);
   /// The worker did not tell its load.
-  [[nodiscard]] std::vector<PlacementAction> load_missed(std::string const& worker, loam::Moment now);
+  [[nodiscard]] std::vector<PlacementAction> load_missed(std::string const& worker, common::Moment now);
   /// Its kept connection closed: it is gone for now, whatever comes back is cold.
-  [[nodiscard]] std::vector<PlacementAction> lost(std::string const& worker, loam::Moment now);
-  [[nodiscard]] std::vector<PlacementAction> enqueue(Ticket const& ticket, loam::Moment now);
+  [[nodiscard]] std::vector<PlacementAction> lost(std::string const& worker, common::Moment now);
+  [[nodiscard]] std::vector<PlacementAction> enqueue(Ticket const& ticket, common::Moment now);
   /// The first token came: its prefill is over.
-  void first_token(std::uint64_t ticket, loam::Moment now);
-  [[nodiscard]] std::vector<PlacementAction> finished(std::uint64_t ticket, Ending ending, loam::Moment now);
-  [[nodiscard]] std::vector<PlacementAction> cancel(std::uint64_t ticket, loam::Moment now);
-  [[nodiscard]] std::vector<PlacementAction> tick(loam::Moment now);
+  void first_token(std::uint64_t ticket, common::Moment now);
+  [[nodiscard]] std::vector<PlacementAction> finished(std::uint64_t ticket, Ending ending, common::Moment now);
+  [[nodiscard]] std::vector<PlacementAction> cancel(std::uint64_t ticket, common::Moment now);
+  [[nodiscard]] std::vector<PlacementAction> tick(common::Moment now);
 
   /// Can it take queries that other furrows pass on?
-  [[nodiscard]] bool room(loam::Moment now) const;
+  [[nodiscard]] bool room(common::Moment now) const;
   [[nodiscard]] std::vector<std::string> warm() const;
   [[nodiscard]] std::size_t waiting() const;
   [[nodiscard]] std::uint64_t moved() const { return moved_; }
@@ -105,7 +105,7 @@
  private:
   struct Running {
     Ticket ticket;
-    loam::Moment since = 0;
+    common::Moment since = 0;
     double predicted = 0;
     bool first = false;
   };
@@ -125,29 +125,29 @@
     double told_running = 0;
     std::string boot;
     bool warm = false;
-    loam::Moment warming_since = 0;
+    common::Moment warming_since = 0;
     std::uint64_t good = 0;
     std::size_t own_at_look = 0;  ///< own queries there when its load was last told
-    loam::Moment rest_until = 0;
-    loam::Span rest = 0;
+    common::Moment rest_until = 0;
+    common::Span rest = 0;
     double service_seconds = 0.2;
   };
 
-  [[nodiscard]] bool open(Worker const& worker, loam::Moment now) const;
-  [[nodiscard]] std::size_t ramp(Worker const& worker, loam::Moment now) const;
-  [[nodiscard]] std::size_t window(Worker const& worker, loam::Moment now) const;
+  [[nodiscard]] bool open(Worker const& worker, common::Moment now) const;
+  [[nodiscard]] std::size_t ramp(Worker const& worker, common::Moment now) const;
+  [[nodiscard]] std::size_t window(Worker const& worker, common::Moment now) const;
   [[nodiscard]] double cached_tokens(Worker const& worker, Ticket const& ticket) const;
-  [[nodiscard]] double predict(Worker const& worker, Ticket const& ticket, loam::Moment now) const;
+  [[nodiscard]] double predict(Worker const& worker, Ticket const& ticket, common::Moment now) const;
   [[nodiscard]] bool fits(Worker const& worker, Ticket const& ticket) const;
-  [[nodiscard]] bool has_place(Worker const& worker, loam::Moment now) const;
-  [[nodiscard]] std::string choose_free(Ticket const& ticket, loam::Moment now) const;
-  [[nodiscard]] std::string choose(Ticket const& ticket, loam::Moment now) const;
-  void place(Ticket const& ticket, bool bounded, loam::Moment now, std::vector<PlacementAction>& actions);
+  [[nodiscard]] bool has_place(Worker const& worker, common::Moment now) const;
+  [[nodiscard]] std::string choose_free(Ticket const& ticket, common::Moment now) const;
+  [[nodiscard]] std::string choose(Ticket const& ticket, common::Moment now) const;
+  void place(Ticket const& ticket, bool bounded, common::Moment now, std::vector<PlacementAction>& actions);
   void left_waitlist(Ticket const& ticket);
-  void launch(Worker& worker, Ticket const& ticket, loam::Moment now, std::vector<PlacementAction>& actions);
-  void fill(Worker& worker, loam::Moment now, std::vector<PlacementAction>& actions);
-  void move_out(Worker& worker, bool all, loam::Moment now, std::vector<PlacementAction>& actions);
-  void settle_warmth(Worker& worker, loam::Moment now);
+  void launch(Worker& worker, Ticket const& ticket, common::Moment now, std::vector<PlacementAction>& actions);
+  void fill(Worker& worker, common::Moment now, std::vector<PlacementAction>& actions);
+  void move_out(Worker& worker, bool all, common::Moment now, std::vector<PlacementAction>& actions);
+  void settle_warmth(Worker& worker, common::Moment now);
   [[nodiscard]] std::size_t full_window() const;
 
   PlacementGuards guards_;
@@ -163,4 +163,4 @@
   double placed_tokens_ = 0;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -1,10 +1,10 @@
-#include "tilth/plan/plan.hpp"
+#include "scheduling/plan/plan.hpp"
 
 #include <algorithm>
 
 #include "config/label/selector.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 /// Every furrow of a region reckons the same one to tend a worker; when their
@@ -160,4 +160,4 @@
   return followed;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/plan/plan.hpp
+++ b/source/scheduling/plan/plan.hpp
@@ -6,13 +6,13 @@
 #include <string>
 #include <vector>
 
-#include "config/course/course.hpp"
+#include "config/disposition/disposition.hpp"
+#include "scheduling/placement/placement.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
 #include "schema/setup.hpp"
 #include "schema/wire.hpp"
-#include "tilth/chart/chart.hpp"
-#include "tilth/placement/placement.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// All that a furrow goes by, made anew whenever a part of it changes and then
 /// never changed (section 3.3).
@@ -73,4 +73,4 @@
 };
 [[nodiscard]] Followed follow(Footing& footing, std::shared_ptr<Plan const> const& current, Header const& header);
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/prefix/prefix.cpp
+++ b/source/scheduling/prefix/prefix_record.cpp
@@ -1,8 +1,8 @@
-#include "tilth/prefix/prefix.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
 #include <cstring>
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 std::uint64_t mix(std::uint64_t left, std::uint64_t right) {
   std::uint64_t value = left ^ (right + 0x9e3779b97f4a7c15u + (left << 6u) + (left >> 2u));
@@ -60,4 +60,4 @@
   old_.clear();
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/prefix/prefix.hpp
+++ b/source/scheduling/prefix/prefix_record.hpp
@@ -6,7 +6,7 @@
 
 #include <tsl/robin_map.h>
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// A prompt as a chain of block hashes: each covers all before it, so equal
 /// hashes mean equal prefixes (section 8.4). No text is kept.
@@ -31,4 +31,4 @@
   tsl::robin_map<std::uint64_t, bool> old_;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/reuse/reuse.cpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
@@ -1,8 +1,8 @@
-#include "tilth/reuse/reuse.hpp"
+#include "scheduling/prompt_cache/prompt_cache_estimate.hpp"
 
-#include "tilth/prefix/prefix.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 bool behind_walls(std::vector<Part> const& parts) {
@@ -72,4 +72,4 @@
   young_tokens_ = 0;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/reuse/reuse.hpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
@@ -7,9 +7,9 @@
 
 #include <tsl/robin_map.h>
 
-#include "tilth/wall/record.hpp"
+#include "scheduling/prompt_isolation/record.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// A part of a prompt as its caller told it: who it is and how many tokens.
 struct Part {
@@ -44,4 +44,4 @@
   std::unique_ptr<WallRecord> walled_;  ///< made by the first walled part
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/key.cpp
+++ b/source/scheduling/prompt_isolation/key.cpp
@@ -1,14 +1,14 @@
-#include "tilth/wall/key.hpp"
+#include "scheduling/prompt_isolation/key.hpp"
 
 #include <nettle/hmac.h>
 
 #include <cstring>
 
-#include "loam/error/error.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/wall_constants.hpp"
+#include "common/error/error.hpp"
+#include "common/json/tree.hpp"
+#include "common/prompt_isolation_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 /// A field with its length, so that "ab" + "c" differs from "a" + "bc".
@@ -22,9 +22,9 @@
 }  // namespace
 
 absl::StatusOr<Secrets> read_secrets(std::string const& text) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok() || cJSON_IsObject(tree->get()) == 0) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "secrets", "the file is no JSON object");
+    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "the file is no JSON object");
   }
   Secrets secrets;
   for (cJSON const* item = (*tree)->child; item != nullptr; item = item->next) {
@@ -32,22 +32,22 @@
     if (name == "moved" && cJSON_IsNumber(item) != 0 && item->valuedouble >= 0 && item->valuedouble <= 100) {
       secrets.moved = static_cast<std::uint64_t>(item->valuedouble);
     } else if ((name == "current" || name == "previous") && cJSON_IsString(item) != 0 &&
-               std::strlen(item->valuestring) >= loam::constants::secret_bytes_least) {
+               std::strlen(item->valuestring) >= common::constants::secret_bytes_least) {
       (name == "current" ? secrets.current : secrets.previous) = item->valuestring;
     } else {
-      return loam::defect(
+      return common::defect(
           absl::StatusCode::kInvalidArgument, "secrets",
           "current and previous are texts of 32 bytes or more, moved is 0 to 100; nothing else stands there");
     }
   }
   if (secrets.current.empty()) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "secrets", "current is missing");
+    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "current is missing");
   }
   if (secrets.current == secrets.previous) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "secrets", "current and previous are the same");
+    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "current and previous are the same");
   }
   if (secrets.previous.empty() && secrets.moved != 100) {
-    return loam::defect(absl::StatusCode::kInvalidArgument, "secrets", "moved below 100 wants a previous secret");
+    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "moved below 100 wants a previous secret");
   }
   return secrets;
 }
@@ -78,7 +78,7 @@
 }
 
 std::string walled_id(std::string const& hash) {
-  return hex(std::string_view(hash).substr(0, loam::constants::wall_id_bytes));
+  return hex(std::string_view(hash).substr(0, common::constants::wall_id_bytes));
 }
 
 std::string keyed_hash(std::string_view key, std::string_view text) {
@@ -99,4 +99,4 @@
   return text;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/key.hpp
+++ b/source/scheduling/prompt_isolation/key.hpp
@@ -7,7 +7,7 @@
 
 #include <absl/status/statusor.h>
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Secrets that part ids are keyed with, as a file tells them (section 14.2).
 /// While keys rotate, `moved` of a hundred tenants are on the current one, the
@@ -45,4 +45,4 @@
 [[nodiscard]] std::string keyed_hash(std::string_view key, std::string_view text);
 [[nodiscard]] std::string hex(std::string_view bytes);
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/walls.cpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.cpp
@@ -1,13 +1,13 @@
-#include "tilth/wall/walls.hpp"
+#include "scheduling/prompt_isolation/prompt_isolation.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cstring>
 
-#include "loam/wall_constants.hpp"
-#include "tilth/prefix/prefix.hpp"
+#include "common/prompt_isolation_constants.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 /// The holder of public parts in records; tenants' are hashes.
@@ -23,7 +23,7 @@
 }
 
 std::string once_id(std::array<std::uint64_t, 2> const& once, std::size_t index) {
-  std::string bytes(loam::constants::wall_id_bytes, '\0');
+  std::string bytes(common::constants::wall_id_bytes, '\0');
   std::uint64_t const second = once[1] + index;
   std::memcpy(bytes.data(), &once[0], 8);
   std::memcpy(bytes.data() + 8, &second, 8);
@@ -51,15 +51,15 @@
     }
     entry = entry.substr(0, colon);
     entry.remove_prefix(std::min(entry.size(), entry.find_first_not_of(' ')));
-    double const told = std::min(static_cast<double>(tokens), loam::constants::wall_part_tokens_most);
+    double const told = std::min(static_cast<double>(tokens), common::constants::wall_part_tokens_most);
     if (entry.empty()) {
       continue;
     }
-    if (parts.size() < loam::constants::wall_parts_most) {
+    if (parts.size() < common::constants::wall_parts_most) {
       parts.push_back(NamedPart{std::string(entry), told});
     } else {  // a comma stands in no part's own id
       parts.back().id.append(",").append(entry);
-      parts.back().tokens = std::min(parts.back().tokens + told, loam::constants::wall_part_tokens_most);
+      parts.back().tokens = std::min(parts.back().tokens + told, common::constants::wall_part_tokens_most);
     }
   }
   return parts;
@@ -164,7 +164,7 @@
 }
 
 void Walls::count(Prompt const& prompt, Walled const& sent, std::optional<double> reused) {
-  bool const told = tallies_.size() < loam::constants::wall_tenants_told || tallies_.count(prompt.tenant) > 0;
+  bool const told = tallies_.size() < common::constants::wall_tenants_told || tallies_.count(prompt.tenant) > 0;
   TenantTally& tally = told ? tallies_[prompt.tenant] : others_;
   ++tally.queries;
   tally.cold += sent.cold ? 1 : 0;
@@ -174,4 +174,4 @@
   tally.reused += reused.value_or(0);
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/walls.hpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.hpp
@@ -12,10 +12,10 @@
 
 #include <tsl/robin_map.h>
 
-#include "tilth/reuse/reuse.hpp"
-#include "tilth/wall/key.hpp"
+#include "scheduling/prompt_cache/prompt_cache_estimate.hpp"
+#include "scheduling/prompt_isolation/key.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// A part as its caller named it.
 struct NamedPart {
@@ -128,4 +128,4 @@
   std::uint64_t other_weights_ = 0;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/record.cpp
+++ b/source/scheduling/prompt_isolation/record.cpp
@@ -1,10 +1,10 @@
-#include "tilth/wall/record.hpp"
+#include "scheduling/prompt_isolation/record.hpp"
 
 #include <algorithm>
 
-#include "loam/wall_constants.hpp"
+#include "common/prompt_isolation_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 double WallRecord::match(std::vector<WallEntry> const& entries) const {
   double tokens = 0;
@@ -59,7 +59,7 @@
   // Last part first: of one prompt the end gives way before the beginning.
   for (std::vector<WallEntry>::const_reverse_iterator entry = entries.rbegin(); entry != entries.rend(); ++entry) {
     drop(entry->key);
-    double const weight = std::max(entry->tokens, loam::constants::wall_entry_tokens);
+    double const weight = std::max(entry->tokens, common::constants::wall_entry_tokens);
     if (weight > most) {
       continue;
     }
@@ -74,7 +74,7 @@
   while (tokens_ > most && !by_weight_.empty()) {
     std::pair<double, std::uint64_t> const heaviest = *by_weight_.rbegin();
     bool const floods =
-        heaviest.first > loam::constants::wall_shares_most * tokens_ / static_cast<double>(holders_.size());
+        heaviest.first > common::constants::wall_shares_most * tokens_ / static_cast<double>(holders_.size());
     drop_oldest_of(floods ? heaviest.second : by_age_.begin()->second);
   }
 }
@@ -95,4 +95,4 @@
   }
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/record.hpp
+++ b/source/scheduling/prompt_isolation/record.hpp
@@ -8,7 +8,7 @@
 
 #include <tsl/robin_map.h>
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// A part of a prompt as a record knows it: a key that covers all parts before
 /// it, who keeps it, and its tokens.
@@ -59,4 +59,4 @@
   std::uint64_t uses_ = 0;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/tenant.cpp
+++ b/source/scheduling/prompt_isolation/tenant.cpp
@@ -1,10 +1,10 @@
-#include "tilth/wall/tenant.hpp"
+#include "scheduling/prompt_isolation/tenant.hpp"
 
 #include <algorithm>
 
-#include "loam/wall_constants.hpp"
+#include "common/prompt_isolation_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 int digit(char letter) {
@@ -74,7 +74,7 @@
   bool const plain = std::all_of(reading.name.begin(), reading.name.end(), [](char letter) {
     return static_cast<unsigned char>(letter) > 0x20 && static_cast<unsigned char>(letter) != 0x7f;
   });
-  if (!plain || reading.name.size() > loam::constants::tenant_bytes) {
+  if (!plain || reading.name.size() > common::constants::tenant_bytes) {
     return TenantReading{TenantEnd::refused, "", "malformed_tenant"};
   }
   reading.end = TenantEnd::named;
@@ -107,4 +107,4 @@
   return !joined.empty();
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/wall/tenant.hpp
+++ b/source/scheduling/prompt_isolation/tenant.hpp
@@ -6,7 +6,7 @@
 
 #include "schema/setup.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 enum class TenantEnd { named, absent, refused };
 /// Which tenant a query names, or why it is refused (section 14.1).
@@ -31,4 +31,4 @@
 [[nodiscard]] bool join_homes(std::vector<std::string> const& lane, std::vector<std::string> const& tenant,
                               std::vector<std::string>& joined);
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/census/census.hpp
+++ b/source/scheduling/proxy_count/proxy_count.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Among how many furrows a bound is divided that all of them share (section
 /// 13.7). One that is cut off from the trellises is no member any more and yet
@@ -14,12 +14,12 @@
 class Census {
  public:
   /// The members by the newest news, this furrow included.
-  void told(std::vector<std::string> const& members, loam::Moment now);
-  [[nodiscard]] std::vector<std::string> furrows(loam::Moment now) const;
+  void told(std::vector<std::string> const& members, common::Moment now);
+  [[nodiscard]] std::vector<std::string> furrows(common::Moment now) const;
 
  private:
-  std::map<std::string, loam::Moment> gone_;  ///< by name, since when
-  std::vector<std::string> members_;          ///< sorted
+  std::map<std::string, common::Moment> gone_;  ///< by name, since when
+  std::vector<std::string> members_;            ///< sorted
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/chart/chart.cpp
+++ b/source/scheduling/query_state/query_state_machine.cpp
@@ -1,12 +1,12 @@
-#include "tilth/chart/chart.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
 
 #include <vector>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-std::vector<QueryAction> Chart::advance(QueryMessage const& message, loam::Moment now) {
+std::vector<QueryAction> Chart::advance(QueryMessage const& message, common::Moment now) {
   if (settled()) {
     return {};
   }
@@ -39,7 +39,7 @@
   return give_up("rule_changed", 502);
 }
 
-std::vector<QueryAction> Chart::on(Decided const& message, loam::Moment) {
+std::vector<QueryAction> Chart::on(Decided const& message, common::Moment) {
   // What is under way keeps the form of its answer; whether it may run again
   // is asked of the newest rule (section 9.7).
   bool const may_be_running =
@@ -57,7 +57,7 @@
   return standing_ == Standing::serve && (!repeats_ || may_repeat()) ? std::vector<QueryAction>{} : place(false);
 }
 
-std::vector<QueryAction> Chart::try_again(std::string const& reason, int status, loam::Moment now) {
+std::vector<QueryAction> Chart::try_again(std::string const& reason, int status, common::Moment now) {
   if (standing_ != Standing::serve) {
     return place(true);  // ends it, and spends no right
   }
@@ -67,13 +67,13 @@
   return give_up(reason, status);
 }
 
-std::vector<QueryAction> Chart::on(Placed const& message, loam::Moment) {
+std::vector<QueryAction> Chart::on(Placed const& message, common::Moment) {
   state_ = Connecting{message.worker};
   ++dispatches_;
   return {};
 }
 
-std::vector<QueryAction> Chart::on(NoRoom const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(NoRoom const&, common::Moment) {
   if (standing_ != Standing::serve) {
     return place(false);
   }
@@ -85,14 +85,14 @@
   return give_up("no_room", 502);
 }
 
-std::vector<QueryAction> Chart::on(Connected const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(Connected const&, common::Moment) {
   if (Connecting const* const connecting = std::get_if<Connecting>(&state_)) {
     state_ = Exposed{connecting->worker};
   }
   return {};
 }
 
-std::vector<QueryAction> Chart::on(Withdrawn const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(Withdrawn const&, common::Moment) {
   if (!std::holds_alternative<Connecting>(state_)) {
     return {};
   }
@@ -101,26 +101,26 @@
   return place(false);
 }
 
-std::vector<QueryAction> Chart::on(ConnectDefect const&, loam::Moment now) {
+std::vector<QueryAction> Chart::on(ConnectDefect const&, common::Moment now) {
   if (!std::holds_alternative<Connecting>(state_)) {
     return {};
   }
   return try_again("unreachable", 502, now);
 }
 
-std::vector<QueryAction> Chart::on(WorkerRefused const&, loam::Moment now) {
+std::vector<QueryAction> Chart::on(WorkerRefused const&, common::Moment now) {
   if (!std::holds_alternative<Exposed>(state_)) {
     return {};
   }
   // It promised that nothing ran, so this was none of the tries that the route allows; it still takes a right.
-  if (refusals_ < loam::constants::refusals_most) {
+  if (refusals_ < common::constants::refusals_most) {
     ++refusals_;
     --dispatches_;
   }
   return try_again("busy", 502, now);
 }
 
-std::vector<QueryAction> Chart::on(WorkerDefect const& message, loam::Moment now) {
+std::vector<QueryAction> Chart::on(WorkerDefect const& message, common::Moment now) {
   if (std::holds_alternative<Connecting>(state_) || std::holds_alternative<Waitlisted>(state_)) {
     return {};
   }
@@ -133,7 +133,7 @@
   return give_up(message.what, 502);
 }
 
-std::vector<QueryAction> Chart::on(WorkerAnswered const& message, loam::Moment) {
+std::vector<QueryAction> Chart::on(WorkerAnswered const& message, common::Moment) {
   may_have_run_ = true;
   if (last_event_ > 0) {
     settle("broken");
@@ -143,7 +143,7 @@
   return {Apologise{message.status, "worker_error", true}};
 }
 
-std::vector<QueryAction> Chart::on(Event const& message, loam::Moment now) {
+std::vector<QueryAction> Chart::on(Event const& message, common::Moment now) {
   std::string worker;
   if (Exposed const* const exposed = std::get_if<Exposed>(&state_)) {
     worker = exposed->worker;
@@ -164,7 +164,7 @@
   return {Forward{message.number, message.last}};
 }
 
-std::vector<QueryAction> Chart::on(LegDone const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(LegDone const&, common::Moment) {
   if (!std::holds_alternative<Exposed>(state_)) {
     return {};
   }
@@ -176,7 +176,7 @@
   return place(false);
 }
 
-std::vector<QueryAction> Chart::on(Whole const&, loam::Moment now) {
+std::vector<QueryAction> Chart::on(Whole const&, common::Moment now) {
   if (std::holds_alternative<Streaming>(state_)) {
     settle("complete");  // a relayed stream ends where its worker ended it (section 13.8)
     return {};
@@ -192,7 +192,7 @@
   return {Deliver{}};
 }
 
-std::vector<QueryAction> Chart::on(StreamEnded const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(StreamEnded const&, common::Moment) {
   // A worker that goes on behind the last event has no event to give, only the end.
   if (last_event_ > 0 && (std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_))) {
     settle("complete");
@@ -200,21 +200,21 @@
   return {};
 }
 
-std::vector<QueryAction> Chart::on(Returned const& message, loam::Moment) {
+std::vector<QueryAction> Chart::on(Returned const& message, common::Moment) {
   state_ = Streaming{message.worker};  // what runs there finishes, whatever the rule says by now (section 9.7)
   return {};
 }
 
-std::vector<QueryAction> Chart::on(CallerGone const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(CallerGone const&, common::Moment) {
   settle("abandoned");
   return {Abandon{}};
 }
 
-std::vector<QueryAction> Chart::on(DeadlinePassed const&, loam::Moment) {
+std::vector<QueryAction> Chart::on(DeadlinePassed const&, common::Moment) {
   if (std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_)) {
     may_have_run_ = true;
   }
   return give_up("deadline", 504);
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/chart/chart.hpp
+++ b/source/scheduling/query_state/query_state_machine.hpp
@@ -7,9 +7,9 @@
 #include <variant>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// The way of one query (section 9.1). Whether bytes may have reached a worker
 /// is part of the state: Connecting has sent none, Exposed may have.
@@ -104,9 +104,9 @@
 class Chart {
  public:
   /// `retry` spends from the budget; it is asked only when a retry is due.
-  Chart(QueryTerms terms, std::function<bool(loam::Moment)> retry) : terms_(terms), retry_(std::move(retry)) {}
+  Chart(QueryTerms terms, std::function<bool(common::Moment)> retry) : terms_(terms), retry_(std::move(retry)) {}
   [[nodiscard]] std::vector<QueryAction> begin() const { return {Place{}}; }
-  [[nodiscard]] std::vector<QueryAction> advance(QueryMessage const& message, loam::Moment now);
+  [[nodiscard]] std::vector<QueryAction> advance(QueryMessage const& message, common::Moment now);
 
   [[nodiscard]] QueryState const& state() const { return state_; }
   [[nodiscard]] bool settled() const { return std::holds_alternative<Settled>(state_); }
@@ -119,29 +119,29 @@
   }
 
  private:
-  [[nodiscard]] std::vector<QueryAction> on(Decided const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(Placed const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(NoRoom const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(Connected const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(Withdrawn const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(ConnectDefect const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(WorkerRefused const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(WorkerDefect const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(WorkerAnswered const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(Event const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(Whole const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(StreamEnded const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(LegDone const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(Returned const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(CallerGone const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(DeadlinePassed const& message, loam::Moment now);
-  [[nodiscard]] std::vector<QueryAction> try_again(std::string const& reason, int status, loam::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Decided const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Placed const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(NoRoom const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Connected const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Withdrawn const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(ConnectDefect const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(WorkerRefused const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(WorkerDefect const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(WorkerAnswered const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Event const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Whole const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(StreamEnded const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(LegDone const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(Returned const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(CallerGone const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(DeadlinePassed const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> try_again(std::string const& reason, int status, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> give_up(std::string const& reason, int status);
   [[nodiscard]] std::vector<QueryAction> place(bool again);
   void settle(std::string const& how) { state_ = Settled{how}; }
 
   QueryTerms terms_;
-  std::function<bool(loam::Moment)> retry_;
+  std::function<bool(common::Moment)> retry_;
   QueryState state_ = Waitlisted{};
   Standing standing_ = Standing::serve;
   int dispatches_ = 0;
@@ -153,4 +153,4 @@
   bool position_known_ = true;  ///< of the last event passed on
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/budget/budget.cpp
+++ b/source/scheduling/retry_budget/retry_budget.cpp
@@ -1,19 +1,19 @@
-#include "tilth/budget/budget.hpp"
+#include "scheduling/retry_budget/retry_budget.hpp"
 
 #include <algorithm>
 
-#include "tilth/prefix/prefix.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
-constexpr loam::Span slot_span = loam::milliseconds(100);  // grain of the count, small beside the life
+constexpr common::Span slot_span = common::milliseconds(100);  // grain of the count, small beside the life
 constexpr double whole = 1.0 - 1e-9;
 }  // namespace
 
-void Budget::expire(loam::Moment now) {
+void Budget::expire(common::Moment now) {
   for (Slot& slot : slots_) {
     if (slot.begins + life_ > now) {
       break;
@@ -29,7 +29,7 @@
   }
 }
 
-void Budget::arrived(loam::Moment now) {
+void Budget::arrived(common::Moment now) {
   expire(now);
   if (slots_.empty() || slots_.back().begins + slot_span <= now) {
     slots_.push_back(Slot{now, 0, 0});
@@ -39,7 +39,7 @@
   last_ = now;
 }
 
-bool Budget::take(loam::Moment now, bool keeps) {
+bool Budget::take(common::Moment now, bool keeps) {
   expire(now);
   double young = 0;
   std::uint64_t arrivals = 0;
@@ -70,4 +70,4 @@
   return before < constants::retry_keepers;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/budget/budget.hpp
+++ b/source/scheduling/retry_budget/retry_budget.hpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "loam/constants.hpp"
-#include "loam/time/moment.hpp"
+#include "common/constants.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Retries of one service in one furrow (section 9.5). Each arrival earns a
 /// small part of a retry, which dies young, so that a crowd's rights are not
@@ -18,23 +18,23 @@
 /// to its own arrivals, the sum holds.
 class Budget {
  public:
-  explicit Budget(double share = loam::constants::retry_share, loam::Span life = loam::constants::retry_life)
+  explicit Budget(double share = common::constants::retry_share, common::Span life = common::constants::retry_life)
       : share_(share), life_(life) {}
-  void arrived(loam::Moment now);
+  void arrived(common::Moment now);
   /// `keeps`: this furrow is one of those that may spend a kept right.
-  [[nodiscard]] bool take(loam::Moment now, bool keeps);
+  [[nodiscard]] bool take(common::Moment now, bool keeps);
 
  private:
   struct Slot {
-    loam::Moment begins = 0;
+    common::Moment begins = 0;
     std::uint64_t arrivals = 0;
     double right = 0;
   };
-  void expire(loam::Moment now);
+  void expire(common::Moment now);
   double share_;
-  loam::Span life_;
+  common::Span life_;
   std::deque<Slot> slots_;
-  loam::Moment last_ = 0;
+  common::Moment last_ = 0;
   double kept_ = 0;
 };
 
@@ -42,4 +42,4 @@
 [[nodiscard]] bool keeps_right(std::string const& service, std::string const& self,
                                std::vector<std::string> const& furrows);
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/rights/rights.cpp
+++ b/source/scheduling/retry_quota/retry_quota.cpp
@@ -1,12 +1,12 @@
-#include "tilth/rights/rights.hpp"
+#include "scheduling/retry_quota/retry_quota.hpp"
 
 #include <algorithm>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 void Rights::bound(double ratio, double slack, double furrows) {
   earned_ = ratio * constants::rights_ratio_part;
@@ -30,4 +30,4 @@
   return true;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/rights/rights.hpp
+++ b/source/scheduling/retry_quota/retry_quota.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Rights to send queries of one service to a further worker, in one furrow
 /// (section 13.8). The bound holds for the sum over all furrows in any window:
@@ -23,4 +23,4 @@
   bool begun_ = false;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/lanes/lanes.cpp
+++ b/source/scheduling/route_table/route_table.cpp
@@ -1,6 +1,6 @@
-#include "tilth/lanes/lanes.hpp"
+#include "scheduling/route_table/route_table.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 namespace {
 std::string lowered(std::string_view host) {
@@ -73,4 +73,4 @@
   return found == by_tenant_.end() ? nullptr : &charter_.tenants[found->second];
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/lanes/lanes.hpp
+++ b/source/scheduling/route_table/route_table.hpp
@@ -10,7 +10,7 @@
 
 #include "schema/setup.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 using Claims = std::map<std::string, std::set<std::string>>;
 
@@ -43,4 +43,4 @@
   Claims claims_;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/scaler/pools.cpp
+++ b/source/scheduling/scaler/pools.cpp
@@ -1,16 +1,16 @@
-#include "tilth/scaler/pools.hpp"
+#include "scheduling/scaler/pools.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "loam/error/error.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/relay_constants.hpp"
-#include "tilth/prefix/prefix.hpp"
+#include "common/error/error.hpp"
+#include "common/json/tree.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 /// Four figures are more than the fit is good for.
@@ -126,15 +126,15 @@
 }
 
 absl::StatusOr<schema::Split> read_split(std::string const& content) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(content);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(content);
   if (!tree.ok()) {
     return tree.status();
   }
   schema::Split split;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   schema::read(tree->get(), "", split, faults);
   if (!faults.empty()) {
-    return loam::defect(absl::StatusCode::kDataLoss, "split", loam::describe(faults));
+    return common::defect(absl::StatusCode::kDataLoss, "split", common::describe(faults));
   }
   return split;
 }
@@ -146,8 +146,8 @@
     round_all(entry.second.decode);
     entry.second.error = rounded(entry.second.error);
   }
-  loam::Tree const content(schema::write(small));
-  return loam::print_tree(content.get());
+  common::Tree const content(schema::write(small));
+  return common::print_tree(content.get());
 }
 
 schema::Split pruned(schema::Split split, std::set<std::string> const& listed) {
@@ -160,4 +160,4 @@
   return split;
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/scaler/pools.hpp
+++ b/source/scheduling/scaler/pools.hpp
@@ -11,7 +11,7 @@
 #include "schema/setup.hpp"
 #include "schema/wire.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Workers among which a split is made under a charter: those of one service
 /// that generates text, in one region (section 13.11).
@@ -47,4 +47,4 @@
 /// Without workers that the platform no longer lists, so that it stays small.
 [[nodiscard]] schema::Split pruned(schema::Split split, std::set<std::string> const& listed);
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/scaler/scaler.cpp
+++ b/source/scheduling/scaler/scaler.cpp
@@ -1,14 +1,14 @@
-#include "tilth/scaler/scaler.hpp"
+#include "scheduling/scaler/scaler.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 constexpr std::size_t rows_most = 2000;  // rows kept per worker and phase; a fit needs far fewer
@@ -175,12 +175,12 @@
   return std::isfinite(least) ? least : 0;
 }
 
-void Scaler::report(schema::FurrowReport const& report, schema::ScalerAims const& aims, loam::Moment now) {
+void Scaler::report(schema::FurrowReport const& report, schema::ScalerAims const& aims, common::Moment now) {
   if (first_report_ == 0) {
     first_report_ = now;
   }
-  loam::Span const span =
-      std::max<loam::Span>(loam::milliseconds(static_cast<std::int64_t>(aims.window_ms / aims.slices)), 1);
+  common::Span const span =
+      std::max<common::Span>(common::milliseconds(static_cast<std::int64_t>(aims.window_ms / aims.slices)), 1);
   if (slices_.empty() || now - slices_.back().begins >= span) {
     slices_.push_back(Slice{now, {}});
   }
@@ -333,7 +333,7 @@
 }
 
 ScalerAction Scaler::tick(schema::Split const& current, std::uint64_t revision, std::vector<std::string> const& workers,
-                          schema::ScalerAims const& aims, schema::WorkerBounds const& bounds, loam::Moment now,
+                          schema::ScalerAims const& aims, schema::WorkerBounds const& bounds, common::Moment now,
                           std::map<std::string, std::string> const& fixed) {
   if (!seen_any_ || revision != seen_revision_) {
     seen_any_ = true;
@@ -356,7 +356,7 @@
     return split.phases == current.phases ? ScalerAction{Rest{split.reason}} : ScalerAction{WriteSplit{split}};
   }
   if (!current.frozen || current.manner != aims.manner) {
-    if (first_report_ == 0 || now - first_report_ < loam::milliseconds(static_cast<std::int64_t>(aims.warm_up_ms))) {
+    if (first_report_ == 0 || now - first_report_ < common::milliseconds(static_cast<std::int64_t>(aims.warm_up_ms))) {
       return Rest{"warm-up: workers do both phases while times are fitted"};
     }
     std::optional<schema::Split> const first = first_split(workers, aims, batch, fixed);
@@ -420,7 +420,7 @@
     }
     return WriteSplit{split};
   }
-  if (aims.refit_ms > 0 && now - seen_at_ >= loam::milliseconds(static_cast<std::int64_t>(aims.refit_ms))) {
+  if (aims.refit_ms > 0 && now - seen_at_ >= common::milliseconds(static_cast<std::int64_t>(aims.refit_ms))) {
     schema::Split const again = fitted(workers);
     if (!again.coefficients.empty()) {
       schema::Split split = current;
@@ -429,7 +429,7 @@
       return WriteSplit{split};
     }
   }
-  if (now - seen_at_ < loam::milliseconds(static_cast<std::int64_t>(aims.hold_ms))) {
+  if (now - seen_at_ < common::milliseconds(static_cast<std::int64_t>(aims.hold_ms))) {
     return Rest{"held after the last switch"};
   }
   if (works.size() < std::max<std::size_t>(3, aims.slices / 2)) {
@@ -487,4 +487,4 @@
                           : ScalerAction{Rest{"no candidate gains more than its error allows"}};
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/scaler/scaler.hpp
+++ b/source/scheduling/scaler/scaler.hpp
@@ -7,13 +7,13 @@
 #include <variant>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/fit/fit.hpp"
+#include "scheduling/model/model.hpp"
 #include "schema/setup.hpp"
 #include "schema/wire.hpp"
-#include "tilth/fit/fit.hpp"
-#include "tilth/model/model.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// Mean work of one query of a phase, over a slice.
 struct PhaseWork {
@@ -55,17 +55,17 @@
     share_least_ = share_least;
     share_most_ = share_most;
   }
-  void report(schema::FurrowReport const& report, schema::ScalerAims const& aims, loam::Moment now);
+  void report(schema::FurrowReport const& report, schema::ScalerAims const& aims, common::Moment now);
   /// `fixed`: workers that can do one phase only; they never switch.
   [[nodiscard]] ScalerAction tick(schema::Split const& current, std::uint64_t revision,
                                   std::vector<std::string> const& workers, schema::ScalerAims const& aims,
-                                  schema::WorkerBounds const& bounds, loam::Moment now,
+                                  schema::WorkerBounds const& bounds, common::Moment now,
                                   std::map<std::string, std::string> const& fixed = {});
   [[nodiscard]] std::size_t slices() const { return slices_.size(); }
 
  private:
   struct Slice {
-    loam::Moment begins = 0;
+    common::Moment begins = 0;
     SliceWork work;
   };
   [[nodiscard]] schema::Split fitted(std::vector<std::string> const& workers) const;
@@ -80,15 +80,15 @@
   double set_point_ = 0;
   double share_least_ = 0;
   double share_most_ = 1;
-  loam::Moment first_report_ = 0;
+  common::Moment first_report_ = 0;
   std::deque<Slice> slices_;
   using Rows = std::map<std::string, std::vector<FitRow>>;
   Rows prefill_rows_;    ///< with the cached part known for sure
   Rows prefill_unsure_;  ///< others may have put more into the worker's cache than we know
   Rows decode_rows_;
   std::uint64_t seen_revision_ = 0;
-  loam::Moment seen_at_ = 0;
+  common::Moment seen_at_ = 0;
   bool seen_any_ = false;
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/silence/silence_watch.cpp
+++ b/source/scheduling/stall_detection/stall_detector.cpp
@@ -1,43 +1,43 @@
-#include "tilth/silence/silence_watch.hpp"
+#include "scheduling/stall_detection/stall_detector.hpp"
 
 #include <algorithm>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 bool SilenceWatch::long_prompt() const {
   return terms_.prompt_tokens >= constants::owned_tokens;
 }
 
-loam::Span SilenceWatch::bound() const {
+common::Span SilenceWatch::bound() const {
   double const point = terms_.set_point_ms > 0 ? terms_.set_point_ms : constants::silence_point_ms;
-  return std::max(loam::milliseconds(static_cast<std::int64_t>(point * constants::silence_part)),
-                  static_cast<loam::Span>(terms_.predicted_seconds * 2e6));
+  return std::max(common::milliseconds(static_cast<std::int64_t>(point * constants::silence_part)),
+                  static_cast<common::Span>(terms_.predicted_seconds * 2e6));
 }
 
-WaitUntil SilenceWatch::begin(SilenceTerms const& terms, loam::Moment now) {
+WaitUntil SilenceWatch::begin(SilenceTerms const& terms, common::Moment now) {
   terms_ = terms;
   state_ = State::waiting;
   since_ = now;
   return wait_until(now + bound());
 }
 
-WaitUntil SilenceWatch::wait_until(loam::Moment due) {
+WaitUntil SilenceWatch::wait_until(common::Moment due) {
   due_ = due;
   return WaitUntil{due};
 }
 
-SilenceAction SilenceWatch::rang(loam::Moment heard_at, loam::Moment now) {
+SilenceAction SilenceWatch::rang(common::Moment heard_at, common::Moment now) {
   if (now < due_) {
     return WaitUntil{due_};
   }
   if (state_ == State::probing) {
     return GiveUp{};  // it didn't take the connection in time
   }
-  loam::Span const silent = now - since_;
+  common::Span const silent = now - since_;
   if (now - heard_at < constants::alive_span && silent < 2 * bound()) {
     return wait_until(now + constants::alive_step);
   }
@@ -52,7 +52,7 @@
   return ProbeWorker{due_};
 }
 
-SilenceAction SilenceWatch::probed(bool connected, loam::Moment now) {
+SilenceAction SilenceWatch::probed(bool connected, common::Moment now) {
   if (state_ != State::probing) {
     return WaitUntil{due_};
   }
@@ -63,4 +63,4 @@
   return wait_until(now + bound());
 }
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/tilth/silence/silence_watch.hpp
+++ b/source/scheduling/stall_detection/stall_detector.hpp
@@ -2,9 +2,9 @@
 
 #include <variant>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::tilth {
+namespace finchlink::scheduling {
 
 /// What is known of an attempt when the wait for its worker's next bytes begins (section 13.8).
 struct SilenceTerms {
@@ -22,11 +22,11 @@
 
 /// Look again at that moment.
 struct WaitUntil {
-  loam::Moment due = 0;
+  common::Moment due = 0;
 };
 /// Connect to the worker; until `due` that counts as failed.
 struct ProbeWorker {
-  loam::Moment due = 0;
+  common::Moment due = 0;
 };
 /// Nothing more is waited for; another worker may be asked.
 struct GiveUp {};
@@ -42,24 +42,24 @@
  public:
   explicit SilenceWatch(SilenceGuards guards = {}) : guards_(guards) {}
   /// The request, or bytes of its answer, went through just now.
-  [[nodiscard]] WaitUntil begin(SilenceTerms const& terms, loam::Moment now);
+  [[nodiscard]] WaitUntil begin(SilenceTerms const& terms, common::Moment now);
   /// The moment of the last action has come. `heard_at`: when any request had bytes from this worker.
-  [[nodiscard]] SilenceAction rang(loam::Moment heard_at, loam::Moment now);
+  [[nodiscard]] SilenceAction rang(common::Moment heard_at, common::Moment now);
   /// The probe ended before its moment; a late end of an earlier one changes nothing.
-  [[nodiscard]] SilenceAction probed(bool connected, loam::Moment now);
-  [[nodiscard]] loam::Moment since() const { return since_; }
+  [[nodiscard]] SilenceAction probed(bool connected, common::Moment now);
+  [[nodiscard]] common::Moment since() const { return since_; }
 
  private:
   enum class State { waiting, probing };
-  [[nodiscard]] loam::Span bound() const;
+  [[nodiscard]] common::Span bound() const;
   [[nodiscard]] bool long_prompt() const;
-  WaitUntil wait_until(loam::Moment due);
+  WaitUntil wait_until(common::Moment due);
 
   SilenceGuards guards_;
   SilenceTerms terms_;
   State state_ = State::waiting;
-  loam::Moment since_ = 0;
-  loam::Moment due_ = 0;  ///< of the last action
+  common::Moment since_ = 0;
+  common::Moment due_ = 0;  ///< of the last action
 };
 
-}  // namespace finchlink::tilth
+}  // namespace finchlink::scheduling
--- a/source/almanac/control/acceptors.cpp
+++ b/source/simulator/control/acceptors.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "almanac/control/world.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/wire/pack.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Span;
+namespace constants = common::constants;
+using common::Span;
 
 namespace {
 
@@ -60,7 +60,7 @@
 }
 
 void World::boot_acceptor(Machine& machine) {
-  loam::Moment const now = network_.local_time(machine.process);
+  common::Moment const now = network_.local_time(machine.process);
   machine.log = std::make_unique<consensus::WriteAheadLog>(machine.memory->device(), log_files, log_bytes);
   absl::StatusOr<std::vector<schema::Record>> records = machine.log->recover();
   if (!records.ok()) {
@@ -245,10 +245,10 @@
         [this, &machine, images, missing](std::optional<std::string> const& bytes) {
           machine.fetching_image = false;
           if (bytes.has_value()) {
-            consensus::supply(*images, missing.name, missing.digest, *loam::unpack<schema::Value>(*bytes));
+            consensus::supply(*images, missing.name, missing.digest, *common::unpack<schema::Value>(*bytes));
             enrol(machine, images);
           }
         });
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/checker.cpp
+++ b/source/simulator/control/checker.cpp
@@ -1,11 +1,11 @@
-#include "almanac/control/checker.hpp"
+#include "simulator/control/checker.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-using loam::Moment;
+using common::Moment;
 
 namespace {
 
@@ -172,4 +172,4 @@
   report_.explained = history_.size();
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
