--- a/source/almanac/control/checker.hpp
+++ b/source/simulator/control/checker.hpp
@@ -7,12 +7,12 @@
 #include <set>
 #include <string>
 
-#include "almanac/control/control.hpp"
-#include "almanac/history/history.hpp"
-#include "almanac/kernel/kernel.hpp"
 #include "config/change/proposal.hpp"
+#include "simulator/control/control.hpp"
+#include "simulator/history/history.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
 /// What was told and seen of the setup's register, and what must never be:
 /// two contents of a revision, a lost change, an answer that no order explains.
@@ -35,16 +35,16 @@
   void observe_lease(std::uint64_t owner);
 
   // --- what operators are told ---
-  void begin_change(std::string const& id, loam::Moment began, std::optional<std::uint64_t> expected);
+  void begin_change(std::string const& id, common::Moment began, std::optional<std::uint64_t> expected);
   /// A change was acknowledged; `floor` is what was known before it began.
-  void acknowledge(std::string const& id, std::uint64_t revision, std::uint64_t floor, loam::Moment began);
+  void acknowledge(std::string const& id, std::uint64_t revision, std::uint64_t floor, common::Moment began);
   /// A change was refused because another revision than the expected one stood.
-  void refuse_expected(std::uint64_t expected, loam::Moment began);
+  void refuse_expected(std::uint64_t expected, common::Moment began);
   void reject(std::string const& id);
   /// What a veto found of a change whose outcome was unknown.
   void settle(std::string const& id, config::IdStanding const& found);
   /// A read gave this revision; `floor` is what was known before it began.
-  void read(std::uint64_t revision, std::uint64_t floor, loam::Moment began);
+  void read(std::uint64_t revision, std::uint64_t floor, common::Moment began);
 
   /// The newest revision that a finished ask showed.
   [[nodiscard]] std::uint64_t floor() const { return floor_; }
@@ -78,4 +78,4 @@
   std::uint64_t lease_owner_ = 0;
 };
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/control.cpp
+++ b/source/simulator/control/control.cpp
@@ -1,12 +1,12 @@
 // The entry points: the control plane alone, or as a part of a larger world.
 
-#include "almanac/control/control.hpp"
+#include "simulator/control/control.hpp"
 
 #include <memory>
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 ControlReport run_control(ControlOptions const& options) {
   Kernel kernel(options.seed);
@@ -20,10 +20,10 @@
   ControlPart part;
   part.begin = [world] { world->begin(); };
   part.each = [world] { world->check_leases(); };
-  part.end_day = [world](loam::Moment at) { world->end_day(at); };
+  part.end_day = [world](common::Moment at) { world->end_day(at); };
   part.finish = [world] { return world->finish(); };
   part.vouched = [world](std::size_t furrow) { return world->vouched(furrow); };
   return part;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/control/control.hpp
+++ b/source/simulator/control/control.hpp
@@ -9,9 +9,6 @@
 #include <string>
 #include <vector>
 
-#include "almanac/disk/memory_disk.hpp"
-#include "almanac/kernel/kernel.hpp"
-#include "almanac/operators/operators.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/majority_reader/majority_reader.hpp"
 #include "consensus/proposer/proposer.hpp"
@@ -19,9 +16,12 @@
 #include "membership/departure/departure.hpp"
 #include "membership/freshness/freshness_lease.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
+#include "simulator/disk/memory_disk.hpp"
+#include "simulator/kernel/kernel.hpp"
+#include "simulator/operators/operators.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// Which faults a run brings about, each as a mean pause between two of a kind
 /// in seconds; 0: never.
@@ -37,7 +37,7 @@
   double full_disk = 0;
   double replace = 0;       ///< a planned replacement of a voter, with a loss or a failure right behind it
   double duplicate = 0.02;  ///< part of the messages that come twice
-  loam::Span delay_most = loam::milliseconds(8);
+  common::Span delay_most = common::milliseconds(8);
   double clock_rate = 0.01;  ///< clocks run apart by this part at most
   bool last_fault = true;    ///< one more fault of any kind right before the end
   // --- by the count of changes; 0: never ---
@@ -65,18 +65,18 @@
   std::uint64_t returns = 0;        ///< machines that came back and were watched catching up
   std::uint64_t empty_adopted = 0;  ///< contents that furrows took though they were left out
   std::uint64_t transfers = 0;      ///< values that were fetched in pieces
-  loam::Span worst_catch_up = 0;
-  loam::Span worst_acknowledge = 0;
-  loam::Span worst_recovery = 0;
-  loam::Span worst_departure = 0;  ///< of those that went by themselves
-  OperatorCounts orders;           ///< of charters and evacuations
+  common::Span worst_catch_up = 0;
+  common::Span worst_acknowledge = 0;
+  common::Span worst_recovery = 0;
+  common::Span worst_departure = 0;  ///< of those that went by themselves
+  OperatorCounts orders;             ///< of charters and evacuations
   std::uint64_t trace_hash = 0;
   std::uint64_t events = 0;
 };
 
 struct ControlOptions {
   std::uint64_t seed = 1;
-  loam::Span length = loam::seconds(60);
+  common::Span length = common::seconds(60);
   std::size_t disk_machines = 4;   ///< three founders and one that stands by
   std::size_t plain_machines = 2;  ///< trellises without a disk
   std::size_t furrows = 6;
@@ -96,7 +96,7 @@
   bool print = false;
   std::size_t inline_bytes =
       0;  ///< of values in an answer, twice as many in a piece, a 16th for furrows; 0: as in the daemons
-  loam::Span catch_up_bound = loam::seconds(12);  ///< for one that came back by a count of changes
+  common::Span catch_up_bound = common::seconds(12);  ///< for one that came back by a count of changes
   // --- where the query path runs beside it (section 10.1) ---
   std::vector<std::string> furrow_names;  ///< empty: named by number
   std::string first_setup;                ///< empty: a small one
@@ -111,8 +111,8 @@
 /// The control plane as a part of a larger world, on that world's kernel.
 struct ControlPart {
   std::function<void()> begin;
-  std::function<void()> each;                 ///< after every event
-  std::function<void(loam::Moment)> end_day;  ///< faults stop, after a last one; all comes back; a last change
+  std::function<void()> each;                   ///< after every event
+  std::function<void(common::Moment)> end_day;  ///< faults stop, after a last one; all comes back; a last change
   std::function<ControlReport()> finish;
   std::function<bool(std::size_t furrow)> vouched;
 };
@@ -126,4 +126,4 @@
 [[nodiscard]] std::optional<ControlFaults> control_scenario(std::string const& name);
 [[nodiscard]] std::vector<std::string> control_scenarios();
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/control/trellis_loops.cpp
+++ b/source/simulator/control/controller_loops.cpp
@@ -2,21 +2,21 @@
 
 #include <algorithm>
 
-#include "almanac/control/world.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/json/tree.hpp"
+#include "common/wire/pack.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Moment;
-using loam::Span;
+namespace constants = common::constants;
+using common::Moment;
+using common::Span;
 
 namespace {
 
-constexpr Span confirmed_look_pause = loam::milliseconds(20);
+constexpr Span confirmed_look_pause = common::milliseconds(20);
 constexpr int confirmed_looks = 200;
-constexpr Span longest_answer_wait = loam::milliseconds(20);
+constexpr Span longest_answer_wait = common::milliseconds(20);
 
 }  // namespace
 
@@ -105,7 +105,7 @@
       std::make_shared<consensus::ValueReceiver>(schema::TransferKey{half.name, half.digest, 0}, addresses);
   fetch(machine.process, machine.address, receiver, [take](std::optional<std::string> const& bytes) {
     if (bytes.has_value()) {
-      take(*loam::unpack<schema::Value>(*bytes));
+      take(*common::unpack<schema::Value>(*bytes));
     }
   });
 }
@@ -156,8 +156,8 @@
     return;
   }
   schema::VoterSet next;
-  std::vector<loam::Fault> faults;
-  schema::read(loam::read_tree(value.content)->get(), "", next, faults);
+  std::vector<common::Fault> faults;
+  schema::read(common::read_tree(value.content)->get(), "", next, faults);
   if (next.epoch <= machine.voters.epoch) {
     return;
   }
@@ -226,4 +226,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/faults.cpp
+++ b/source/simulator/control/faults.cpp
@@ -2,11 +2,11 @@
 
 #include <utility>
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-using loam::Span;
+using common::Span;
 
 namespace {
 
@@ -15,10 +15,10 @@
 constexpr double furrow_freezes = 0.5;
 constexpr double furrow_cuts = 0.3;
 constexpr double even = 0.5;
-constexpr Span longest_freeze = loam::seconds(9);
-constexpr Span longest_cut = loam::seconds(6);
-constexpr Span restart_time = loam::milliseconds(300);
-constexpr Span power_loss_time = loam::milliseconds(500);
+constexpr Span longest_freeze = common::seconds(9);
+constexpr Span longest_cut = common::seconds(6);
+constexpr Span restart_time = common::milliseconds(300);
+constexpr Span power_loss_time = common::milliseconds(500);
 
 }  // namespace
 
@@ -72,7 +72,7 @@
   }
   Machine& machine = any_of_all();
   kill(machine);
-  revive_later(machine, loam::milliseconds(50), loam::seconds(6));
+  revive_later(machine, common::milliseconds(50), common::seconds(6));
 }
 
 void World::kill_furrow(Furrow& furrow) {
@@ -81,7 +81,7 @@
   if (options_.lives) {
     options_.lives(furrow.number, false);
   }
-  kernel_.after(kernel_.between(loam::milliseconds(10), loam::seconds(3)), [this, &furrow] {
+  kernel_.after(kernel_.between(common::milliseconds(10), common::seconds(3)), [this, &furrow] {
     if (!furrow.process.alive) {
       begin_furrow(furrow);
     }
@@ -93,13 +93,13 @@
   for (std::unique_ptr<Machine> const& machine : machines_) {
     if (kernel_.chance(part)) {
       kill(*machine);
-      revive_later(*machine, loam::milliseconds(200), loam::seconds(4));
+      revive_later(*machine, common::milliseconds(200), common::seconds(4));
     }
   }
 }
 
 void World::freeze_any() {
-  Span const span = kernel_.between(loam::milliseconds(100), longest_freeze);
+  Span const span = kernel_.between(common::milliseconds(100), longest_freeze);
   Process& process = kernel_.chance(furrow_freezes) ? any_furrow().process : any_of_all().process;
   process.frozen = true;
   kernel_.after(span, [this, &process] { network_.thaw(process); });
@@ -111,7 +111,7 @@
   std::pair<std::string, std::string> const link =
       kernel_.chance(even) ? std::make_pair(from, to) : std::make_pair(to, from);
   network_.cut(link);
-  kernel_.after(kernel_.between(loam::milliseconds(200), longest_cut), [this, link] { network_.mend(link); });
+  kernel_.after(kernel_.between(common::milliseconds(200), longest_cut), [this, link] { network_.mend(link); });
 }
 
 void World::split_processes() {
@@ -127,7 +127,7 @@
     }
   }
   network_.split(part);
-  kernel_.after(kernel_.between(loam::milliseconds(500), longest_cut), [this] { network_.split({}); });
+  kernel_.after(kernel_.between(common::milliseconds(500), longest_cut), [this] { network_.split({}); });
 }
 
 void World::strike_at_revision(std::uint64_t revision) {
@@ -158,4 +158,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/machine_faults.cpp
+++ b/source/simulator/control/machine_faults.cpp
@@ -1,10 +1,10 @@
 // What a fault does to a machine and its disk, and how it comes back.
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-using loam::Span;
+using common::Span;
 
 namespace {
 
@@ -99,7 +99,7 @@
   machine.acceptor.reset();
   machine.memory = std::make_unique<MemoryDisk>(log_files, log_bytes);
   machine.disk_stalled = false;
-  kernel_.after(kernel_.between(loam::milliseconds(100), loam::seconds(8)), [this, &machine] {
+  kernel_.after(kernel_.between(common::milliseconds(100), common::seconds(8)), [this, &machine] {
     if (!machine.process.alive) {
       if (options_.guards.blank_has_no_vote && kernel_.chance(new_addresses)) {
         machine.address = "core-" + std::to_string(next_address_++);
@@ -111,15 +111,15 @@
 
 void World::slow_disk() {
   Machine& machine = any_disk_machine();
-  machine.disk_delay = kernel_.between(loam::milliseconds(50), loam::milliseconds(900));
-  kernel_.after(kernel_.between(loam::seconds(1), loam::seconds(6)),
+  machine.disk_delay = kernel_.between(common::milliseconds(50), common::milliseconds(900));
+  kernel_.after(kernel_.between(common::seconds(1), common::seconds(6)),
                 [&machine] { machine.disk_delay = usual_disk_delay; });
 }
 
 void World::stall_disk() {
   Machine& machine = any_disk_machine();
   machine.disk_stalled = true;
-  kernel_.after(kernel_.between(loam::seconds(1), loam::seconds(8)), [this, &machine] {
+  kernel_.after(kernel_.between(common::seconds(1), common::seconds(8)), [this, &machine] {
     machine.disk_stalled = false;
     write_next(machine);
   });
@@ -132,7 +132,7 @@
   }
   MemoryDisk* const memory = machine.memory.get();
   memory->full = true;
-  kernel_.after(kernel_.between(loam::seconds(1), loam::seconds(4)), [this, &machine, memory] {
+  kernel_.after(kernel_.between(common::seconds(1), common::seconds(4)), [this, &machine, memory] {
     if (machine.memory.get() == memory) {
       memory->full = false;
       kill(machine);  // an operator makes room and starts it anew
@@ -165,4 +165,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/membership.cpp
+++ b/source/simulator/control/membership.cpp
@@ -2,20 +2,20 @@
 
 #include <algorithm>
 
-#include "almanac/control/world.hpp"
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Moment;
-using loam::Span;
+namespace constants = common::constants;
+using common::Moment;
+using common::Span;
 
 namespace {
 
-constexpr Span departure_grace = loam::milliseconds(7700);
-constexpr Span hurried_look = loam::milliseconds(150);
+constexpr Span departure_grace = common::milliseconds(7700);
+constexpr Span hurried_look = common::milliseconds(150);
 
 }  // namespace
 
@@ -71,8 +71,9 @@
   std::uint64_t const newest = newest_known(machine, consensus::holders_register).revision;
   // The guard off: it expects what the register holds, not what it replaces.
   consensus::ProposalFunction const propose =
-      options_.repair_fenced ? membership::reconfiguration_proposal(machine.voters, plan)
-                             : consensus::replace_at(newest, loam::print_tree(loam::Tree(schema::write(plan)).get()));
+      options_.repair_fenced
+          ? membership::reconfiguration_proposal(machine.voters, plan)
+          : consensus::replace_at(newest, common::print_tree(common::Tree(schema::write(plan)).get()));
   Moment const began = kernel_.now();
   start_change(machine, consensus::holders_register, propose, constants::change_deadline,
                [this, began](ChangeEnd const& result) {
@@ -165,4 +166,4 @@
   machine.gone = machine.for_good;
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/network.cpp
+++ b/source/simulator/control/network.cpp
@@ -1,12 +1,12 @@
-#include "almanac/control/network.hpp"
+#include "simulator/control/network.hpp"
 
 #include <memory>
 #include <utility>
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-using loam::Moment;
-using loam::Span;
+using common::Moment;
+using common::Span;
 
 namespace {
 
@@ -122,4 +122,4 @@
                                            : kernel_.between(least_delay, faults_.delay_most);
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/network.hpp
+++ b/source/simulator/control/network.hpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <utility>
 
-#include "almanac/control/control.hpp"
-#include "almanac/control/nodes.hpp"
-#include "almanac/kernel/kernel.hpp"
+#include "simulator/control/control.hpp"
+#include "simulator/control/nodes.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
 /// Local clocks of processes, events at them, and calls between them: messages
 /// are late, come twice, or are lost where a link is cut (section 10).
@@ -23,9 +23,9 @@
 
   Network(Kernel& kernel, ControlFaults const& faults, FindMachine find_machine, Serve serve);
 
-  [[nodiscard]] loam::Moment local_time(Process const& process) const;
+  [[nodiscard]] common::Moment local_time(Process const& process) const;
   /// An event of the process after a span of true time, if it still lives then.
-  void later(Process& process, loam::Span span, std::function<void()> event);
+  void later(Process& process, common::Span span, std::function<void()> event);
   /// An event now if that life still lasts; deferred while the process is frozen.
   void deliver(Process& process, std::uint64_t life, std::function<void()> const& event);
   /// Ends a freeze: what was deferred happens now.
@@ -33,7 +33,7 @@
 
   /// Sends a message and calls back once: with the answer, or with none at the deadline.
   void call(Process& from, std::string const& from_name, std::string const& to, schema::Message const& message,
-            loam::Span deadline, Reply const& done);
+            common::Span deadline, Reply const& done);
 
   /// Cuts one direction of a link.
   void cut(std::pair<std::string, std::string> const& link);
@@ -45,7 +45,7 @@
 
  private:
   [[nodiscard]] bool blocked(std::string const& from, std::string const& to) const;
-  [[nodiscard]] loam::Span delay();
+  [[nodiscard]] common::Span delay();
   void send(std::string const& from, std::string const& to, schema::Message const& message, Reply const& finish);
   void arrive(std::string const& from, std::string const& to, schema::Message const& message, Reply const& finish);
   void send_back(std::string const& from, std::string const& to, schema::Message const& answer, Reply const& finish);
@@ -58,4 +58,4 @@
   std::set<std::string> split_;
 };
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/nodes.cpp
+++ b/source/simulator/control/nodes.cpp
@@ -1,8 +1,8 @@
-#include "almanac/control/nodes.hpp"
+#include "simulator/control/nodes.hpp"
 
 #include <algorithm>
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
 schema::TrellisEntry entry_of(Machine const& machine) {
   schema::TrellisEntry entry;
@@ -43,4 +43,4 @@
   return addresses;
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/nodes.hpp
+++ b/source/simulator/control/nodes.hpp
@@ -12,23 +12,23 @@
 #include <string>
 #include <vector>
 
-#include "almanac/disk/memory_disk.hpp"
+#include "common/constants.hpp"
+#include "common/time/moment.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/majority_reader/majority_reader.hpp"
 #include "consensus/transfer/value_sender.hpp"
 #include "consensus/write_ahead_log/write_ahead_log.hpp"
 #include "lease/lease_holder.hpp"
-#include "loam/constants.hpp"
-#include "loam/time/moment.hpp"
 #include "membership/departure/departure.hpp"
 #include "membership/freshness/freshness_lease.hpp"
 #include "membership/reconfiguration/voter_looks.hpp"
+#include "simulator/disk/memory_disk.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
 constexpr std::size_t log_files = 3;
 constexpr std::size_t log_bytes = 1u << 17u;
-constexpr loam::Span usual_disk_delay = loam::milliseconds(2);
+constexpr common::Span usual_disk_delay = common::milliseconds(2);
 
 /// What answers a call; nothing when none came before the deadline.
 using Reply = std::function<void(std::optional<schema::Message> const&)>;
@@ -40,7 +40,7 @@
   bool alive = true;
   bool frozen = false;
   std::uint64_t life = 0;  ///< counts starts and ends: events of an earlier life are dropped
-  loam::Moment clock_offset = 0;
+  common::Moment clock_offset = 0;
   double clock_rate = 1.0;
   std::vector<std::function<void()>> deferred;  ///< events that came while it was frozen
 };
@@ -65,7 +65,7 @@
   std::unique_ptr<consensus::WriteAheadLog> log;
   std::deque<DiskJob> disk_jobs;
   bool disk_busy = false;
-  loam::Span disk_delay = usual_disk_delay;
+  common::Span disk_delay = usual_disk_delay;
   bool disk_stalled = false;
 
   // --- acceptor ---
@@ -86,7 +86,7 @@
 
   // --- departure ---
   std::optional<membership::Departure> departure;
-  loam::Moment departing_from = 0;
+  common::Moment departing_from = 0;
   bool for_good = false;  ///< once it has left, it is gone
 };
 
@@ -112,4 +112,4 @@
 [[nodiscard]] std::vector<std::string> addresses_of(schema::VoterSet const& voters,
                                                     std::vector<std::uint64_t> const& incarnations);
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/operators.cpp
+++ b/source/simulator/control/operators.cpp
@@ -3,18 +3,18 @@
 #include <algorithm>
 #include <utility>
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Moment;
-using loam::Span;
+namespace constants = common::constants;
+using common::Moment;
+using common::Span;
 
 namespace {
 
 char const* const small_setup = R"({"regions":{"r":{"halls":["h"]}},"rules":{}})";
-constexpr Span answer_reserve = loam::seconds(2);
+constexpr Span answer_reserve = common::seconds(2);
 /// Shares of what an operator does, added up: a compare-and-set after a read, a blind change, a read.
 constexpr double compare_and_set_up_to = 0.4;
 constexpr double blind_change_up_to = 0.8;
@@ -189,4 +189,4 @@
   orders_->begin();
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/proposals.cpp
+++ b/source/simulator/control/proposals.cpp
@@ -3,13 +3,13 @@
 #include <algorithm>
 #include <utility>
 
-#include "almanac/control/world.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/wire/pack.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Span;
+namespace constants = common::constants;
+using common::Span;
 
 void World::start_change(Machine& machine, std::string const& name, consensus::ProposalFunction propose, Span deadline,
                          OnChangeEnd done) {
@@ -46,7 +46,7 @@
             return;
           }
           if (bytes.has_value()) {
-            run->proposer->know(needed.accepted, *loam::unpack<schema::Value>(*bytes));
+            run->proposer->know(needed.accepted, *common::unpack<schema::Value>(*bytes));
           }
           begin_ballot(run, bytes.has_value());
         });
@@ -132,4 +132,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/furrow_loops.cpp
+++ b/source/simulator/control/proxy_loops.cpp
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Moment;
+namespace constants = common::constants;
+using common::Moment;
 
 namespace {
 
-constexpr loam::Span least_query_pause = loam::milliseconds(5);
-constexpr loam::Span most_query_pause = loam::milliseconds(40);
+constexpr common::Span least_query_pause = common::milliseconds(5);
+constexpr common::Span most_query_pause = common::milliseconds(40);
 
 /// News with the contents that were fetched since, in place of those left out.
 schema::NewsAnswer completed(schema::NewsAnswer const& news, std::map<std::string, schema::NamedValue> const& fetched) {
@@ -116,4 +116,4 @@
   });
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/recovery_checks.cpp
+++ b/source/simulator/control/recovery_checks.cpp
@@ -2,20 +2,20 @@
 
 #include <algorithm>
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-using loam::Moment;
-using loam::Span;
+using common::Moment;
+using common::Span;
 
 namespace {
 
-constexpr Span look_pause = loam::milliseconds(50);
-constexpr Span catch_up_look_pause = loam::milliseconds(10);
-constexpr Span recovery_bound = loam::seconds(12);
-constexpr Span recovery_given_up = loam::seconds(30);
-constexpr Span one_millisecond = loam::milliseconds(1);
+constexpr Span look_pause = common::milliseconds(50);
+constexpr Span catch_up_look_pause = common::milliseconds(10);
+constexpr Span recovery_bound = common::seconds(12);
+constexpr Span recovery_given_up = common::seconds(30);
+constexpr Span one_millisecond = common::milliseconds(1);
 
 }  // namespace
 
@@ -83,4 +83,4 @@
   });
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/replacements.cpp
+++ b/source/simulator/control/replacements.cpp
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <utility>
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-using loam::Span;
+using common::Span;
 
 namespace {
 
 constexpr std::size_t least_voters = 3;
-constexpr Span newcomer_lead = loam::seconds(1);
-constexpr Span replacement_time = loam::seconds(22);
+constexpr Span newcomer_lead = common::seconds(1);
+constexpr Span replacement_time = common::seconds(22);
 
 /// What goes wrong behind a planned replacement.
 enum class Strike { second_loss, newcomer_fails, leaver_freezes, leaver_killed, two_leave, cancelled, count };
@@ -52,7 +52,7 @@
 
 void World::strike_behind(Machine& leaver, Machine& newcomer, std::vector<Machine*> const& others) {
   Strike const strike = static_cast<Strike>(kernel_.below(static_cast<std::uint64_t>(Strike::count)));
-  Span const behind = kernel_.between(loam::milliseconds(200), loam::seconds(3));
+  Span const behind = kernel_.between(common::milliseconds(200), common::seconds(3));
   Machine& first = *others.front();
   Machine& second = *others.back();
   switch (strike) {
@@ -60,21 +60,21 @@
       kernel_.after(behind, [this, &first] { lose_disk(first); });
       break;
     case Strike::newcomer_fails:
-      kernel_.after(kernel_.between(0, loam::milliseconds(1500)), [this, &newcomer] { kill(newcomer); });
-      revive_later(newcomer, loam::seconds(2), loam::seconds(12));
+      kernel_.after(kernel_.between(0, common::milliseconds(1500)), [this, &newcomer] { kill(newcomer); });
+      revive_later(newcomer, common::seconds(2), common::seconds(12));
       break;
     case Strike::leaver_freezes:
       freeze_leaver(leaver);
       break;
     case Strike::leaver_killed:
-      kernel_.after(kernel_.between(1, loam::milliseconds(800)), [this, &leaver] {
+      kernel_.after(kernel_.between(1, common::milliseconds(800)), [this, &leaver] {
         kill(leaver);
         leaver.gone = true;
       });
       break;
     case Strike::two_leave:
       (void)add_machine();
-      kernel_.after(kernel_.between(1, loam::milliseconds(300)), [this, &first] { leave(first, true); });
+      kernel_.after(kernel_.between(1, common::milliseconds(300)), [this, &first] { leave(first, true); });
       kernel_.after(behind, [this, &second] { lose_disk(second); });
       break;
     case Strike::cancelled:
@@ -86,17 +86,17 @@
 }
 
 void World::freeze_leaver(Machine& leaver) {
-  Span const from = kernel_.between(1, loam::seconds(1));
+  Span const from = kernel_.between(1, common::seconds(1));
   kernel_.after(from, [&leaver] { leaver.process.frozen = true; });
-  kernel_.after(from + kernel_.between(loam::seconds(1), loam::seconds(9)),
+  kernel_.after(from + kernel_.between(common::seconds(1), common::seconds(9)),
                 [this, &leaver] { network_.thaw(leaver.process); });
 }
 
 void World::cancel_departure(Machine& leaver, Machine& other, Span behind) {
-  kernel_.after(kernel_.between(1, loam::milliseconds(500)), [this, &leaver] { kill(leaver); });
-  kernel_.after(loam::milliseconds(800), [this, &leaver] { revive(leaver); });
+  kernel_.after(kernel_.between(1, common::milliseconds(500)), [this, &leaver] { kill(leaver); });
+  kernel_.after(common::milliseconds(800), [this, &leaver] { revive(leaver); });
   kernel_.after(behind, [this, &other] { kill(other); });
-  kernel_.after(behind + kernel_.between(loam::seconds(1), loam::seconds(3)), [this, &other] { revive(other); });
+  kernel_.after(behind + kernel_.between(common::seconds(1), common::seconds(3)), [this, &other] { revive(other); });
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/scenarios.cpp
+++ b/source/simulator/control/scenarios.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "almanac/control/control.hpp"
+#include "simulator/control/control.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 std::vector<std::string> control_scenarios() {
   return {"calm", "kills", "herds", "freezes", "cuts", "splits", "disks", "wipes", "replacements", "storm"};
@@ -52,4 +52,4 @@
   return faults;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/control/transfers.cpp
+++ b/source/simulator/control/transfers.cpp
@@ -1,11 +1,11 @@
 // Values and contents that are fetched in pieces (section 5.9).
 
-#include "almanac/control/world.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/wire/pack.hpp"
+#include "simulator/control/world.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 void World::fetch(Process& process, std::string const& name, std::shared_ptr<consensus::ValueReceiver> const& receiver,
                   Whole const& done) {
@@ -41,7 +41,7 @@
   fetch(machine.process, machine.address, receiver, [this, &machine, missing](std::optional<std::string> const& bytes) {
     machine.fetching.erase(missing.name);
     if (bytes.has_value()) {
-      schema::Value const value = *loam::unpack<schema::Value>(*bytes);
+      schema::Value const value = *common::unpack<schema::Value>(*bytes);
       machine.reader.learn(missing.name, missing.accepted, value);
       if (missing.name == consensus::setup_register) {
         checker_.observe(value, machine.address);
@@ -50,4 +50,4 @@
   });
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/world.cpp
+++ b/source/simulator/control/world.cpp
@@ -1,31 +1,31 @@
 // Construction of the world, and the course of a run.
 
-#include "almanac/control/world.hpp"
+#include "simulator/control/world.hpp"
 
 #include <algorithm>
 #include <utility>
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
-namespace constants = loam::constants;
-using loam::Moment;
-using loam::Span;
+namespace constants = common::constants;
+using common::Moment;
+using common::Span;
 
 namespace {
 
 constexpr std::size_t most_founders = 3;
 constexpr std::size_t disks_without_spare = 3;
-constexpr Span first_fault_at = loam::seconds(3);
-constexpr Span least_clock_offset = loam::seconds(10);
-constexpr Span most_clock_offset = loam::seconds(100000);
+constexpr Span first_fault_at = common::seconds(3);
+constexpr Span least_clock_offset = common::seconds(10);
+constexpr Span most_clock_offset = common::seconds(100000);
 constexpr double killed_at_the_end = 0.6;
-constexpr Span down_at_the_end = loam::milliseconds(700);
-constexpr Span recovery_time = loam::seconds(32);
-constexpr Span last_change_time = loam::seconds(9);
-constexpr Span last_read_time = loam::seconds(6);
+constexpr Span down_at_the_end = common::milliseconds(700);
+constexpr Span recovery_time = common::seconds(32);
+constexpr Span last_change_time = common::seconds(9);
+constexpr Span last_read_time = common::seconds(6);
 // In a larger world, from the last fault on.
-constexpr Span last_change_after = loam::seconds(13);
-constexpr Span last_read_after = loam::seconds(23);
+constexpr Span last_change_after = common::seconds(13);
+constexpr Span last_read_after = common::seconds(23);
 constexpr std::size_t last_operator = 99;
 
 }  // namespace
@@ -183,4 +183,4 @@
   return report_;
 }
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/control/world.hpp
+++ b/source/simulator/control/world.hpp
@@ -6,8 +6,8 @@
 ///
 /// One class, by job in several files: construction and the day (world.cpp), voters and their
 /// disks (acceptors.cpp), changes of a register (proposals.cpp), a trellis's loops
-/// (trellis_loops.cpp), joining, gossip and leaving (membership.cpp), furrows
-/// (furrow_loops.cpp), operators (operators.cpp), faults (faults.cpp,
+/// (controller_loops.cpp), joining, gossip and leaving (membership.cpp), furrows
+/// (proxy_loops.cpp), operators (operators.cpp), faults (faults.cpp,
 /// machine_faults.cpp, replacements.cpp) and checks of the whole (recovery_checks.cpp).
 
 #include <cstdint>
@@ -17,19 +17,19 @@
 #include <string>
 #include <vector>
 
-#include "almanac/control/checker.hpp"
-#include "almanac/control/control.hpp"
-#include "almanac/control/network.hpp"
-#include "almanac/control/nodes.hpp"
-#include "almanac/kernel/kernel.hpp"
-#include "almanac/operators/operators.hpp"
+#include "common/constants.hpp"
 #include "config/change/proposal.hpp"
 #include "consensus/proposer/proposer.hpp"
 #include "consensus/transfer/value_receiver.hpp"
-#include "loam/constants.hpp"
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
+#include "simulator/control/checker.hpp"
+#include "simulator/control/control.hpp"
+#include "simulator/control/network.hpp"
+#include "simulator/control/nodes.hpp"
+#include "simulator/kernel/kernel.hpp"
+#include "simulator/operators/operators.hpp"
 
-namespace finchlink::almanac::control {
+namespace finchlink::simulator::control {
 
 /// Contents are smaller than values with their marks by about as much.
 constexpr std::size_t news_part = 16;
@@ -41,10 +41,10 @@
 struct ChangeRun {
   Machine* machine = nullptr;
   std::unique_ptr<consensus::Proposer> proposer;
-  loam::Moment until = 0;
+  common::Moment until = 0;
   bool over = false;
   std::uint64_t tries = 0;  ///< ballots and transfers begun; what belongs to an earlier one is dropped
-  loam::Span pause_most = loam::constants::ballot_pause_most;
+  common::Span pause_most = common::constants::ballot_pause_most;
   OnChangeEnd done;
 
   /// Whether this try is still under way.
@@ -66,7 +66,7 @@
   config::WantedChange wanted;
   std::shared_ptr<config::SetupProposalReport> report;
   std::uint64_t floor = 0;  ///< what was known before it began
-  loam::Moment began = 0;
+  common::Moment began = 0;
   bool told = false;  ///< the operator has an answer, or none is waited for any more
   std::function<void(bool acknowledged)> done;
 };
@@ -79,7 +79,7 @@
   /// A whole run: the day, its end, the checks.
   ControlReport run();
   /// The last fault at this moment, and everything back; then a last change, read back.
-  void end_day(loam::Moment at);
+  void end_day(common::Moment at);
   ControlReport finish();
   /// At most one machine holds the lease; asked after every event.
   void check_leases();
@@ -125,8 +125,8 @@
   [[nodiscard]] std::size_t piece_bytes() const;
 
   // --- changes of a register ---
-  void start_change(Machine& machine, std::string const& name, consensus::ProposalFunction propose, loam::Span deadline,
-                    OnChangeEnd done);
+  void start_change(Machine& machine, std::string const& name, consensus::ProposalFunction propose,
+                    common::Span deadline, OnChangeEnd done);
   void try_change(std::shared_ptr<ChangeRun> const& run);
   void fetch_needed(std::shared_ptr<ChangeRun> const& run, consensus::NeededValue const& needed);
   void begin_ballot(std::shared_ptr<ChangeRun> const& run, bool fetched);
@@ -151,18 +151,18 @@
   void spread_chosen_voters(Machine& machine);
   void lease_loop(Machine& machine);
   void ask_lease(Machine& machine, lease::SendAsk const& send);
-  void answer_ask(Machine& machine, schema::NewsAsk const& ask, loam::Moment arrival, Reply const& reply);
+  void answer_ask(Machine& machine, schema::NewsAsk const& ask, common::Moment arrival, Reply const& reply);
   /// Calls back once a majority confirmed all registers after now.
   void when_confirmed(Machine& machine, std::function<void()> const& done);
-  void wait_confirmed(Machine& machine, loam::Moment since, int looks_left, std::function<void()> const& done);
+  void wait_confirmed(Machine& machine, common::Moment since, int looks_left, std::function<void()> const& done);
 
   // --- joining, gossip and leaving ---
   void join_loop(Machine& machine);
-  void look_at_voters(Machine& machine, loam::Span look, std::function<void()> const& again);
+  void look_at_voters(Machine& machine, common::Span look, std::function<void()> const& again);
   void take_place(Machine& machine);
   void propose_voters(Machine& machine, schema::VoterSet const& plan);
   /// A voter set that this machine proposed was chosen; the history of `holders` is told.
-  void note_reconfiguration(consensus::Chosen const& chosen, loam::Moment began);
+  void note_reconfiguration(consensus::Chosen const& chosen, common::Moment began);
   void note_peer(Machine& machine, schema::TrellisEntry const& entry);
   void gossip(Machine& machine);
   void gossip_loop(Machine& machine);
@@ -173,7 +173,7 @@
   // --- furrows ---
   void begin_furrow(Furrow& furrow);
   void ask_loop(Furrow& furrow);
-  void take_news(Furrow& furrow, schema::NewsAnswer const& news, loam::Moment asked, std::string const& from);
+  void take_news(Furrow& furrow, schema::NewsAnswer const& news, common::Moment asked, std::string const& from);
   void fetch_contents(Furrow& furrow, schema::NewsAnswer const& answer, std::string const& from);
   void query_loop(Furrow& furrow);
 
@@ -214,10 +214,10 @@
   void kill_furrow(Furrow& furrow);
   void tear_write(Machine& machine);
   void revive(Machine& machine);
-  void revive_later(Machine& machine, loam::Span least, loam::Span most);
+  void revive_later(Machine& machine, common::Span least, common::Span most);
   /// Starts a machine and watches it catch up.
   void bring_back(Machine& machine);
-  void watch_catch_up(Machine& machine, std::uint64_t revision, loam::Moment since);
+  void watch_catch_up(Machine& machine, std::uint64_t revision, common::Moment since);
   void lose_disk(Machine& machine);
   /// One lost disk is to be borne, not two at once: all of the newest set must be up and voting.
   [[nodiscard]] bool may_lose_disk() const;
@@ -230,11 +230,11 @@
   void strike_behind(Machine& leaver, Machine& newcomer, std::vector<Machine*> const& others);
   void freeze_leaver(Machine& leaver);
   /// The leaver is killed and comes back, and another voter fails meanwhile.
-  void cancel_departure(Machine& leaver, Machine& other, loam::Span behind);
+  void cancel_departure(Machine& leaver, Machine& other, common::Span behind);
 
   // --- checks ---
-  void check_recovery(loam::Moment since, std::function<void(loam::Span took)> const& done);
-  void note_recovery(loam::Span took);
+  void check_recovery(common::Moment since, std::function<void(common::Span took)> const& done);
+  void note_recovery(common::Span took);
 
   ControlOptions options_;
   Kernel& kernel_;
@@ -253,4 +253,4 @@
   std::uint64_t final_revision_ = 0;
 };
 
-}  // namespace finchlink::almanac::control
+}  // namespace finchlink::simulator::control
--- a/source/almanac/decisions/decisions.cpp
+++ b/source/simulator/decisions/decisions.cpp
@@ -1,47 +1,47 @@
-#include "almanac/decisions/decisions.hpp"
+#include "simulator/decisions/decisions.hpp"
 
 #include <algorithm>
 #include <map>
 #include <memory>
 #include <set>
 
-#include "almanac/kernel/kernel.hpp"
-#include "loam/relay_constants.hpp"
-#include "tilth/prefix/prefix.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 constexpr double starved_part = 0.25;  ///< of how often all requests are served
 constexpr double urgency_slack = 0.05;
 constexpr std::uint64_t asked_least = 50;  ///< kinds with fewer requests are not judged
-constexpr loam::Span local_hop = loam::milliseconds(1);
+constexpr common::Span local_hop = common::milliseconds(1);
 
-loam::Span span_of(double seconds) {
-  return static_cast<loam::Span>(seconds * 1e6);
+common::Span span_of(double seconds) {
+  return static_cast<common::Span>(seconds * 1e6);
 }
 
 /// A worker as it truly is: it reads prompts in the order in which they come.
 struct Engine {
-  tilth::Stand stand;
-  loam::Moment read_until = 0;
+  scheduling::Stand stand;
+  common::Moment read_until = 0;
   std::uint64_t running = 0;
   std::set<std::uint64_t> kept;  ///< shared parts
 };
 
 struct Proxy {
   std::string region;
-  tilth::Grove grove;
+  scheduling::Grove grove;
 };
 
 struct Request {
   std::size_t kind = 0;
   std::size_t proxy = 0;
-  tilth::Wanted wanted;
-  tilth::Spot spot;
-  loam::Moment arrived = 0;
+  scheduling::Wanted wanted;
+  scheduling::Spot spot;
+  common::Moment arrived = 0;
 };
 using RequestPointer = std::shared_ptr<Request>;
 
@@ -52,14 +52,14 @@
 
   DecisionReport run() {
     begin();
-    kernel_.run(options_.length + loam::seconds(10), nullptr);
+    kernel_.run(options_.length + common::seconds(10), nullptr);
     judge();
     return report_;
   }
 
  private:
   void begin() {
-    for (tilth::Stand const& stand : deployment_.workers) {
+    for (scheduling::Stand const& stand : deployment_.workers) {
       engines_[stand.id].stand = stand;
     }
     for (std::size_t index = 0; index < deployment_.proxies.size(); ++index) {
@@ -77,8 +77,8 @@
 
   void begin_proxy(std::size_t index) {
     std::size_t const zone = deployment_.proxies[index];
-    Proxy proxy{deployment_.regions[zone % deployment_.regions.size()], tilth::Grove(options_.grove)};
-    tilth::GroveTerms terms;
+    Proxy proxy{deployment_.regions[zone % deployment_.regions.size()], scheduling::Grove(options_.grove)};
+    scheduling::GroveTerms terms;
     terms.hall = deployment_.zones[zone];
     terms.region = proxy.region;
     terms.self = names_[index];
@@ -106,11 +106,11 @@
     request->kind = kind;
     request->proxy = kernel_.below(proxies_.size());
     request->arrived = kernel_.now();
-    std::uint64_t const subject = tilth::mix(kind + 1, 1 + kernel_.below(entry.subjects));
+    std::uint64_t const subject = scheduling::mix(kind + 1, 1 + kernel_.below(entry.subjects));
     double const own = kernel_.exponential(entry.own_tokens);
     request->wanted.shares = {schema::Share{"model", 1}};
     request->wanted.homes = entry.homes;
-    request->wanted.parts = {tilth::Part{subject, entry.shared_tokens}, tilth::Part{kernel_.draw(), own}};
+    request->wanted.parts = {scheduling::Part{subject, entry.shared_tokens}, scheduling::Part{kernel_.draw(), own}};
     request->wanted.tokens = entry.shared_tokens + own;
     request->wanted.outputs = kernel_.exponential(entry.output_tokens);
     request->wanted.draw = kernel_.uniform();
@@ -119,10 +119,10 @@
     place(request, kernel_.now() + span_of(entry.set_point_seconds * constants::hold_part));
   }
 
-  void place(RequestPointer const& request, loam::Moment until) {
-    std::variant<tilth::Spot, tilth::NoSpot> const found =
+  void place(RequestPointer const& request, common::Moment until) {
+    std::variant<scheduling::Spot, scheduling::NoSpot> const found =
         proxies_[request->proxy].grove.choose(request->wanted, kernel_.now());
-    if (tilth::Spot const* const spot = std::get_if<tilth::Spot>(&found)) {
+    if (scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found)) {
       request->spot = *spot;
       check_homes(*request);
       kernel_.after(hop(*request), [this, request] { come(request); });
@@ -134,7 +134,7 @@
     }
   }
 
-  [[nodiscard]] loam::Span hop(Request const& request) {
+  [[nodiscard]] common::Span hop(Request const& request) {
     bool const near = engines_.at(request.spot.worker).stand.region == proxies_[request.proxy].region;
     return near ? local_hop : span_of(deployment_.region_seconds);
   }
@@ -162,7 +162,7 @@
     double const waited = static_cast<double>(kernel_.now() - request->arrived) / 1e6;
     kind.in_set_point += waited <= entry.set_point_seconds ? 1 : 0;
     kind.served += waited <= entry.deadline_seconds ? 1 : 0;
-    tilth::Grove& grove = proxies_[request->proxy].grove;
+    scheduling::Grove& grove = proxies_[request->proxy].grove;
     grove.heard(request->spot.worker, kernel_.now());
     grove.first_token(request->spot, request->wanted.parts, waited);
   }
@@ -170,15 +170,15 @@
   void end(RequestPointer const& request) {
     Engine& engine = engines_.at(request->spot.worker);
     --engine.running;
-    tilth::Grove& grove = proxies_[request->proxy].grove;
+    scheduling::Grove& grove = proxies_[request->proxy].grove;
     if (deployment_.tells_load) {
       grove.told(request->spot.worker, static_cast<double>(engine.running), 0,
                  static_cast<double>(engine.stand.capacity), kernel_.now());
     }
-    grove.ended(request->spot, true, tilth::Outcome::good, kernel_.now());
+    grove.ended(request->spot, true, scheduling::Outcome::good, kernel_.now());
   }
 
-  [[nodiscard]] static bool allows(Request const& request, tilth::Stand const& stand) {
+  [[nodiscard]] static bool allows(Request const& request, scheduling::Stand const& stand) {
     std::vector<std::string> const& homes = request.wanted.homes;
     return homes.empty() || std::find(homes.begin(), homes.end(), stand.region) != homes.end();
   }
@@ -235,4 +235,4 @@
   return Play(options).run();
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/decisions/decisions.hpp
+++ b/source/simulator/decisions/decisions.hpp
@@ -4,15 +4,15 @@
 #include <string>
 #include <vector>
 
-#include "almanac/decisions/deployment.hpp"
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
+#include "simulator/decisions/deployment.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 struct DecisionOptions {
   std::uint64_t seed = 1;
-  loam::Span length = loam::seconds(12);
-  tilth::GroveGuards grove;
+  common::Span length = common::seconds(12);
+  scheduling::GroveGuards grove;
   std::size_t requests_most = 20000;  ///< a run ends early behind these
 };
 
@@ -41,4 +41,4 @@
 /// much less than a less urgent one.
 [[nodiscard]] DecisionReport play_decisions(DecisionOptions const& options);
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/decisions/deployment.cpp
+++ b/source/simulator/decisions/deployment.cpp
@@ -1,10 +1,10 @@
-#include "almanac/decisions/deployment.hpp"
+#include "simulator/decisions/deployment.hpp"
 
 #include <algorithm>
 
-#include "almanac/kernel/kernel.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 namespace {
 constexpr std::uint64_t regions_most = 3;
@@ -49,7 +49,7 @@
   for (std::size_t zone = 0; zone < deployment.zones.size(); ++zone) {
     std::uint64_t const count = 1 + kernel.below(workers_each_most);
     for (std::uint64_t index = 0; index < count; ++index) {
-      tilth::Stand stand;
+      scheduling::Stand stand;
       stand.id = "worker-" + std::to_string(deployment.workers.size());
       stand.address = stand.id;
       stand.service = "model";
@@ -66,7 +66,7 @@
 
 double workers_for(Deployment const& deployment, RequestKind const& kind) {
   double count = 0;
-  for (tilth::Stand const& worker : deployment.workers) {
+  for (scheduling::Stand const& worker : deployment.workers) {
     bool const allowed =
         kind.homes.empty() || std::find(kind.homes.begin(), kind.homes.end(), worker.region) != kind.homes.end();
     count += allowed ? 1 : 0;
@@ -107,4 +107,4 @@
   return deployment;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/disk/memory_disk.hpp
+++ b/source/simulator/disk/memory_disk.hpp
@@ -7,7 +7,7 @@
 
 #include "consensus/write_ahead_log/write_ahead_log.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// A disk in memory. Writes last only once synced; a power loss keeps any
 /// part of the others.
@@ -57,4 +57,4 @@
   }
 };
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/history/history.cpp
+++ b/source/simulator/history/history.cpp
@@ -1,13 +1,13 @@
-#include "almanac/history/history.hpp"
+#include "simulator/history/history.hpp"
 
 #include <algorithm>
 #include <map>
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 namespace {
 using Kind = HistoryEntry::Kind;
-std::string named(std::string const& what, std::uint64_t revision, loam::Moment at) {
+std::string named(std::string const& what, std::uint64_t revision, common::Moment at) {
   return what + " revision " + std::to_string(revision) + " (begun at " + std::to_string(at) + " us)";
 }
 
@@ -80,8 +80,8 @@
   }
   // The earliest moment at which each revision can have come, in their order:
   // not before its write began, nor before whatever was told of the one before.
-  std::map<std::uint64_t, loam::Moment> earliest;
-  loam::Moment moment = 0;
+  std::map<std::uint64_t, common::Moment> earliest;
+  common::Moment moment = 0;
   for (std::uint64_t revision = 0; revision <= newest; ++revision) {
     std::map<std::uint64_t, HistoryEntry const*>::const_iterator const write = writes.find(revision);
     if (write != writes.end()) {
@@ -92,7 +92,7 @@
     }
     earliest[revision] = moment;
     for (HistoryEntry const* const read : reads[revision]) {
-      loam::Moment const seen = std::max(earliest[revision], read->began);
+      common::Moment const seen = std::max(earliest[revision], read->began);
       if (read->ended.has_value() && seen > *read->ended) {
         return named("a read saw what was not there yet:", revision, read->began);
       }
@@ -110,7 +110,7 @@
       there = there || (other.kind != Kind::refused && other.revision == entry.revision && other.ended.has_value() &&
                         *other.ended < entry.began);
     }
-    std::map<std::uint64_t, loam::Moment>::const_iterator const next = earliest.find(entry.revision + 1);
+    std::map<std::uint64_t, common::Moment>::const_iterator const next = earliest.find(entry.revision + 1);
     if (there && (next == earliest.end() || next->second > *entry.ended)) {
       return named("refused though the register stood at", entry.revision, entry.began);
     }
@@ -118,4 +118,4 @@
   return "";
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/history/history.hpp
+++ b/source/simulator/history/history.hpp
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// What one operation on one register saw, by one clock outside of all machines.
 struct HistoryEntry {
@@ -22,12 +22,12 @@
 
   Kind kind = Kind::read;
   std::uint64_t revision = 0;
-  loam::Moment began = 0;
-  std::optional<loam::Moment> ended = {};      ///< none: nobody was told, it may have taken effect at any time since
-  std::optional<std::uint64_t> expected = {};  ///< of a write: the revision that it named
-  std::string change = {};                     ///< identity of a change that may be sent again; empty: it has none
-  std::string subject = {};                    ///< what an order is about; empty: it may come into effect at any time
-  std::optional<loam::Moment> abandoned = {};  ///< of a write: its caller stopped waiting, or turned elsewhere
+  common::Moment began = 0;
+  std::optional<common::Moment> ended = {};      ///< none: nobody was told, it may have taken effect at any time since
+  std::optional<std::uint64_t> expected = {};    ///< of a write: the revision that it named
+  std::string change = {};                       ///< identity of a change that may be sent again; empty: it has none
+  std::string subject = {};                      ///< what an order is about; empty: it may come into effect at any time
+  std::optional<common::Moment> abandoned = {};  ///< of a write: its caller stopped waiting, or turned elsewhere
 };
 using History = std::vector<HistoryEntry>;
 
@@ -45,4 +45,4 @@
 using Histories = std::map<std::string, History>;
 [[nodiscard]] std::string explain_histories(Histories const& histories);
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/kernel/invariant_watch.hpp
+++ b/source/simulator/kernel/invariant_watch.hpp
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
-/// Which invariants of the running code (loam/invariant) a run violated. They
+/// Which invariants of the running code (common/invariant) a run violated. They
 /// are told beside what the checkers of a scenario found, not among it, so that
 /// a test with a guard off still shows that its own checker sees the fault.
 class InvariantWatch {
@@ -19,4 +19,4 @@
   std::vector<std::uint64_t> before_;
 };
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/kernel/kernel.cpp
+++ b/source/simulator/kernel/kernel.cpp
@@ -1,15 +1,15 @@
-#include "almanac/kernel/kernel.hpp"
+#include "simulator/kernel/kernel.hpp"
 
 #include <cmath>
 #include <cstdio>
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
-void Kernel::at(loam::Moment moment, std::function<void()> event) {
+void Kernel::at(common::Moment moment, std::function<void()> event) {
   queue_.push(Entry{std::max(moment, now_), order_++, std::move(event)});
 }
 
-void Kernel::run(loam::Moment until, std::function<void()> const& each) {
+void Kernel::run(common::Moment until, std::function<void()> const& each) {
   while (!queue_.empty() && queue_.top().moment <= until) {
     Entry entry = queue_.top();
     queue_.pop();
@@ -37,4 +37,4 @@
   }
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/kernel/kernel.hpp
+++ b/source/simulator/kernel/kernel.hpp
@@ -7,25 +7,25 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// Fake time and randomness: events in order of time, then of coming. The same
 /// seed gives the same trace, byte for byte (section 10).
 class Kernel {
  public:
   explicit Kernel(std::uint64_t seed) : random_(seed) {}
-  [[nodiscard]] loam::Moment now() const { return now_; }
-  void at(loam::Moment moment, std::function<void()> event);
-  void after(loam::Span span, std::function<void()> event) { at(now_ + span, std::move(event)); }
+  [[nodiscard]] common::Moment now() const { return now_; }
+  void at(common::Moment moment, std::function<void()> event);
+  void after(common::Span span, std::function<void()> event) { at(now_ + span, std::move(event)); }
   /// Runs until the moment; `each` after every event.
-  void run(loam::Moment until, std::function<void()> const& each);
+  void run(common::Moment until, std::function<void()> const& each);
 
   [[nodiscard]] std::uint64_t draw() { return random_(); }
   [[nodiscard]] std::uint64_t below(std::uint64_t bound) { return bound == 0 ? 0 : random_() % bound; }
-  [[nodiscard]] loam::Span between(loam::Span least, loam::Span most) {
-    return least + static_cast<loam::Span>(below(static_cast<std::uint64_t>(most - least + 1)));
+  [[nodiscard]] common::Span between(common::Span least, common::Span most) {
+    return least + static_cast<common::Span>(below(static_cast<std::uint64_t>(most - least + 1)));
   }
   [[nodiscard]] bool chance(double part) { return static_cast<double>(random_() >> 11u) * 0x1.0p-53 < part; }
   [[nodiscard]] double uniform() { return static_cast<double>(random_() >> 11u) * 0x1.0p-53; }
@@ -38,7 +38,7 @@
 
  private:
   struct Entry {
-    loam::Moment moment = 0;
+    common::Moment moment = 0;
     std::uint64_t order = 0;
     std::function<void()> event;
   };
@@ -48,7 +48,7 @@
     }
   };
   std::mt19937_64 random_;
-  loam::Moment now_ = 0;
+  common::Moment now_ = 0;
   std::uint64_t order_ = 0;
   std::uint64_t events_ = 0;
   std::uint64_t hash_ = 1469598103934665603u;
@@ -56,4 +56,4 @@
   std::priority_queue<Entry, std::vector<Entry>, Later> queue_;
 };
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/main.cpp
+++ b/source/simulator/main.cpp
@@ -2,13 +2,13 @@
 #include <chrono>
 #include <iostream>
 
-#include "almanac/control/control.hpp"
-#include "almanac/field/field.hpp"
-#include "almanac/kernel/invariant_watch.hpp"
-#include "almanac/membership_model/scenario.hpp"
-#include "almanac/relay/relay.hpp"
-#include "almanac/walls/walls.hpp"
-#include "loam/settings/settings.hpp"
+#include "common/settings/settings.hpp"
+#include "simulator/control/control.hpp"
+#include "simulator/kernel/invariant_watch.hpp"
+#include "simulator/membership_model/scenario.hpp"
+#include "simulator/prompt_isolation/prompt_isolation.hpp"
+#include "simulator/query_path/query_path.hpp"
+#include "simulator/relay/relay.hpp"
 
 namespace {
 using namespace finchlink;
@@ -16,12 +16,12 @@
 
 int usage(std::string const& fault) {
   std::cerr << "almanac: " << fault << "\n";
-  return loam::exit_usage;
+  return common::exit_usage;
 }
 
 /// A run fails also when an invariant of the running code was violated in it.
 void add_invariants(std::vector<std::string>& violations) {
-  static almanac::InvariantWatch watch;
+  static simulator::InvariantWatch watch;
   std::vector<std::string> const violated = watch.take();
   violations.insert(violations.end(), violated.begin(), violated.end());
 }
@@ -46,7 +46,7 @@
 }
 
 /// Switches one guard off, to show that a checker sees what it prevents.
-bool switch_off(almanac::ControlOptions& run, std::string const& guard) {
+bool switch_off(simulator::ControlOptions& run, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"sync_before_reply", &run.guards.sync_before_reply},
                                             {"blank_has_no_vote", &run.guards.blank_has_no_vote},
                                             {"epoch_checked", &run.guards.epoch_checked},
@@ -78,7 +78,7 @@
   *found->second = false;
   return true;
 }
-bool switch_off_field(almanac::FieldOptions& run, std::string const& guard) {
+bool switch_off_field(simulator::FieldOptions& run, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"tend_cold", &run.tend_cold},
                                             {"doubt", &run.placement.doubt},
                                             {"finish_begun", &run.placement.finish_begun},
@@ -98,7 +98,7 @@
   return true;
 }
 
-void add_orders(almanac::OperatorCounts& sum, almanac::OperatorCounts const& report) {
+void add_orders(simulator::OperatorCounts& sum, simulator::OperatorCounts const& report) {
   sum.orders += report.orders;
   sum.attempts += report.attempts;
   sum.acknowledged += report.acknowledged;
@@ -113,7 +113,7 @@
   sum.explained += report.explained;
 }
 
-void print_orders(almanac::OperatorCounts const& sum) {
+void print_orders(simulator::OperatorCounts const& sum) {
   std::cout << "  orders of charters and evacuations: " << sum.orders << ", sent " << sum.attempts
             << " times, acknowledged " << sum.acknowledged << " (again " << sum.acknowledged_again << "), refused "
             << sum.refused << ", forgotten " << sum.forgotten << ", superseded " << sum.superseded << ", caller gone "
@@ -122,12 +122,12 @@
 }
 
 int run_walls_scenario(std::uint64_t first, std::uint64_t last, options::variables_map const& found) {
-  almanac::WallsReport sum;
+  simulator::WallsReport sum;
   std::uint64_t failed = 0;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    almanac::WallsOptions run;
+    simulator::WallsOptions run;
     run.seed = seed;
-    run.length = static_cast<loam::Span>(found["seconds"].as<double>() * 1e6);
+    run.length = static_cast<common::Span>(found["seconds"].as<double>() * 1e6);
     run.rate *= found["scale"].as<double>();
     run.print = found.count("trace") > 0;
     std::map<std::string, bool*> const guards{{"tenant_in_key", &run.guards.tenant_in_key},
@@ -141,7 +141,7 @@
       *guards.at(guard) = false;
       off += " --off " + guard;
     }
-    almanac::WallsReport report = almanac::run_walls(run);
+    simulator::WallsReport report = simulator::run_walls(run);
     add_invariants(report.violations);
     sum.sent += report.sent;
     sum.ran += report.ran;
@@ -179,14 +179,14 @@
 
 int run_field_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
                        options::variables_map const& found) {
-  std::optional<almanac::FieldFaults> const faults =
-      almanac::field_scenario(almanac::is_whole(name) ? "field-calm" : name);
-  almanac::FieldOptions probe;
-  if (almanac::is_whole(name) && !almanac::apply_whole(name, probe)) {
+  std::optional<simulator::FieldFaults> const faults =
+      simulator::field_scenario(simulator::is_whole(name) ? "field-calm" : name);
+  simulator::FieldOptions probe;
+  if (simulator::is_whole(name) && !simulator::apply_whole(name, probe)) {
     return usage("'" + name + "' is not a scenario; see --list");
   }
-  absl::StatusOr<almanac::FieldDeployment> deployment =
-      almanac::field_deployment(found["deployments"].as<std::string>() + "/" + found["deployment"].as<std::string>());
+  absl::StatusOr<simulator::FieldDeployment> deployment =
+      simulator::field_deployment(found["deployments"].as<std::string>() + "/" + found["deployment"].as<std::string>());
   if (!faults.has_value()) {
     return usage("'" + name + "' is not a scenario; see --list");
   }
@@ -207,17 +207,17 @@
     double acknowledged = 0, unknown = 0, explained = 0, furrows_lost = 0, unvouched = 0, recovery = 0,
            decided_anew = 0, brought = 0, share = 0, calm_good = 0, crowd_good = 0, others_good = 1, after_crowd = 0,
            worst_refusal = 0;
-    loam::Span drain = 0;
+    common::Span drain = 0;
     std::uint64_t failed = 0;
     std::string splits;
     for (std::uint64_t seed = first; seed <= last; ++seed) {
-      almanac::FieldOptions run;
+      simulator::FieldOptions run;
       run.seed = seed;
-      run.length = static_cast<loam::Span>(found["seconds"].as<double>() * 1e6);
+      run.length = static_cast<common::Span>(found["seconds"].as<double>() * 1e6);
       run.deployment = *deployment;
       run.faults = *faults;
-      if (almanac::is_whole(name)) {
-        (void)almanac::apply_whole(name, run);
+      if (simulator::is_whole(name)) {
+        (void)simulator::apply_whole(name, run);
       }
       run.scale = found["scale"].as<double>();
       run.faults.crowd = found["crowd"].as<double>() > 0 ? found["crowd"].as<double>() : run.faults.crowd;
@@ -237,10 +237,10 @@
           off += " --off " + guard;
         }
       }
-      if (!almanac::apply_variant(variant, run)) {
+      if (!simulator::apply_variant(variant, run)) {
         return usage("'" + variant + "' is not a variant");
       }
-      almanac::FieldReport report = almanac::run_field(run);
+      simulator::FieldReport report = simulator::run_field(run);
       add_invariants(report.violations);
       if (first == last) {
         std::cout << "trace " << std::hex << report.trace_hash << std::dec << "\n";
@@ -300,7 +300,7 @@
               << brought / runs << ", retries " << retries / runs << " (worst share " << share << "), worst drain "
               << drain / 1000 << " ms, switches " << switches / runs << ", prefill workers " << splits
               << ", fit error prefill " << prefill_error / runs << " decode " << decode_error / runs;
-    if (almanac::is_whole(name)) {
+    if (simulator::is_whole(name)) {
       std::cout << ", control: acknowledged " << acknowledged / runs << " unknown " << unknown / runs << " explained "
                 << explained / runs << " furrows lost " << furrows_lost / runs << " unvouched " << unvouched / runs
                 << ", worst recovery " << recovery << " ms";
@@ -316,30 +316,30 @@
 }
 int run_relay_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
                        options::variables_map const& found) {
-  std::optional<almanac::RelayFaults> const faults = almanac::relay_scenario(name);
+  std::optional<simulator::RelayFaults> const faults = simulator::relay_scenario(name);
   if (!faults.has_value()) {
     return usage("'" + name + "' is not a scenario; see --list");
   }
   int code = 0;
   std::uint64_t failed = 0;
-  almanac::RelayReport sum;
+  simulator::RelayReport sum;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    almanac::RelayOptions run;
+    simulator::RelayOptions run;
     run.seed = seed;
-    run.length = static_cast<loam::Span>(found["seconds"].as<double>() * 1e6);
+    run.length = static_cast<common::Span>(found["seconds"].as<double>() * 1e6);
     run.rate *= found["scale"].as<double>();
     run.faults = *faults;
     run.print = found.count("trace") > 0;
     std::string off;
     if (found.count("off") > 0) {
       for (std::string const& guard : found["off"].as<std::vector<std::string>>()) {
-        if (!almanac::switch_off_relay(run, guard)) {
+        if (!simulator::switch_off_relay(run, guard)) {
           return usage("'" + guard + "' is not a guard of the relay");
         }
         off += " --off " + guard;
       }
     }
-    almanac::RelayReport report = almanac::run_relay(run);
+    simulator::RelayReport report = simulator::run_relay(run);
     add_invariants(report.violations);
     if (first == last) {
       std::cout << "trace " << std::hex << report.trace_hash << std::dec << "\n";
@@ -380,24 +380,24 @@
 
 int run_membership_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
                             options::variables_map const& found) {
-  std::optional<almanac::membership_model::Scenario> scenario = almanac::membership_model::scenario(name);
+  std::optional<simulator::membership_model::Scenario> scenario = simulator::membership_model::scenario(name);
   if (!scenario.has_value()) {
     return usage("'" + name + "' is not a scenario; see --list");
   }
   if (found.count("off") > 0) {
     for (std::string const& guard : found["off"].as<std::vector<std::string>>()) {
-      if (!almanac::membership_model::switch_off(scenario->bounds, guard)) {
+      if (!simulator::membership_model::switch_off(scenario->bounds, guard)) {
         return usage("'" + guard + "' is not a guard of the membership model");
       }
     }
   }
-  almanac::membership_model::RunOptions run;
+  simulator::membership_model::RunOptions run;
   run.limits.depth = found["depth"].as<std::size_t>();
   run.limits.states = found["states"].as<std::size_t>();
   run.walk_steps = found["walk"].as<std::size_t>();
   run.first_seed = first;
   run.last_seed = last;
-  bool const good = almanac::membership_model::run_scenario(*scenario, run, std::cout);
+  bool const good = simulator::membership_model::run_scenario(*scenario, run, std::cout);
   std::vector<std::string> violated;
   add_invariants(violated);
   for (std::string const& line : violated) {
@@ -446,21 +446,21 @@
     return 0;
   }
   if (found.count("version") > 0) {
-    std::cout << "almanac " << loam::program_version << "\n";
+    std::cout << "almanac " << common::program_version << "\n";
     return 0;
   }
   if (found.count("list") > 0) {
-    for (std::string const& name : almanac::control_scenarios()) {
+    for (std::string const& name : simulator::control_scenarios()) {
       std::cout << name << "\n";
     }
-    for (std::string const& name : almanac::field_scenarios()) {
+    for (std::string const& name : simulator::field_scenarios()) {
       std::cout << name << "\n";
     }
-    for (almanac::membership_model::Scenario const& scenario : almanac::membership_model::scenarios()) {
+    for (simulator::membership_model::Scenario const& scenario : simulator::membership_model::scenarios()) {
       std::cout << scenario.name << "\n";
     }
     std::cout << "walls\n";
-    for (std::string const& name : almanac::relay_scenarios()) {
+    for (std::string const& name : simulator::relay_scenarios()) {
       std::cout << name << "\n";
     }
     return 0;
@@ -475,12 +475,12 @@
   }
   std::string const wanted = found["scenario"].as<std::string>();
   std::vector<std::string> const names =
-      wanted == "all" ? almanac::control_scenarios() : std::vector<std::string>{wanted};
+      wanted == "all" ? simulator::control_scenarios() : std::vector<std::string>{wanted};
   int code = 0;
   for (std::string const& name : names) {
     if (name.rfind("membership-", 0) == 0) {
       int const outcome = run_membership_scenario(name, first, last, found);
-      if (outcome == loam::exit_usage) {
+      if (outcome == common::exit_usage) {
         return outcome;
       }
       code = std::max(code, outcome);
@@ -489,31 +489,31 @@
     if (name == "walls" || name.rfind("relay-", 0) == 0) {
       int const outcome =
           name == "walls" ? run_walls_scenario(first, last, found) : run_relay_scenario(name, first, last, found);
-      if (outcome == loam::exit_usage) {
+      if (outcome == common::exit_usage) {
         return outcome;
       }
       code = std::max(code, outcome);
       continue;
     }
-    if (name.rfind("field-", 0) == 0 || almanac::is_whole(name)) {
+    if (name.rfind("field-", 0) == 0 || simulator::is_whole(name)) {
       int const outcome = run_field_scenario(name, first, last, found);
-      if (outcome == loam::exit_usage) {
+      if (outcome == common::exit_usage) {
         return outcome;
       }
       code = std::max(code, outcome);
       continue;
     }
-    std::optional<almanac::ControlFaults> const faults = almanac::control_scenario(name);
+    std::optional<simulator::ControlFaults> const faults = simulator::control_scenario(name);
     if (!faults.has_value()) {
       return usage("'" + name + "' is not a scenario; see --list");
     }
-    almanac::ControlReport sum;
+    simulator::ControlReport sum;
     std::uint64_t failed = 0;
     std::chrono::steady_clock::time_point const began = std::chrono::steady_clock::now();
     for (std::uint64_t seed = first; seed <= last; ++seed) {
-      almanac::ControlOptions run;
+      simulator::ControlOptions run;
       run.seed = seed;
-      run.length = static_cast<loam::Span>(found["seconds"].as<double>() * 1e6);
+      run.length = static_cast<common::Span>(found["seconds"].as<double>() * 1e6);
       run.faults = *faults;
       run.orders.operators = found["operators"].as<std::uint64_t>();
       run.print = found.count("trace") > 0;
@@ -526,7 +526,7 @@
           off += " --off " + guard;
         }
       }
-      almanac::ControlReport report = almanac::run_control(run);
+      simulator::ControlReport report = simulator::run_control(run);
       add_invariants(report.violations);
       sum.acknowledged += report.acknowledged;
       sum.rejected += report.rejected;
--- a/source/almanac/membership_model/actions.cpp
+++ b/source/simulator/membership_model/actions.cpp
@@ -1,16 +1,16 @@
-#include "almanac/membership_model/actions.hpp"
+#include "simulator/membership_model/actions.hpp"
 
 #include <algorithm>
 
-#include "almanac/membership_model/invariants.hpp"
+#include "common/constants.hpp"
+#include "common/digest/digest.hpp"
+#include "common/wire/pack.hpp"
 #include "config/change/change_marks.hpp"
-#include "loam/constants.hpp"
-#include "loam/digest/digest.hpp"
-#include "loam/wire/pack.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
 #include "membership/reconfiguration/voter_looks.hpp"
+#include "simulator/membership_model/invariants.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -21,7 +21,7 @@
 constexpr int most_rounds = 8;
 
 std::uint64_t digest_of(schema::Message const& message) {
-  return loam::Digest().add(loam::pack(message)).short_value();
+  return common::Digest().add(common::pack(message)).short_value();
 }
 
 /// The records of a file are folded, as the ring does when a file is full.
@@ -104,7 +104,7 @@
     note_answer(world, *machine.acceptor, *outcome.reply);
   }
   if (bounds.guards.sync_before_reply && !outcome.records.empty() &&
-      loam::pack(machine.synced) != loam::pack(machine.acceptor->image())) {
+      common::pack(machine.synced) != common::pack(machine.acceptor->image())) {
     world.history.violations.push_back("the synced records don't make the state that answered");
   }
   world.put(index, std::move(machine));
@@ -232,7 +232,7 @@
 membership::VoterLooks look(World& world, Bounds const& bounds, schema::VoterSet const& set, std::string const& self,
                             std::uint64_t seems_lost) {
   membership::VoterLooks looks;
-  for (int count = 0; count < loam::constants::join_misses; ++count) {
+  for (int count = 0; count < common::constants::join_misses; ++count) {
     looks.begin(set);
   }
   for (schema::Voter const& voter : set.holders) {
@@ -317,7 +317,7 @@
   if (answer.has_value()) {
     actions = operation.core.receive(sent.to.incarnation, *answer);
     // A sum: in which order the answers of a phase came doesn't matter.
-    operation.digest += loam::Digest().add(sent.to.incarnation).add(digest_of(*answer)).short_value();
+    operation.digest += common::Digest().add(sent.to.incarnation).add(digest_of(*answer)).short_value();
   }
   follow(world, bounds, std::move(operation), place, actions);
 }
@@ -427,4 +427,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/actions.hpp
+++ b/source/simulator/membership_model/actions.hpp
@@ -2,9 +2,9 @@
 
 #include <functional>
 
-#include "almanac/membership_model/world.hpp"
+#include "simulator/membership_model/world.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 /// What processes do in one step. Each changes the world and notes what the
 /// invariants need; the cores decide, and nothing here does.
@@ -45,4 +45,4 @@
 void lose_disk(World& world, Bounds const& bounds, std::size_t machine);
 void replace_machine(World& world, Bounds const& bounds, std::size_t machine);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/closing.cpp
+++ b/source/simulator/membership_model/closing.cpp
@@ -1,9 +1,9 @@
-#include "almanac/membership_model/closing.hpp"
+#include "simulator/membership_model/closing.hpp"
 
-#include "almanac/membership_model/actions.hpp"
-#include "almanac/membership_model/invariants.hpp"
+#include "simulator/membership_model/actions.hpp"
+#include "simulator/membership_model/invariants.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -131,4 +131,4 @@
   return false;
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/closing.hpp
+++ b/source/simulator/membership_model/closing.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "almanac/membership_model/world.hpp"
+#include "simulator/membership_model/world.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 /// The fair end of a schedule: nothing fails any more, what crashed restarts,
 /// every process does in turn what its loops do. Whether the newest set then
@@ -10,4 +10,4 @@
 /// check of each explored state.
 [[nodiscard]] bool closes_with_choice(World& world, Bounds const& bounds);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/faults.cpp
+++ b/source/simulator/membership_model/faults.cpp
@@ -1,7 +1,7 @@
-#include "almanac/membership_model/actions.hpp"
-#include "almanac/membership_model/invariants.hpp"
+#include "simulator/membership_model/actions.hpp"
+#include "simulator/membership_model/invariants.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -56,4 +56,4 @@
   world.put(index, blank_machine(world, "n" + std::to_string(world.next_incarnation), bounds.guards));
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/invariants.cpp
+++ b/source/simulator/membership_model/invariants.cpp
@@ -1,9 +1,9 @@
-#include "almanac/membership_model/invariants.hpp"
+#include "simulator/membership_model/invariants.hpp"
 
 #include <algorithm>
 #include <bit>
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -328,4 +328,4 @@
   });
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/invariants.hpp
+++ b/source/simulator/membership_model/invariants.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "almanac/membership_model/world.hpp"
+#include "simulator/membership_model/world.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 /// Notes what a proposer was told and checks it against all before: in the order
 /// of ballots, revisions never go back and no revision has two contents.
@@ -33,4 +33,4 @@
 /// so many disks are lost at once, whoever else is cut off, frozen or killed.
 [[nodiscard]] bool bears_loss(World const& world, std::size_t machine);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/scenario.cpp
+++ b/source/simulator/membership_model/scenario.cpp
@@ -1,9 +1,9 @@
-#include "almanac/membership_model/scenario.hpp"
+#include "simulator/membership_model/scenario.hpp"
 
 #include <chrono>
 #include <ostream>
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -213,4 +213,4 @@
   return good;
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/scenario.hpp
+++ b/source/simulator/membership_model/scenario.hpp
@@ -2,9 +2,9 @@
 
 #include <iosfwd>
 
-#include "almanac/membership_model/search.hpp"
+#include "simulator/membership_model/search.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 /// One exploration that can be asked for by name.
 struct Scenario {
@@ -31,4 +31,4 @@
 /// Whether no invariant was broken.
 [[nodiscard]] bool run_scenario(Scenario const& scenario, RunOptions const& options, std::ostream& out);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/search.cpp
+++ b/source/simulator/membership_model/search.cpp
@@ -1,12 +1,12 @@
-#include "almanac/membership_model/search.hpp"
+#include "simulator/membership_model/search.hpp"
 
 #include <algorithm>
 #include <random>
 #include <unordered_set>
 
-#include "almanac/membership_model/closing.hpp"
+#include "simulator/membership_model/closing.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -151,4 +151,4 @@
   return report;
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/search.hpp
+++ b/source/simulator/membership_model/search.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "almanac/membership_model/steps.hpp"
+#include "simulator/membership_model/steps.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 /// A schedule that breaks an invariant, from the first state on.
 struct Counterexample {
@@ -38,4 +38,4 @@
 };
 [[nodiscard]] WalkReport random_walk(Bounds const& bounds, std::uint64_t seed, std::size_t steps);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/steps.cpp
+++ b/source/simulator/membership_model/steps.cpp
@@ -1,11 +1,11 @@
-#include "almanac/membership_model/steps.hpp"
+#include "simulator/membership_model/steps.hpp"
 
 #include <algorithm>
 
-#include "almanac/membership_model/actions.hpp"
-#include "almanac/membership_model/invariants.hpp"
+#include "simulator/membership_model/actions.hpp"
+#include "simulator/membership_model/invariants.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
@@ -389,4 +389,4 @@
   return step.object == 0 ? text : text + " " + std::to_string(step.object);
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/steps.hpp
+++ b/source/simulator/membership_model/steps.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "almanac/membership_model/world.hpp"
+#include "simulator/membership_model/world.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 enum class StepKind {
   StartWrite,
@@ -42,4 +42,4 @@
 /// For people: what a step does in this state.
 [[nodiscard]] std::string describe(World const& world, Step const& step);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/world.cpp
+++ b/source/simulator/membership_model/world.cpp
@@ -1,20 +1,20 @@
-#include "almanac/membership_model/world.hpp"
+#include "simulator/membership_model/world.hpp"
 
-#include "loam/digest/digest.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/digest/digest.hpp"
+#include "common/json/tree.hpp"
+#include "common/wire/pack.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 namespace {
 
 template <class Kind>
 std::uint64_t packed_digest(Kind const& entry) {
-  return loam::Digest().add(loam::pack(entry)).short_value();
+  return common::Digest().add(common::pack(entry)).short_value();
 }
 
 std::uint64_t digest_of(Machine const& machine) {
-  loam::Digest digest;
+  common::Digest digest;
   digest.add(machine.address).add(machine.running ? 1u : 0u).add(packed_digest(machine.known));
   digest.add(packed_digest(machine.synced)).add(packed_digest(machine.founding_answers));
   digest.add(packed_digest(machine.unsynced));
@@ -29,7 +29,7 @@
 }
 
 std::uint64_t digest_of(History const& history) {
-  loam::Digest digest;
+  common::Digest digest;
   digest.add(packed_digest(history.sets)).add(packed_digest(history.data_since));
   for (std::pair<std::uint64_t const, std::size_t> const& lost : history.lost_disks) {
     digest.add(lost.first).add(lost.second);
@@ -103,7 +103,7 @@
 }
 
 std::uint64_t World::digest() const {
-  loam::Digest digest;
+  common::Digest digest;
   for (std::shared_ptr<Machine const> const& machine : machines_) {
     if (machine->digest == 0) {
       machine->digest = digest_of(*machine);
@@ -128,16 +128,16 @@
 }
 
 std::uint64_t digest_of(Request const& request) {
-  return loam::Digest().add(request.to.incarnation).add(loam::pack(request.message)).short_value();
+  return common::Digest().add(request.to.incarnation).add(common::pack(request.message)).short_value();
 }
 
 std::optional<schema::VoterSet> voter_set_in(schema::Value const& value) {
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(value.content);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(value.content);
   if (value.revision == 0 || !tree.ok()) {
     return std::nullopt;
   }
   schema::VoterSet set;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   schema::read(tree->get(), "", set, faults);
   return faults.empty() ? std::optional<schema::VoterSet>(set) : std::nullopt;
 }
@@ -150,4 +150,4 @@
   return machine;
 }
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/membership_model/world.hpp
+++ b/source/simulator/membership_model/world.hpp
@@ -10,7 +10,7 @@
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/proposer/proposer.hpp"
 
-namespace finchlink::almanac::membership_model {
+namespace finchlink::simulator::membership_model {
 
 /// Bounds of one exploration, and the guards that it runs without. The budgets
 /// count over the whole of a schedule.
@@ -129,4 +129,4 @@
 /// A blank disk at an address, with an incarnation of its own.
 [[nodiscard]] Machine blank_machine(World& world, std::string const& address, consensus::Guards const& guards);
 
-}  // namespace finchlink::almanac::membership_model
+}  // namespace finchlink::simulator::membership_model
--- a/source/almanac/operators/operators.cpp
+++ b/source/simulator/operators/operators.cpp
@@ -1,27 +1,27 @@
-#include "almanac/operators/operators.hpp"
+#include "simulator/operators/operators.hpp"
 
-#include "almanac/operators/order_ledger.hpp"
-#include "config/charter/proposal.hpp"
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
+#include "config/routing/proposal.hpp"
+#include "simulator/operators/order_ledger.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
-using loam::Moment;
-using loam::Span;
+using common::Moment;
+using common::Span;
 using Kind = HistoryEntry::Kind;
 
 namespace {
 /// A caller turns to another node after this long without an answer.
-constexpr Span patience_least = loam::milliseconds(700);
-constexpr Span patience_most = loam::milliseconds(1500);
-constexpr Span retry_pause_most = loam::milliseconds(1000);
+constexpr Span patience_least = common::milliseconds(700);
+constexpr Span patience_most = common::milliseconds(1500);
+constexpr Span retry_pause_most = common::milliseconds(1000);
 /// An order about a zone is sent again for this long.
-constexpr Span evacuation_order_span = loam::seconds(5);
-constexpr Span charter_order_span = loam::seconds(8);
+constexpr Span evacuation_order_span = common::seconds(5);
+constexpr Span charter_order_span = common::seconds(8);
 /// A charter is sent once more up to this long after its end.
-constexpr Span late_repeat_most = loam::seconds(15);
+constexpr Span late_repeat_most = common::seconds(15);
 constexpr Span way_least = 200;
-constexpr Span way_most = loam::milliseconds(30);
+constexpr Span way_most = common::milliseconds(30);
 enum class AttemptEnd { acknowledged, refused, unclear };
 
 /// One order of one operator, until it has a clear answer or is given up.
@@ -363,4 +363,4 @@
   return state_->finish();
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/operators/operators.hpp
+++ b/source/simulator/operators/operators.hpp
@@ -8,13 +8,13 @@
 #include <variant>
 #include <vector>
 
-#include "almanac/history/history.hpp"
-#include "almanac/kernel/kernel.hpp"
 #include "config/change/change_marks.hpp"
 #include "config/evacuation/proposal.hpp"
 #include "consensus/proposer/proposer.hpp"
+#include "simulator/history/history.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// Operators of charters and evacuations: several at once, whose answers are
 /// lost, who send their orders again to any node, and who give up (section 13.3).
@@ -87,4 +87,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/operators/order_ledger.cpp
+++ b/source/simulator/operators/order_ledger.cpp
@@ -1,13 +1,13 @@
-#include "almanac/operators/order_ledger.hpp"
+#include "simulator/operators/order_ledger.hpp"
 
 #include <algorithm>
 #include <set>
 
 #include "config/change/change_marks.hpp"
-#include "config/charter/proposal.hpp"
 #include "config/evacuation/proposal.hpp"
+#include "config/routing/proposal.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 using Kind = HistoryEntry::Kind;
 
@@ -81,14 +81,14 @@
   zones_at_[value.revision] = value.content;
 }
 
-void OrderLedger::close_zone_order(std::uint64_t attempt, loam::Moment now) {
+void OrderLedger::close_zone_order(std::uint64_t attempt, common::Moment now) {
   std::map<std::uint64_t, ZoneRecord>::iterator const found = zone_orders_.find(attempt);
   if (found != zone_orders_.end()) {
     found->second.closed = now;
   }
 }
 
-void OrderLedger::acknowledge_zone(std::uint64_t attempt, std::uint64_t revision, loam::Moment now) {
+void OrderLedger::acknowledge_zone(std::uint64_t attempt, std::uint64_t revision, common::Moment now) {
   ZoneRecord& record = zone_orders_[attempt];
   std::map<std::uint64_t, std::uint64_t>::const_iterator const owner = zone_order_of_.find(revision);
   if (owner != zone_order_of_.end() && owner->second == attempt) {
@@ -194,4 +194,4 @@
   return explained;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/operators/order_ledger.hpp
+++ b/source/simulator/operators/order_ledger.hpp
@@ -7,25 +7,25 @@
 #include <string>
 #include <vector>
 
-#include "almanac/history/history.hpp"
 #include "consensus/proposer/proposer.hpp"
+#include "simulator/history/history.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// What became of a change of the charter, over all its attempts.
 struct ChangeRecord {
-  loam::Moment began = 0;
-  std::optional<loam::Moment> ended = {};   ///< first acknowledged
-  std::optional<loam::Moment> closed = {};  ///< its caller's last attempt ended
+  common::Moment began = 0;
+  std::optional<common::Moment> ended = {};   ///< first acknowledged
+  std::optional<common::Moment> closed = {};  ///< its caller's last attempt ended
   std::uint64_t expected = 0;
 };
 /// What became of one attempt about a zone.
 struct ZoneRecord {
   std::string zone;
   bool evacuated = false;
-  loam::Moment began = 0;
-  std::optional<loam::Moment> ended = {};
-  std::optional<loam::Moment> closed = {};  ///< its caller stopped waiting
+  common::Moment began = 0;
+  std::optional<common::Moment> ended = {};
+  std::optional<common::Moment> closed = {};  ///< its caller stopped waiting
 };
 
 /// The value as the code under test knows it, without the marks by which the
@@ -41,9 +41,9 @@
   explicit OrderLedger(std::function<void(std::string const&)> violate) : violate_(std::move(violate)) {}
   [[nodiscard]] ChangeRecord& change(std::string const& id) { return changes_[id]; }
   [[nodiscard]] ZoneRecord& zone_order(std::uint64_t attempt) { return zone_orders_[attempt]; }
-  void close_zone_order(std::uint64_t attempt, loam::Moment now);
+  void close_zone_order(std::uint64_t attempt, common::Moment now);
   /// Somebody may hear that the attempt was carried out, at this revision.
-  void acknowledge_zone(std::uint64_t attempt, std::uint64_t revision, loam::Moment now);
+  void acknowledge_zone(std::uint64_t attempt, std::uint64_t revision, common::Moment now);
   void add(std::string const& name, HistoryEntry const& entry) { histories_[name].push_back(entry); }
   /// A value that some node found to be chosen.
   void observe(std::string const& name, schema::Value const& value);
@@ -67,4 +67,4 @@
   std::map<std::uint64_t, std::string> zones_at_;         ///< revision to the content
 };
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/walls/walls.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -1,4 +1,4 @@
-#include "almanac/walls/walls.hpp"
+#include "simulator/prompt_isolation/prompt_isolation.hpp"
 
 #include <functional>
 #include <map>
@@ -7,11 +7,11 @@
 #include <set>
 #include <variant>
 
-#include "almanac/kernel/kernel.hpp"
-#include "seedbed/worker/part_cache.hpp"
-#include "tilth/grove/grove.hpp"
+#include "fake_workers/worker/part_cache.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 namespace {
 
@@ -26,11 +26,11 @@
   std::string address;
   std::string hall;
   std::string region;
-  seedbed::PartCache cache;
+  fake_workers::PartCache cache;
   std::string weights = "w1";
   bool up = true;
   bool draining = false;
-  loam::Moment cold_until = 0;
+  common::Moment cold_until = 0;
   std::uint64_t life = 1;
   std::uint64_t running = 0;
 };
@@ -41,8 +41,8 @@
   std::string region;
   bool up = true;
   std::uint64_t life = 1;
-  std::unique_ptr<tilth::Walls> walls;
-  std::unique_ptr<tilth::Grove> grove;
+  std::unique_ptr<scheduling::Walls> walls;
+  std::unique_ptr<scheduling::Grove> grove;
   /// What each tenant was sent from here in this life: nothing else may be predicted for it.
   std::set<std::string> known;
 };
@@ -51,7 +51,7 @@
   std::uint64_t number = 0;
   std::string tenant;  ///< as named; empty: none
   std::string reader;  ///< who truly reads
-  std::vector<tilth::NamedPart> parts;
+  std::vector<scheduling::NamedPart> parts;
   bool open = false;  ///< its first part is public
   double tokens = 0;
   int tries = 0;
@@ -63,10 +63,10 @@
   std::shared_ptr<SimQuery> query;
   std::size_t furrow = 0;
   std::uint64_t furrow_life = 0;
-  tilth::Prompt prompt;
-  tilth::Wanted wanted;
-  tilth::Spot spot;
-  tilth::Walled walled;
+  scheduling::Prompt prompt;
+  scheduling::Wanted wanted;
+  scheduling::Spot spot;
+  scheduling::Walled walled;
 };
 
 struct TenantCount {
@@ -82,7 +82,7 @@
     for (std::size_t index = 0; index < 6; ++index) {
       std::pair<std::string, std::string> const& hall = halls[index % halls.size()];
       workers_.push_back(SimWorker{"w" + std::to_string(index), "10.0.0." + std::to_string(index) + ":1", hall.first,
-                                   hall.second, seedbed::PartCache(options.kept_tokens)});
+                                   hall.second, fake_workers::PartCache(options.kept_tokens)});
     }
     for (std::size_t index = 0; index < 4; ++index) {
       std::pair<std::string, std::string> const& hall = halls[index % halls.size()];
@@ -130,7 +130,7 @@
       report_.violations.push_back(text);
     }
   }
-  [[nodiscard]] loam::Span way(std::string const& from, std::string const& to) {
+  [[nodiscard]] common::Span way(std::string const& from, std::string const& to) {
     return from == to ? kernel_.between(300, 2000) : kernel_.between(12000, 30000);
   }
 
@@ -141,8 +141,8 @@
     furrow.up = true;
     ++furrow.life;
     report_.named += furrow.walls == nullptr ? 0 : furrow.walls->crossings();
-    furrow.walls = std::make_unique<tilth::Walls>(options_.guards);
-    furrow.grove = std::make_unique<tilth::Grove>();
+    furrow.walls = std::make_unique<scheduling::Walls>(options_.guards);
+    furrow.grove = std::make_unique<scheduling::Grove>();
     furrow.known.clear();
     follow_list(index, furrow.life);
     follow_secrets(index, furrow.life);
@@ -165,16 +165,16 @@
     if (!furrow.up || furrow.life != life) {
       return;
     }
-    tilth::GroveTerms terms;
+    scheduling::GroveTerms terms;
     terms.hall = furrow.hall;
     terms.region = furrow.region;
     terms.self = furrow.name;
     for (SimFurrow const& other : furrows_) {
       terms.furrows.push_back(other.name);
     }
-    std::vector<tilth::Stand> stands;
+    std::vector<scheduling::Stand> stands;
     std::set<std::string> listed;
-    for (tilth::Stand const& stand : list_) {
+    for (scheduling::Stand const& stand : list_) {
       stands.push_back(stand);
       stands.back().evacuated = evacuated_.count(stand.hall) > 0;
       listed.insert(stand.id);
@@ -191,7 +191,7 @@
       if (!worker.up) {
         continue;
       }
-      tilth::Stand stand;
+      scheduling::Stand stand;
       stand.id = worker.id;
       stand.address = worker.address;
       stand.service = "model";
@@ -205,13 +205,13 @@
       stand.kept_tokens = options_.kept_tokens;
       list_.push_back(std::move(stand));
     }
-    kernel_.after(loam::milliseconds(700), [this] { publish(); });
+    kernel_.after(common::milliseconds(700), [this] { publish(); });
   }
 
   // --- queries ---
 
   void arrive() {
-    kernel_.after(static_cast<loam::Span>(kernel_.exponential(1e6 / options_.rate)) + 1, [this] {
+    kernel_.after(static_cast<common::Span>(kernel_.exponential(1e6 / options_.rate)) + 1, [this] {
       std::shared_ptr<SimQuery> const query = std::make_shared<SimQuery>();
       query->number = ++report_.sent;
       bool const nobody = kernel_.chance(0.03);
@@ -220,13 +220,14 @@
       query->reader = nobody ? "nobody-" + std::to_string(query->number) : query->tenant;
       query->open = kernel_.chance(0.5);
       if (query->open) {
-        query->parts.push_back(tilth::NamedPart{public_part, public_tokens});
+        query->parts.push_back(scheduling::NamedPart{public_part, public_tokens});
       }
       // The same prompts for all; only the last part is a query's own.
-      query->parts.push_back(tilth::NamedPart{"a" + std::to_string(kernel_.below(tenant == 0 ? 12 : 2)), part_tokens});
-      query->parts.push_back(tilth::NamedPart{"b" + std::to_string(kernel_.below(3)), part_tokens / 3});
-      query->parts.push_back(tilth::NamedPart{"own" + std::to_string(query->number), own_tokens});
-      for (tilth::NamedPart const& part : query->parts) {
+      query->parts.push_back(
+          scheduling::NamedPart{"a" + std::to_string(kernel_.below(tenant == 0 ? 12 : 2)), part_tokens});
+      query->parts.push_back(scheduling::NamedPart{"b" + std::to_string(kernel_.below(3)), part_tokens / 3});
+      query->parts.push_back(scheduling::NamedPart{"own" + std::to_string(query->number), own_tokens});
+      for (scheduling::NamedPart const& part : query->parts) {
         query->tokens += part.tokens;
       }
       enter(query, kernel_.below(furrows_.size()));
@@ -249,21 +250,22 @@
     flight->query = query;
     flight->furrow = index;
     flight->furrow_life = furrow.life;
-    flight->prompt = tilth::Prompt{query->tenant, "m", query->parts,
-                                   query->open ? std::vector<std::string>{public_part} : std::vector<std::string>(),
-                                   "header customer"};
+    flight->prompt = scheduling::Prompt{
+        query->tenant, "m", query->parts,
+        query->open ? std::vector<std::string>{public_part} : std::vector<std::string>(), "header customer"};
     flight->wanted.shares.push_back(schema::Share{"model", 1});
     flight->wanted.parts = furrow.walls->place(flight->prompt);
     flight->wanted.tokens = query->tokens;
     flight->wanted.outputs = 12;
     flight->wanted.avoid = query->avoid;
     flight->wanted.draw = kernel_.uniform();
-    std::variant<tilth::Spot, tilth::NoSpot> const found = furrow.grove->choose(flight->wanted, kernel_.now());
-    if (std::holds_alternative<tilth::NoSpot>(found)) {
+    std::variant<scheduling::Spot, scheduling::NoSpot> const found =
+        furrow.grove->choose(flight->wanted, kernel_.now());
+    if (std::holds_alternative<scheduling::NoSpot>(found)) {
       elsewhere(query);
       return;
     }
-    flight->spot = std::get<tilth::Spot>(found);
+    flight->spot = std::get<scheduling::Spot>(found);
     double const predicted = query->tokens - flight->spot.uncached;
     double const allowed = furrow.known.count(query->reader) > 0 ? query->tokens : query->open ? public_tokens : 0;
     if (options_.guards.tenant_in_key && predicted > allowed + 0.5) {
@@ -271,7 +273,7 @@
               ", which sent none from there");
     }
     SimWorker const* const worker = holder(flight->spot.worker);
-    kernel_.after(worker == nullptr ? loam::milliseconds(1) : way(furrow.region, worker->region),
+    kernel_.after(worker == nullptr ? common::milliseconds(1) : way(furrow.region, worker->region),
                   [this, flight] { send(flight); });
   }
 
@@ -302,12 +304,12 @@
     }
     SimWorker* const worker = holder(flight->spot.worker);
     if (worker == nullptr || !worker->up) {
-      end(*flight, *furrow, false, tilth::Outcome::unreachable);
+      end(*flight, *furrow, false, scheduling::Outcome::unreachable);
       again(flight);
       return;
     }
     if (!furrow->grove->usable(flight->spot.worker)) {
-      furrow->grove->ended(flight->spot, false, tilth::Outcome::abandoned, kernel_.now());
+      furrow->grove->ended(flight->spot, false, scheduling::Outcome::abandoned, kernel_.now());
       again(flight);
       return;
     }
@@ -322,7 +324,8 @@
     SimFurrow* const furrow = home(*flight);
     if (worker == nullptr || !worker->up) {  // it left, or has another id by now
       if (furrow != nullptr) {
-        end(*flight, *furrow, false, worker == nullptr ? tilth::Outcome::misdirected : tilth::Outcome::unreachable);
+        end(*flight, *furrow, false,
+            worker == nullptr ? scheduling::Outcome::misdirected : scheduling::Outcome::unreachable);
       }
       again(flight);
       return;
@@ -331,22 +334,22 @@
       ++report_.misdirected;
       if (furrow != nullptr) {
         hear(*flight, *furrow, *worker, std::nullopt);
-        end(*flight, *furrow, false, tilth::Outcome::refused);
+        end(*flight, *furrow, false, scheduling::Outcome::refused);
       }
       again(flight);
       return;
     }
-    std::vector<seedbed::CachePart> parts;
-    for (tilth::NamedPart const& part : tilth::named_parts(flight->walled.header)) {
-      parts.push_back(seedbed::CachePart{part.id, part.tokens, flight->query->open && parts.empty()});
+    std::vector<fake_workers::CachePart> parts;
+    for (scheduling::NamedPart const& part : scheduling::named_parts(flight->walled.header)) {
+      parts.push_back(fake_workers::CachePart{part.id, part.tokens, flight->query->open && parts.empty()});
     }
-    seedbed::CacheReading const reading = worker->cache.read(flight->query->reader, worker->weights, parts);
+    fake_workers::CacheReading const reading = worker->cache.read(flight->query->reader, worker->weights, parts);
     judge(*flight, *worker, reading);
     ++worker->running;
     std::uint64_t const life = worker->life;
     std::string const weights = worker->weights;
-    loam::Span const took = 4000 + static_cast<loam::Span>((reading.tokens - reading.reused) * 18) +
-                            static_cast<loam::Span>(worker->running) * 500;
+    common::Span const took = 4000 + static_cast<common::Span>((reading.tokens - reading.reused) * 18) +
+                              static_cast<common::Span>(worker->running) * 500;
     kernel_.after(took, [this, flight, life, weights, reading] {
       SimWorker* const there = holder(flight->spot.worker);
       SimFurrow* const origin = home(*flight);
@@ -359,7 +362,7 @@
         return;
       }
       if (cut) {
-        end(*flight, *origin, false, tilth::Outcome::defect);
+        end(*flight, *origin, false, scheduling::Outcome::defect);
         again(flight);
         return;
       }
@@ -367,12 +370,12 @@
       report_.evicted += reading.reused < predicted ? 1 : 0;
       hear(*flight, *origin, *there, reading.reused, weights);
       origin->grove->first_token(
-          flight->spot, flight->walled.version.empty() ? std::vector<tilth::Part>() : flight->wanted.parts, 0.02);
-      end(*flight, *origin, true, tilth::Outcome::good);
+          flight->spot, flight->walled.version.empty() ? std::vector<scheduling::Part>() : flight->wanted.parts, 0.02);
+      end(*flight, *origin, true, scheduling::Outcome::good);
     });
   }
 
-  void judge(Flight const& flight, SimWorker const& worker, seedbed::CacheReading const& reading) {
+  void judge(Flight const& flight, SimWorker const& worker, fake_workers::CacheReading const& reading) {
     ++report_.ran;
     report_.own_hits += reading.own_hits;
     report_.public_hits += reading.open_hits;
@@ -395,18 +398,18 @@
 
   void hear(Flight const& flight, SimFurrow& furrow, SimWorker const& worker, std::optional<double> reused,
             std::string const& weights = "") {
-    tilth::WallAnswer const answer{flight.spot.worker, weights.empty() ? worker.weights : weights, reused,
-                                   reused.has_value()};
-    for (tilth::WallAction const& action :
+    scheduling::WallAnswer const answer{flight.spot.worker, weights.empty() ? worker.weights : weights, reused,
+                                        reused.has_value()};
+    for (scheduling::WallAction const& action :
          furrow.walls->heard(answer, flight.walled, flight.query->tokens - flight.spot.uncached)) {
-      if (tilth::ForgetWorker const* const forget = std::get_if<tilth::ForgetWorker>(&action)) {
+      if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
         furrow.grove->forget_walled(forget->worker);
-      } else if (tilth::GaveUp const* const gave_up = std::get_if<tilth::GaveUp>(&action)) {
+      } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
         furrow.grove->gave_up(gave_up->worker, flight.wanted.parts, gave_up->tokens);
       }
     }
   }
-  void end(Flight const& flight, SimFurrow& furrow, bool first_seen, tilth::Outcome outcome) {
+  void end(Flight const& flight, SimFurrow& furrow, bool first_seen, scheduling::Outcome outcome) {
     furrow.grove->ended(flight.spot, first_seen, outcome, kernel_.now());
   }
   /// The same furrow tries another worker, or the caller another furrow.
@@ -425,12 +428,12 @@
     kernel_.after(kernel_.between(4000000, 9000000), [this] {
       ++report_.rotations;
       if (secrets_.previous.empty()) {
-        secrets_ = tilth::Secrets{"secret-" + std::to_string(report_.rotations) + std::string(32, 'x'),
-                                  secrets_.current, kernel_.below(100)};
+        secrets_ = scheduling::Secrets{"secret-" + std::to_string(report_.rotations) + std::string(32, 'x'),
+                                       secrets_.current, kernel_.below(100)};
       } else if (secrets_.moved < 100 && kernel_.chance(0.5)) {
         secrets_.moved += kernel_.below(101 - secrets_.moved);
       } else {
-        secrets_ = tilth::Secrets{secrets_.current, "", 100};
+        secrets_ = scheduling::Secrets{secrets_.current, "", 100};
       }
       kernel_.trace("secrets " + std::to_string(secrets_.moved) + " of 100");
       rotate();
@@ -513,7 +516,7 @@
         if (!renamed || kernel_.chance(0.7)) {  // some memories outlive the worker's name
           worker.cache.clear();
         }
-        worker.cold_until = kernel_.now() + loam::seconds(2);
+        worker.cold_until = kernel_.now() + common::seconds(2);
         worker.id += renamed ? "'" : "";
         kernel_.trace(worker.id + " comes back cold");
       }
@@ -525,9 +528,9 @@
   WallsReport report_;
   std::vector<SimWorker> workers_;
   std::vector<SimFurrow> furrows_;
-  std::vector<tilth::Stand> list_;
+  std::vector<scheduling::Stand> list_;
   std::set<std::string> evacuated_;
-  tilth::Secrets secrets_{"secret-0" + std::string(32, 'x'), "", 100};
+  scheduling::Secrets secrets_{"secret-0" + std::string(32, 'x'), "", 100};
   std::map<std::string, TenantCount> counts_;
 };
 
@@ -537,4 +540,4 @@
   return World(options).run();
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/walls/walls.hpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.hpp
@@ -4,23 +4,23 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
-#include "tilth/wall/walls.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/prompt_isolation/prompt_isolation.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// Tenants' walls on a fake clock (section 14): the furrows' real walls, record
 /// and placement, between callers that all send the same prompts and workers
 /// that keep parts for whoever names them.
 struct WallsOptions {
   std::uint64_t seed = 1;
-  loam::Span length = loam::seconds(60);
+  common::Span length = common::seconds(60);
   double rate = 120;  ///< queries a second
   std::uint64_t tenants = 24;
   double flood = 0.3;          ///< share of queries that one of them sends
   double kept_tokens = 30000;  ///< a worker's memory: too small for all
   bool faults = true;          ///< restarts, losses, weights, rotation, evacuations
-  tilth::WallGuards guards;
+  scheduling::WallGuards guards;
   bool print = false;
 };
 
@@ -51,4 +51,4 @@
 
 [[nodiscard]] WallsReport run_walls(WallsOptions const& options);
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/field/answers.cpp
+++ b/source/simulator/query_path/answers.cpp
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-namespace constants = loam::constants;
-using loam::Moment;
+namespace constants = common::constants;
+using common::Moment;
 
 namespace {
 
-constexpr loam::Span answer_delay = 300;  // microseconds
+constexpr common::Span answer_delay = 300;  // microseconds
 constexpr double outputs_smoothing = 0.05;
 constexpr double least_iterations = 4;  // of a sample that tells something
 
@@ -34,7 +34,7 @@
 void World::take_event(JobPointer const& job, std::uint64_t number, bool last) {
   QueryPointer const query = job->query;
   Moment const now = kernel_.now();
-  bool const decoding = query->phase == tilth::Phase::decode;
+  bool const decoding = query->phase == scheduling::Phase::decode;
   schema::WorkerFigures& figures = furrows_[query->furrow]->figures[query->worker + (decoding ? " d" : " p")];
   figures.worker = query->worker;
   figures.phase = decoding ? "decode" : "prefill";
@@ -47,7 +47,7 @@
   query->last_event = now;
   if (job->prefill_leg) {
     query->has_kv = true;
-    end_dispatch(query, tilth::Ending::good, tilth::LegDone{});
+    end_dispatch(query, scheduling::Ending::good, scheduling::LegDone{});
     return;
   }
   if (query->first == 0) {
@@ -59,7 +59,7 @@
   if (query->footing.rule.stream) {
     stream_event(query, number, last);
   } else if (last) {
-    end_dispatch(query, tilth::Ending::good, tilth::Whole{});
+    end_dispatch(query, scheduling::Ending::good, scheduling::Whole{});
   }
 }
 
@@ -76,14 +76,14 @@
   figures.queries += 1;
   figures.uncached += uncached;
   figures.cached += query.go.cached;
-  figures.pairs += tilth::pairs(uncached, query.go.cached);
+  figures.pairs += scheduling::pairs(uncached, query.go.cached);
   if (query.running_at_start <= 1 && furrow.samples.size() < constants::samples_most) {
     schema::Sample sample;
     sample.worker = query.worker;
     sample.seconds = static_cast<double>(now - query.sent) / 1e6;
     sample.sure = query.go.cached > 0;
     sample.uncached = uncached;
-    sample.pairs = tilth::pairs(uncached, query.go.cached);
+    sample.pairs = scheduling::pairs(uncached, query.go.cached);
     furrow.samples.push_back(sample);
   }
 }
@@ -101,8 +101,8 @@
     schema::Sample sample;
     sample.worker = query.worker;
     sample.decode = true;
-    sample.seconds = tilth::middle(query.gaps);
-    sample.spread = tilth::spread(options_.aims.experts_share, 1, running);
+    sample.seconds = scheduling::middle(query.gaps);
+    sample.spread = scheduling::spread(options_.aims.experts_share, 1, running);
     sample.running = running;
     furrow.samples.push_back(sample);
   }
@@ -114,7 +114,7 @@
     query->ticket = 0;
     tickets_.erase(ticket);
     query->job = nullptr;
-    obey(furrows_[query->furrow]->placement.finished(ticket, tilth::Ending::good, kernel_.now()));
+    obey(furrows_[query->furrow]->placement.finished(ticket, scheduling::Ending::good, kernel_.now()));
   }
   std::uint64_t shown = number;
   if (!options_.checked_numbers) {  // the guard off: whatever comes is handed on as the next
@@ -123,7 +123,7 @@
       violate("a stream went on with event " + std::to_string(number) + " as if it were " + std::to_string(shown));
     }
   }
-  feed(query, tilth::Event{shown, last});
+  feed(query, scheduling::Event{shown, last});
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/arrivals.cpp
+++ b/source/simulator/query_path/arrivals.cpp
@@ -2,13 +2,13 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
-#include "tilth/budget/share.hpp"
+#include "scheduling/retry_budget/retry_share.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-using loam::Moment;
-using loam::Span;
+using common::Moment;
+using common::Span;
 
 namespace {
 
@@ -55,7 +55,7 @@
     ++report_.unvouched;
     return;
   }
-  tilth::Plan const& plan = *furrows_[furrow]->plan;
+  scheduling::Plan const& plan = *furrows_[furrow]->plan;
   config::Course const decided = course(plan.setup, plan.region, mix, home);
   if (config::GoHome const* const there = std::get_if<config::GoHome>(&decided)) {
     if (hops < most_hops) {
@@ -87,7 +87,7 @@
   query->footing.serve = serve;
   query->footing.rule = query->footing.plan->setup.rules.at(serve.rule);
   query->began = kernel_.now();
-  Span const deadline = loam::milliseconds(static_cast<std::int64_t>(query->footing.rule.deadline_ms));
+  Span const deadline = common::milliseconds(static_cast<std::int64_t>(query->footing.rule.deadline_ms));
   query->deadline = kernel_.now() + deadline;
   draw_prompt(*query);
   query->chart = make_chart(*query, passed);
@@ -95,7 +95,7 @@
   if (!passed) {
     kernel_.after(deadline, [this, query] {
       if (!query->chart->settled()) {
-        feed(query, tilth::DeadlinePassed{});
+        feed(query, scheduling::DeadlinePassed{});
       }
     });
   }
@@ -111,26 +111,26 @@
   std::uint64_t chain = 0;
   for (std::uint64_t place = block; static_cast<double>(place) <= query.tokens; place += block) {
     bool const shared = static_cast<double>(place) <= mix.prefix_tokens;
-    chain =
-        tilth::mix(chain, shared ? tilth::mix(query.mix * mix_stride + prefix, place) : tilth::mix(query.id, own_part));
+    chain = scheduling::mix(
+        chain, shared ? scheduling::mix(query.mix * mix_stride + prefix, place) : scheduling::mix(query.id, own_part));
     query.chain.push_back(chain);
   }
 }
 
-std::unique_ptr<tilth::Chart> World::make_chart(Query const& query, bool passed) {
+std::unique_ptr<scheduling::Chart> World::make_chart(Query const& query, bool passed) {
   schema::Rule const& rule = query.footing.rule;
-  tilth::QueryTerms terms;
+  scheduling::QueryTerms terms;
   terms.repeatable = rule.repeatable || !options_.dispatch_once;
   terms.resumable = rule.resumable;
   terms.stream = rule.stream;
   terms.may_pass = !passed;
   std::string const name = options_.deployment.mixes[query.mix].name;
-  return std::make_unique<tilth::Chart>(terms, [this, furrow = query.furrow, name](Moment now) {
+  return std::make_unique<scheduling::Chart>(terms, [this, furrow = query.furrow, name](Moment now) {
     if (!options_.budget) {
       return true;
     }
     return furrows_[furrow]->budgets.try_emplace(name).first->second.take(
-        now, tilth::keeps_right(name, furrows_[furrow]->name, names_));
+        now, scheduling::keeps_right(name, furrows_[furrow]->name, names_));
   });
 }
 
@@ -141,14 +141,14 @@
   }
   Furrow const& from = *furrows_[query->furrow];
   std::vector<schema::Member> const targets =
-      tilth::pass_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
+      scheduling::pass_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
   if (targets.empty()) {
-    feed(query, tilth::NoRoom{});
+    feed(query, scheduling::NoRoom{});
     return;
   }
   ++report_.passes;
-  feed(query, tilth::Placed{"pass"});
-  feed(query, tilth::Connected{});
+  feed(query, scheduling::Placed{"pass"});
+  feed(query, scheduling::Connected{});
   std::string const chosen = targets[kernel_.below(targets.size())].name;
   std::size_t const target = static_cast<std::size_t>(std::find(names_.begin(), names_.end(), chosen) - names_.begin());
   bool const far = furrows_[target]->region != from.region;
@@ -157,13 +157,13 @@
 }
 
 void World::arrive_passed(QueryPointer const& query, std::size_t target) {
-  tilth::Plan const& plan = *furrows_[target]->plan;
+  scheduling::Plan const& plan = *furrows_[target]->plan;
   config::Course const decided = course(plan.setup, plan.region, query->mix, query->home);
   if (query->chart->settled()) {
     return;
   }
   if (!vouched(*furrows_[target]) || !std::holds_alternative<config::Serve>(decided)) {
-    feed(query, tilth::NoRoom{});
+    feed(query, scheduling::NoRoom{});
     return;
   }
   QueryPointer const child = make_query(query->mix, target, query->home, std::get<config::Serve>(decided), true);
@@ -175,4 +175,4 @@
   perform(child, child->chart->begin());
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/control_plane.cpp
+++ b/source/simulator/query_path/control_plane.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
 namespace {
 
@@ -19,7 +19,7 @@
   control.length = options_.length;
   control.furrows = furrows_.size();
   control.furrow_names = names_;
-  control.first_setup = loam::print_tree(loam::Tree(schema::write(options_.deployment.setup)).get());
+  control.first_setup = common::print_tree(common::Tree(schema::write(options_.deployment.setup)).get());
   control.patch = [this](std::string const& id) { return setup_patch(id); };
   control.seen = [this](std::uint64_t revision, std::string const& content) {
     setups_[revision] = config::read_setup(content).setup;
@@ -47,12 +47,12 @@
   schema::Setup const from = setups_.empty() ? options_.deployment.setup : setups_.rbegin()->second;
   schema::Setup to = kernel_.chance(changes_that_matter) ? changed_setup(from) : from;
   to.halls[options_.deployment.halls.front().name].labels["mark"] = id;
-  loam::Tree const whole(schema::write(to));
-  loam::Tree patch(cJSON_CreateObject());
+  common::Tree const whole(schema::write(to));
+  common::Tree patch(cJSON_CreateObject());
   for (char const* const part : {"halls", "rules"}) {
     cJSON_AddItemToObject(patch.get(), part, cJSON_DetachItemFromObjectCaseSensitive(whole.get(), part));
   }
-  return loam::print_tree(patch.get());
+  return common::print_tree(patch.get());
 }
 
 /// A furrow is killed: its callers and the furrows that passed to it see their
@@ -69,17 +69,17 @@
   }
   for (QueryPointer const& query : open) {
     if (query->parent != nullptr) {
-      settle_parent(query, tilth::WorkerDefect{"pass_cut"});
+      settle_parent(query, scheduling::WorkerDefect{"pass_cut"});
     }
     ended(*query, false);
-    feed(query, tilth::CallerGone{});
+    feed(query, scheduling::CallerGone{});
   }
-  furrow.placement = tilth::Placement(options_.placement);
+  furrow.placement = scheduling::Placement(options_.placement);
   furrow.budgets.clear();
   furrow.outputs.clear();
   furrow.revision = 0;
-  furrow.plan = std::make_shared<tilth::Plan const>();
+  furrow.plan = std::make_shared<scheduling::Plan const>();
   furrow.split = schema::Split{};
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/deployment.cpp
+++ b/source/simulator/query_path/deployment.cpp
@@ -5,15 +5,15 @@
 #include <fstream>
 #include <sstream>
 
-#include "almanac/field/field.hpp"
+#include "common/json/tree.hpp"
 #include "config/label/selector.hpp"
 #include "config/setup/setup.hpp"
-#include "loam/json/tree.hpp"
 #include "schema/standin.hpp"
+#include "simulator/query_path/query_path.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
-using loam::Span;
+using common::Span;
 
 std::size_t FieldDeployment::workers_of(std::size_t region) const {
   std::size_t count = 0;
@@ -34,17 +34,17 @@
     text << file.rdbuf();
     texts[name] = text.str();
   }
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(texts["fleet.json"]);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(texts["fleet.json"]);
   if (!tree.ok()) {
     return absl::InvalidArgumentError(folder + "/fleet.json: " + std::string(tree.status().message()));
   }
   config::SetupReading const reading = config::read_setup(texts["setup.json"]);
   if (!reading.good()) {
     return absl::InvalidArgumentError(
-        folder + "/setup.json: " + (reading.json ? loam::describe(reading.faults) : reading.reason));
+        folder + "/setup.json: " + (reading.json ? common::describe(reading.faults) : reading.reason));
   }
   schema::Fleet fleet;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   schema::read(tree->get(), "", fleet, faults);
   FieldDeployment deployment;
   deployment.setup = reading.setup;
@@ -58,7 +58,7 @@
     }
     deployment.halls.push_back(FieldHall{hall.first, region, hall.second.machines, hall.second.model_workers});
     if (config::region_of(deployment.setup, hall.first) != hall.second.region) {
-      faults.push_back(loam::Fault{"/halls/" + hall.first, "stands in another region of setup.json, or in none"});
+      faults.push_back(common::Fault{"/halls/" + hall.first, "stands in another region of setup.json, or in none"});
     }
   }
   for (schema::Mix const& mix : fleet.mixes) {
@@ -69,17 +69,17 @@
                                           static_cast<double>(mix.own_bytes) / bytes, mix.prefixes,
                                           std::ceil(static_cast<double>(mix.outputs) / 4), mix.homes});
       if (deployment.setup.rules.count(mix.name) == 0) {
-        faults.push_back(loam::Fault{"/mixes", mix.name + " is no rule of setup.json"});
+        faults.push_back(common::Fault{"/mixes", mix.name + " is no rule of setup.json"});
       }
     }
   }
   if (deployment.regions.size() != 2) {
-    faults.push_back(loam::Fault{"/halls", "needs two regions"});
+    faults.push_back(common::Fault{"/halls", "needs two regions"});
   }
   if (!faults.empty()) {
-    return absl::InvalidArgumentError(folder + "/fleet.json: " + loam::describe(faults));
+    return absl::InvalidArgumentError(folder + "/fleet.json: " + common::describe(faults));
   }
   return deployment;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/field/dispatch.cpp
+++ b/source/simulator/query_path/dispatch.cpp
@@ -2,24 +2,24 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-namespace constants = loam::constants;
-using loam::Span;
+namespace constants = common::constants;
+using common::Span;
 
 namespace {
 
-constexpr Span drain_allowed = loam::seconds(5);
-constexpr Span least_cut = loam::milliseconds(1);
-constexpr Span most_cut = loam::milliseconds(60);
+constexpr Span drain_allowed = common::seconds(5);
+constexpr Span least_cut = common::milliseconds(1);
+constexpr Span most_cut = common::milliseconds(60);
 
 }  // namespace
 
 void World::send(QueryPointer const& query) {
-  feed(query, tilth::Placed{query->worker});
+  feed(query, scheduling::Placed{query->worker});
   kernel_.after(hop_within_region(), [this, query, dispatch = query->dispatch] {
     if (!query->chart->settled() && query->dispatch == dispatch) {
       connect(query);
@@ -32,23 +32,24 @@
   Furrow const& furrow = *furrows_[query->furrow];
   Worker* const worker = worker_of(query->worker);
   if (worker == nullptr || !worker->up) {
-    end_dispatch(query, tilth::Ending::defect, tilth::ConnectDefect{});
+    end_dispatch(query, scheduling::Ending::defect, scheduling::ConnectDefect{});
     return;
   }
   if (!vouched(furrow)) {
     ++report_.unvouched;
-    end_dispatch(query, tilth::Ending::abandoned, tilth::Withdrawn{});
+    end_dispatch(query, scheduling::Ending::abandoned, scheduling::Withdrawn{});
     return;
   }
-  if (options_.decide_anew && (follow(query) || !tilth::may_go(*furrow.plan, query->footing.serve.rule, worker->id))) {
-    end_dispatch(query, tilth::Ending::abandoned, tilth::Withdrawn{});
+  if (options_.decide_anew &&
+      (follow(query) || !scheduling::may_go(*furrow.plan, query->footing.serve.rule, worker->id))) {
+    end_dispatch(query, scheduling::Ending::abandoned, scheduling::Withdrawn{});
     return;
   }
   expose(query, *worker);
 }
 
 void World::expose(QueryPointer const& query, Worker& worker) {
-  feed(query, tilth::Connected{});
+  feed(query, scheduling::Connected{});
   query->sent = kernel_.now();
   query->running_at_start = furrows_[query->furrow]->placement.running_on(worker.id);
   if (!query->decode_leg) {
@@ -61,7 +62,7 @@
     return;
   }
   if (is_full(worker)) {
-    end_dispatch(query, tilth::Ending::refused, tilth::WorkerRefused{});
+    end_dispatch(query, scheduling::Ending::refused, scheduling::WorkerRefused{});
     return;
   }
   count_run(query);
@@ -76,7 +77,7 @@
     Span const drained = kernel_.now() - worker.draining_since;
     report_.worst_drain = std::max(report_.worst_drain, drained);
     if (drained > drain_allowed) {
-      violate(worker.id + " got a query " + std::to_string(drained / loam::milliseconds(1)) +
+      violate(worker.id + " got a query " + std::to_string(drained / common::milliseconds(1)) +
               " ms after it was shown draining");
     }
   }
@@ -110,7 +111,7 @@
                        static_cast<double>(worker_limit) * static_cast<double>(up) / static_cast<double>(warming);
   bool const flooded = up < warming && static_cast<double>(worker.open()) >= bears;
   if (flooded) {
-    violate(worker.id + " came back " + std::to_string(up / loam::milliseconds(1)) + " ms ago and was flooded with " +
+    violate(worker.id + " came back " + std::to_string(up / common::milliseconds(1)) + " ms ago and was flooded with " +
             std::to_string(worker.open() + 1) + " queries");
   }
   return flooded || worker.open() >= worker_limit;
@@ -157,7 +158,7 @@
 void World::break_later(QueryPointer const& query, Span span, std::string const& reason) {
   kernel_.after(span, [this, query, dispatch = query->dispatch, reason] {
     if (!query->chart->settled() && query->dispatch == dispatch) {
-      end_dispatch(query, tilth::Ending::defect, tilth::WorkerDefect{reason});
+      end_dispatch(query, scheduling::Ending::defect, scheduling::WorkerDefect{reason});
     }
   });
 }
@@ -166,9 +167,9 @@
   kernel_.after(kernel_.between(least_cut, most_cut), [this, query, dispatch = query->dispatch] {
     if (!query->chart->settled() && query->dispatch == dispatch && query->job != nullptr) {
       query->job->gone = true;
-      end_dispatch(query, tilth::Ending::defect, tilth::WorkerDefect{"cut"});
+      end_dispatch(query, scheduling::Ending::defect, scheduling::WorkerDefect{"cut"});
     }
   });
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/faults.cpp
+++ b/source/simulator/query_path/faults.cpp
@@ -1,12 +1,12 @@
 // Faults of workers and of the list of workers.
 
-#include "almanac/field/world.hpp"
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-namespace constants = loam::constants;
-using loam::Span;
+namespace constants = common::constants;
+using common::Span;
 
 void World::schedule_faults() {
   FieldFaults const& mix = options_.faults;
@@ -38,14 +38,14 @@
   Worker& worker = any_worker();
   if (worker.up) {
     crash(worker);
-    kernel_.after(kernel_.between(loam::milliseconds(50), loam::seconds(6)), [this, &worker] { revive(worker); });
+    kernel_.after(kernel_.between(common::milliseconds(50), common::seconds(6)), [this, &worker] { revive(worker); });
   }
 }
 
 void World::darken_any() {
   Worker& worker = any_worker();
   worker.dark = true;
-  kernel_.after(kernel_.between(loam::seconds(1), loam::seconds(7)), [this, &worker] {
+  kernel_.after(kernel_.between(common::seconds(1), common::seconds(7)), [this, &worker] {
     worker.dark = false;
     step(worker);
   });
@@ -60,7 +60,7 @@
   }
   ++report_.faults;
   worker.dark = true;
-  kernel_.after(kernel_.between(loam::milliseconds(300), loam::milliseconds(900)), [this, &worker] {
+  kernel_.after(kernel_.between(common::milliseconds(300), common::milliseconds(900)), [this, &worker] {
     std::vector<JobPointer> const jobs = take_jobs(worker);
     worker.dark = false;
     revive(worker);
@@ -74,7 +74,7 @@
   Worker& worker = any_worker();
   if (!worker.draining) {
     show_draining(worker, true);
-    kernel_.after(kernel_.between(loam::seconds(6), loam::seconds(12)),
+    kernel_.after(kernel_.between(common::seconds(6), common::seconds(12)),
                   [this, &worker] { show_draining(worker, false); });
   }
 }
@@ -86,11 +86,11 @@
     return;
   }
   show_draining(worker, true);
-  kernel_.after(kernel_.between(loam::milliseconds(500), loam::seconds(6)), [this, &worker] {
+  kernel_.after(kernel_.between(common::milliseconds(500), common::seconds(6)), [this, &worker] {
     if (worker.up) {
       crash(worker);
     }
-    kernel_.after(kernel_.between(loam::seconds(1), loam::seconds(4)), [this, &worker] {
+    kernel_.after(kernel_.between(common::seconds(1), common::seconds(4)), [this, &worker] {
       revive(worker);
       show_draining(worker, false);
     });
@@ -105,7 +105,7 @@
   std::uint64_t const shown = ++worker.shown;
   for (std::unique_ptr<Furrow> const& furrow : furrows_) {
     Furrow* const one = furrow.get();
-    kernel_.after(kernel_.between(loam::milliseconds(30), loam::milliseconds(1400)),
+    kernel_.after(kernel_.between(common::milliseconds(30), common::milliseconds(1400)),
                   [this, one, id = worker.id, draining, shown] {
                     if (shown > one->list_seen[id]) {
                       one->list_seen[id] = shown;
@@ -116,4 +116,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/nodes.hpp
+++ b/source/simulator/query_path/nodes.hpp
@@ -11,15 +11,15 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/placement/placement.hpp"
+#include "scheduling/plan/plan.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
+#include "scheduling/retry_budget/retry_budget.hpp"
+#include "scheduling/scaler/scaler.hpp"
 #include "schema/setup.hpp"
-#include "tilth/budget/budget.hpp"
-#include "tilth/chart/chart.hpp"
-#include "tilth/placement/placement.hpp"
-#include "tilth/plan/plan.hpp"
-#include "tilth/scaler/scaler.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
 // --- the true times of a worker, in seconds, which the scaler has to find out ---
 constexpr double true_prefill[3] = {0.004, 0.000018, 0.000000002};
@@ -27,7 +27,7 @@
 
 constexpr std::size_t worker_limit = 48;  ///< beyond it a worker says 429
 constexpr std::size_t cold_bears = 4;     ///< queries at once on a worker that just came back
-constexpr loam::Span warming = loam::seconds(3);
+constexpr common::Span warming = common::seconds(3);
 constexpr std::size_t cache_blocks = 4096;
 constexpr std::size_t most_hops = 4;  ///< 307s that a caller follows
 
@@ -61,10 +61,10 @@
   bool dark = false;  ///< answers nothing, closes nothing
   bool draining = false;
   std::uint64_t shown = 0;  ///< counts the changes of the list about it
-  loam::Moment draining_since = 0;
-  loam::Moment up_since = -loam::seconds(100);
+  common::Moment draining_since = 0;
+  common::Moment up_since = -common::seconds(100);
   std::uint64_t life = 0;
-  tilth::PrefixRecord cache{cache_blocks};
+  scheduling::PrefixRecord cache{cache_blocks};
   [[nodiscard]] std::size_t open() const { return waiting.size() + running.size(); }
 };
 
@@ -74,9 +74,9 @@
   std::size_t region = 0;
   bool alive = true;
   std::uint64_t revision = 1;  ///< of the setup in force here; 0: none yet
-  std::shared_ptr<tilth::Plan const> plan = std::make_shared<tilth::Plan const>();
-  tilth::Placement placement;
-  std::map<std::string, tilth::Budget> budgets;
+  std::shared_ptr<scheduling::Plan const> plan = std::make_shared<scheduling::Plan const>();
+  scheduling::Placement placement;
+  std::map<std::string, scheduling::Budget> budgets;
   std::map<std::string, double> outputs;
   std::map<std::string, bool> drained;  ///< as the list told here
   std::map<std::string, bool> listed;
@@ -93,28 +93,28 @@
   std::size_t mix = 0;
   std::size_t furrow = 0;
   std::string home;  ///< as its caller names it
-  tilth::Footing footing;
-  std::unique_ptr<tilth::Chart> chart;
+  scheduling::Footing footing;
+  std::unique_ptr<scheduling::Chart> chart;
   std::uint64_t ticket = 0;
   std::uint64_t dispatch = 0;
   std::string worker;
-  tilth::Go go;
-  tilth::Phase phase = tilth::Phase::both;
+  scheduling::Go go;
+  scheduling::Phase phase = scheduling::Phase::both;
   bool has_kv = false;
   bool decode_leg = false;
   double tokens = 0;
   std::uint64_t outputs = 0;
   std::vector<std::uint64_t> chain;
-  loam::Moment began = 0;
-  loam::Moment sent = 0;
-  loam::Moment first = 0;
-  loam::Moment leg_first = 0;
+  common::Moment began = 0;
+  common::Moment sent = 0;
+  common::Moment first = 0;
+  common::Moment leg_first = 0;
   double iterations = 0;
   std::vector<double> gaps;
-  loam::Moment last_event = 0;
+  common::Moment last_event = 0;
   double running_at_start = 0;
   std::uint64_t seen = 0;  ///< events that the caller has
-  loam::Moment deadline = 0;
+  common::Moment deadline = 0;
   QueryPointer parent;  ///< it was passed on by this one
   JobPointer job;
   std::uint64_t runs = 0;  ///< how often its work was begun
@@ -125,7 +125,7 @@
 };
 
 struct Region {
-  tilth::Scaler scaler;
+  scheduling::Scaler scaler;
   schema::Split split;
   std::uint64_t revision = 0;
 };
@@ -137,4 +137,4 @@
   double bad = 0;
 };
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/placement.cpp
+++ b/source/simulator/query_path/placement.cpp
@@ -1,8 +1,8 @@
 // Tickets of placement, and what it decides about them.
 
-#include "almanac/field/world.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
 namespace {
 
@@ -16,17 +16,17 @@
   if (query->chart->settled()) {
     return;
   }
-  tilth::Ticket ticket;
+  scheduling::Ticket ticket;
   ticket.id = next_ticket_++;
   ticket.rule = query->footing.serve.rule;
-  ticket.allowed = tilth::allowed_for(*query->footing.plan, ticket.rule);
+  ticket.allowed = scheduling::allowed_for(*query->footing.plan, ticket.rule);
   ticket.chain = query->chain;
   ticket.tokens = query->tokens;
   ticket.outputs = furrow.outputs.try_emplace(ticket.rule, first_guess_of_outputs).first->second;
   bool const paired = query->has_kv || options_.aims.manner == "paired";
   query->decode_leg = paired && query->has_kv;
   ticket.phase =
-      tilth::wanted_phase(*query->footing.plan, "model", paired, query->decode_leg, ticket.tokens, ticket.outputs);
+      scheduling::wanted_phase(*query->footing.plan, "model", paired, query->decode_leg, ticket.tokens, ticket.outputs);
   query->phase = ticket.phase;
   ticket.deadline = query->deadline;
   ticket.begun = query->has_kv;
@@ -36,13 +36,13 @@
   obey(furrow.placement.enqueue(ticket, kernel_.now()));
 }
 
-void World::obey(std::vector<tilth::PlacementAction> const& actions) {
-  for (tilth::PlacementAction const& action : actions) {
-    if (tilth::Denied const* const denied = std::get_if<tilth::Denied>(&action)) {
+void World::obey(std::vector<scheduling::PlacementAction> const& actions) {
+  for (scheduling::PlacementAction const& action : actions) {
+    if (scheduling::Denied const* const denied = std::get_if<scheduling::Denied>(&action)) {
       deny(*denied);
       continue;
     }
-    tilth::Go const& go = std::get<tilth::Go>(action);
+    scheduling::Go const& go = std::get<scheduling::Go>(action);
     std::map<std::uint64_t, QueryPointer>::const_iterator const found = tickets_.find(go.ticket);
     if (found != tickets_.end()) {
       found->second->go = go;
@@ -52,7 +52,7 @@
   }
 }
 
-void World::deny(tilth::Denied const& denied) {
+void World::deny(scheduling::Denied const& denied) {
   std::map<std::uint64_t, QueryPointer>::const_iterator const found = tickets_.find(denied.ticket);
   if (found == tickets_.end()) {
     return;
@@ -63,12 +63,14 @@
   query->wait = denied.expected_seconds;
   kernel_.after(0, [this, query, deadline = denied.reason == "deadline"] {
     if (!query->chart->settled()) {
-      feed(query, deadline ? tilth::QueryMessage{tilth::DeadlinePassed{}} : tilth::QueryMessage{tilth::NoRoom{}});
+      feed(query, deadline ? scheduling::QueryMessage{scheduling::DeadlinePassed{}}
+                           : scheduling::QueryMessage{scheduling::NoRoom{}});
     }
   });
 }
 
-void World::end_dispatch(QueryPointer const& query, tilth::Ending ending, tilth::QueryMessage const& message) {
+void World::end_dispatch(QueryPointer const& query, scheduling::Ending ending,
+                         scheduling::QueryMessage const& message) {
   std::uint64_t const ticket = query->ticket;
   query->ticket = 0;
   query->job = nullptr;
@@ -78,4 +80,4 @@
   feed(query, message);
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/furrow_loops.cpp
+++ b/source/simulator/query_path/proxy_loops.cpp
@@ -3,19 +3,19 @@
 #include <algorithm>
 #include <utility>
 
-#include "almanac/field/world.hpp"
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 
-constexpr loam::Span refresh_pause = loam::milliseconds(250);
-constexpr loam::Span load_jitter = loam::milliseconds(20);
-constexpr loam::Span least_split_delay = loam::milliseconds(20);
-constexpr loam::Span most_split_delay = loam::milliseconds(300);
+constexpr common::Span refresh_pause = common::milliseconds(250);
+constexpr common::Span load_jitter = common::milliseconds(20);
+constexpr common::Span least_split_delay = common::milliseconds(20);
+constexpr common::Span most_split_delay = common::milliseconds(300);
 
 std::string boot_of(Worker const& worker) {
   return "boot-" + std::to_string(worker.life);
@@ -43,7 +43,7 @@
   if (!furrow.alive || furrow.revision == 0) {
     return;
   }
-  std::shared_ptr<tilth::Plan> const plan = make_plan(furrow);
+  std::shared_ptr<scheduling::Plan> const plan = make_plan(furrow);
   bool const turned = plan->decided != furrow.plan->decided || plan->allowed != furrow.plan->allowed;
   furrow.plan = plan;
   obey(furrow.placement.update(plan->wishes["model"], options_.bounds, options_.aims, plan->furrows_here,
@@ -53,8 +53,8 @@
   }
 }
 
-std::shared_ptr<tilth::Plan> World::make_plan(Furrow& furrow) {
-  std::shared_ptr<tilth::Plan> const plan = std::make_shared<tilth::Plan>();
+std::shared_ptr<scheduling::Plan> World::make_plan(Furrow& furrow) {
+  std::shared_ptr<scheduling::Plan> const plan = std::make_shared<scheduling::Plan>();
   plan->has_setup = true;
   plan->decided = furrow.revision;
   plan->setup = setups_.at(furrow.revision);
@@ -79,9 +79,9 @@
       plan->list.workers.push_back(schema::WorkerEntry{worker->id, worker->id, worker->hall, "model", draining, {}});
     }
   }
-  tilth::derive(*plan, furrow.name, furrow.hall);
+  scheduling::derive(*plan, furrow.name, furrow.hall);
   bool const usable = vouched(furrow);
-  for (tilth::WorkerWish& wish : plan->wishes["model"]) {
+  for (scheduling::WorkerWish& wish : plan->wishes["model"]) {
     wish.usable = wish.usable && usable;
     if (!options_.tend_cold) {
       wish.warm_boots.push_back(boot_of(*worker_of(wish.id)));
@@ -94,12 +94,12 @@
   std::vector<QueryPointer> waiting;
   for (std::pair<std::uint64_t const, QueryPointer> const& entry : tickets_) {
     if (furrows_[entry.second->furrow].get() == &furrow &&
-        std::holds_alternative<tilth::Waitlisted>(entry.second->chart->state())) {
+        std::holds_alternative<scheduling::Waitlisted>(entry.second->chart->state())) {
       waiting.push_back(entry.second);
     }
   }
   for (QueryPointer const& query : waiting) {
-    if (query->ticket != 0 && std::holds_alternative<tilth::Waitlisted>(query->chart->state()) && follow(query) &&
+    if (query->ticket != 0 && std::holds_alternative<scheduling::Waitlisted>(query->chart->state()) && follow(query) &&
         !query->chart->settled()) {
       std::uint64_t const ticket = query->ticket;
       query->ticket = 0;
@@ -150,9 +150,9 @@
         names.push_back(worker->id);
       }
     }
-    tilth::ScalerAction const action =
+    scheduling::ScalerAction const action =
         region.scaler.tick(region.split, region.revision, names, options_.aims, options_.bounds, kernel_.now());
-    if (tilth::WriteSplit const* const write = std::get_if<tilth::WriteSplit>(&action)) {
+    if (scheduling::WriteSplit const* const write = std::get_if<scheduling::WriteSplit>(&action)) {
       region.split = write->split;
       ++region.revision;
       ++report_.switches;
@@ -172,4 +172,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/queries.cpp
+++ b/source/simulator/query_path/queries.cpp
@@ -2,32 +2,32 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-using loam::Moment;
+using common::Moment;
 
 namespace {
 
-double in_seconds(loam::Span span) {
+double in_seconds(common::Span span) {
   return static_cast<double>(span) / 1e6;
 }
 
 }  // namespace
 
-void World::feed(QueryPointer const& query, tilth::QueryMessage const& message) {
+void World::feed(QueryPointer const& query, scheduling::QueryMessage const& message) {
   perform(query, query->chart->advance(message, kernel_.now()));
 }
 
 /// What became of a query that was passed on goes back to the furrow that passed it.
-void World::settle_parent(QueryPointer const& query, tilth::QueryMessage const& message) {
+void World::settle_parent(QueryPointer const& query, scheduling::QueryMessage const& message) {
   kernel_.after(hop_within_region() + options_.deployment.hop,
                 [this, parent = query->parent, message] { feed(parent, message); });
 }
 
-void World::perform(QueryPointer const& query, std::vector<tilth::QueryAction> const& actions) {
-  for (tilth::QueryAction const& action : actions) {
+void World::perform(QueryPointer const& query, std::vector<scheduling::QueryAction> const& actions) {
+  for (scheduling::QueryAction const& action : actions) {
     perform_one(query, action);
   }
   if (query->chart->settled()) {
@@ -35,30 +35,30 @@
   }
 }
 
-void World::perform_one(QueryPointer const& query, tilth::QueryAction const& action) {
-  if (tilth::Place const* const wanted = std::get_if<tilth::Place>(&action)) {
+void World::perform_one(QueryPointer const& query, scheduling::QueryAction const& action) {
+  if (scheduling::Place const* const wanted = std::get_if<scheduling::Place>(&action)) {
     report_.retries += wanted->again ? 1 : 0;
     place(query);
-  } else if (std::holds_alternative<tilth::PassOn>(action)) {
+  } else if (std::holds_alternative<scheduling::PassOn>(action)) {
     pass_on(query);
-  } else if (tilth::Forward const* const event = std::get_if<tilth::Forward>(&action)) {
+  } else if (scheduling::Forward const* const event = std::get_if<scheduling::Forward>(&action)) {
     forward(query, *event);
-  } else if (std::holds_alternative<tilth::Deliver>(action)) {
+  } else if (std::holds_alternative<scheduling::Deliver>(action)) {
     deliver_whole(query);
-  } else if (std::holds_alternative<tilth::SendHome>(action)) {
+  } else if (std::holds_alternative<scheduling::SendHome>(action)) {
     send_home(query);
-  } else if (std::holds_alternative<tilth::Refuse>(action)) {
+  } else if (std::holds_alternative<scheduling::Refuse>(action)) {
     refuse(query);
-  } else if (tilth::Apologise const* const apology = std::get_if<tilth::Apologise>(&action)) {
+  } else if (scheduling::Apologise const* const apology = std::get_if<scheduling::Apologise>(&action)) {
     apologise(query, *apology);
-  } else if (std::holds_alternative<tilth::EndBroken>(action)) {
+  } else if (std::holds_alternative<scheduling::EndBroken>(action)) {
     end_broken(query);
   }
 }
 
-void World::forward(QueryPointer const& query, tilth::Forward const& event) {
+void World::forward(QueryPointer const& query, scheduling::Forward const& event) {
   if (query->parent != nullptr) {
-    settle_parent(query, tilth::Event{event.number, event.last});
+    settle_parent(query, scheduling::Event{event.number, event.last});
     return;
   }
   if (query->first == 0) {
@@ -75,7 +75,7 @@
 
 void World::deliver_whole(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, tilth::Whole{});
+    settle_parent(query, scheduling::Whole{});
     return;
   }
   end_good(*query, query->first == 0 ? kernel_.now() : query->first);
@@ -90,7 +90,7 @@
 
 void World::send_home(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, tilth::NoRoom{});
+    settle_parent(query, scheduling::NoRoom{});
   } else if (query->hops < most_hops) {
     kernel_.after(hop_within_region(), [this, query] {
       arrive(query->mix, query->home, query->tries, query->hops + 1, query->footing.home);
@@ -100,7 +100,7 @@
 
 void World::refuse(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, tilth::NoRoom{});
+    settle_parent(query, scheduling::NoRoom{});
     return;
   }
   ++report_.refused;
@@ -108,7 +108,7 @@
   ended(*query, false);
   report_.worst_refusal = std::max(report_.worst_refusal, in_seconds(kernel_.now() - query->began));
   if (query->tries < options_.faults.comes_back) {
-    kernel_.after(loam::seconds(tilth::come_back_after(query->wait, kernel_.uniform())), [this, query] {
+    kernel_.after(common::seconds(scheduling::come_back_after(query->wait, kernel_.uniform())), [this, query] {
       if (kernel_.now() < options_.length) {
         arrive(query->mix, query->home, query->tries + 1, 0, std::nullopt);
       }
@@ -116,9 +116,9 @@
   }
 }
 
-void World::apologise(QueryPointer const& query, tilth::Apologise const& apology) {
+void World::apologise(QueryPointer const& query, scheduling::Apologise const& apology) {
   if (query->parent != nullptr) {
-    settle_parent(query, tilth::WorkerAnswered{apology.status});
+    settle_parent(query, scheduling::WorkerAnswered{apology.status});
     return;
   }
   if (!options_.honest_refusal) {  // the guard off: said as "busy"
@@ -130,7 +130,7 @@
 
 void World::end_broken(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, tilth::WorkerDefect{"pass_cut"});
+    settle_parent(query, scheduling::WorkerDefect{"pass_cut"});
     return;
   }
   ++report_.broken;
@@ -150,4 +150,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/field.cpp
+++ b/source/simulator/query_path/query_path.cpp
@@ -1,14 +1,14 @@
 // The entry point of the simulated query path.
 
-#include "almanac/field/field.hpp"
+#include "simulator/query_path/query_path.hpp"
 
-#include "almanac/field/world.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 FieldReport run_field(FieldOptions const& options) {
   field::World world(options);
   return world.run();
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/field/field.hpp
+++ b/source/simulator/query_path/query_path.hpp
@@ -8,12 +8,12 @@
 
 #include <absl/status/statusor.h>
 
-#include "almanac/control/control.hpp"
-#include "loam/time/moment.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/placement/placement.hpp"
 #include "schema/setup.hpp"
-#include "tilth/placement/placement.hpp"
+#include "simulator/control/control.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// One service of a deployment, in tokens; what is done with it says the setup.
 struct FieldMix {
@@ -36,8 +36,8 @@
 struct FieldDeployment {
   std::vector<std::string> regions;
   std::vector<FieldHall> halls;
-  loam::Span hop = loam::milliseconds(8);  ///< between the regions
-  std::vector<FieldMix> mixes;             ///< of model workers; plain services are left out
+  common::Span hop = common::milliseconds(8);  ///< between the regions
+  std::vector<FieldMix> mixes;                 ///< of model workers; plain services are left out
   schema::Setup setup;
   [[nodiscard]] std::size_t workers_of(std::size_t region) const;
 };
@@ -47,11 +47,11 @@
   double dark = 0;
   double blink = 0;  ///< dark without closing anything, back cold within a second
   double drain = 0;
-  double replace = 0;         ///< one by one: drained, gone, a new one comes
-  loam::Moment swing_at = 0;  ///< from then on long prompts become long answers
-  loam::Moment crowd_at = 0;  ///< from then on for crowd_span
-  double crowd = 1;           ///< times the rate
-  loam::Span crowd_span = loam::seconds(10);
+  double replace = 0;           ///< one by one: drained, gone, a new one comes
+  common::Moment swing_at = 0;  ///< from then on long prompts become long answers
+  common::Moment crowd_at = 0;  ///< from then on for crowd_span
+  double crowd = 1;             ///< times the rate
+  common::Span crowd_span = common::seconds(10);
   bool crowd_on_first = false;   ///< the crowd is on the first service only
   std::uint64_t comes_back = 0;  ///< times that a refused caller tries again, when it was told to
   double setups = 0;             ///< a rule's home or repeatable is changed, a hall emptied or taken back
@@ -60,7 +60,7 @@
 
 struct FieldOptions {
   std::uint64_t seed = 1;
-  loam::Span length = loam::seconds(60);
+  common::Span length = common::seconds(60);
   FieldDeployment deployment;
   FieldFaults faults;
   schema::ScalerAims aims;
@@ -73,7 +73,7 @@
   bool checked_numbers = true;  ///< guard: numbering of streams is checked
   bool decide_anew = true;      ///< guard: a query goes by the setup in force when bytes go
   bool drop_drained = true;     ///< guard: a draining worker gets nothing new
-  tilth::PlacementGuards placement;
+  scheduling::PlacementGuards placement;
   bool hear_closing = true;  ///< guard: a closing connection tells of a crash at once
   bool print = false;
   /// With it the control plane runs beside, on the same clock: setups come by
@@ -104,7 +104,7 @@
   double worst_refusal = 0;        ///< seconds from arrival to a refusal, at most
   std::uint64_t decided_anew = 0;  ///< queries that a change of the setup turned
   double worst_retry_share = 0;
-  loam::Span worst_drain = 0;
+  common::Span worst_drain = 0;
   std::map<std::string, double> fit_error;   ///< mean relative error against the true times
   std::vector<std::size_t> prefill_workers;  ///< per region, at the end
   std::uint64_t trace_hash = 0;
@@ -129,4 +129,4 @@
 /// Own earlier or lesser ways, to compare with: false for an unknown one.
 [[nodiscard]] bool apply_variant(std::string const& name, FieldOptions& options);
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/field/results.cpp
+++ b/source/simulator/query_path/results.cpp
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <cmath>
 
-#include "almanac/field/world.hpp"
-#include "tilth/budget/share.hpp"
+#include "scheduling/retry_budget/retry_share.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-using loam::Moment;
+using common::Moment;
 
 namespace {
 
 constexpr std::size_t kept_violations = 20;
-constexpr Moment one_second = loam::seconds(1);
+constexpr Moment one_second = common::seconds(1);
 constexpr double retry_share_bound = 0.2;
 /// In seconds: what is left out at the beginning of a run, and of a crowd.
 constexpr Moment run_start = 5;
@@ -84,8 +84,8 @@
 
 void World::weigh_retries() {
   for (std::pair<std::string const, std::vector<Moment>> const& entry : retries_) {
-    report_.worst_retry_share =
-        std::max(report_.worst_retry_share, tilth::worst_retry_share(first_dispatches_[entry.first], entry.second));
+    report_.worst_retry_share = std::max(report_.worst_retry_share,
+                                         scheduling::worst_retry_share(first_dispatches_[entry.first], entry.second));
   }
   if (report_.worst_retry_share > retry_share_bound) {
     violate("retries were " + std::to_string(report_.worst_retry_share) + " of a service's traffic in ten seconds");
@@ -95,10 +95,10 @@
 /// How far the fitted times are from the true ones, and the splits at the end.
 void World::weigh_fit() {
   double const share = options_.aims.experts_share;
-  double const true_prompt =
-      true_prefill[0] + true_prefill[1] * probe_uncached + true_prefill[2] * tilth::pairs(probe_uncached, probe_cached);
+  double const true_prompt = true_prefill[0] + true_prefill[1] * probe_uncached +
+                             true_prefill[2] * scheduling::pairs(probe_uncached, probe_cached);
   double const true_iteration =
-      true_decode[0] + true_decode[1] * tilth::spread(share, 1, probe_batch) + true_decode[2] * probe_batch;
+      true_decode[0] + true_decode[1] * scheduling::spread(share, 1, probe_batch) + true_decode[2] * probe_batch;
   double prefill_error = 0;
   double decode_error = 0;
   double count = 0;
@@ -109,7 +109,7 @@
     }
     report_.prefill_workers.push_back(prefills);
     for (std::pair<std::string const, schema::Coefficients> const& fitted : region.split.coefficients) {
-      tilth::WorkerModel const model(fitted.second);
+      scheduling::WorkerModel const model(fitted.second);
       prefill_error += std::abs(model.prefill_seconds(probe_uncached, probe_cached) - true_prompt) / true_prompt;
       decode_error += std::abs(model.iteration_seconds(share, 1, probe_batch) - true_iteration) / true_iteration;
       count += 1;
@@ -142,4 +142,4 @@
   report_.events = kernel_.events();
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/scenarios.cpp
+++ b/source/simulator/query_path/scenarios.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-#include "almanac/field/field.hpp"
+#include "simulator/query_path/query_path.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 std::vector<std::string> field_scenarios() {
   return {"field-calm", "field-crashes", "field-dark",  "field-blinks", "field-drains",   "field-replace",
@@ -40,21 +40,21 @@
     faults.setups = all ? 8 : 1.2;
   }
   if (name == "field-setups") {
-    faults.crowd_at = loam::seconds(10);  // so that many wait at the changes
+    faults.crowd_at = common::seconds(10);  // so that many wait at the changes
     faults.crowd = 7;
-    faults.crowd_span = loam::seconds(30);
+    faults.crowd_span = common::seconds(30);
     faults.cut = 0.02;
   }
   if (name == "field-swing" || all) {
-    faults.swing_at = loam::seconds(25);
+    faults.swing_at = common::seconds(25);
   }
   if (name == "field-overload") {
-    faults.crowd_at = loam::seconds(20);
-    faults.crowd_span = loam::seconds(15);
+    faults.crowd_at = common::seconds(20);
+    faults.crowd_span = common::seconds(15);
     faults.comes_back = 4;
   }
   if (name == "field-crowd" || all) {
-    faults.crowd_at = loam::seconds(15);
+    faults.crowd_at = common::seconds(15);
     faults.crowd = 3;
   }
   return faults;
@@ -102,4 +102,4 @@
   return true;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/field/setups.cpp
+++ b/source/simulator/query_path/setups.cpp
@@ -2,17 +2,17 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 
 char const* const home_header = "Finchlink-Home";
-constexpr loam::Span least_news_delay = loam::milliseconds(20);
+constexpr common::Span least_news_delay = common::milliseconds(20);
 constexpr double fixed_homes = 0.6;
 
 /// The one header that rules of these deployments read.
@@ -34,8 +34,8 @@
     return false;
   }
   FieldMix const& mix = options_.deployment.mixes[query->mix];
-  tilth::Header const header{mix.method, mix.path, headers_with(query->home), 0};
-  tilth::Followed followed = tilth::follow(query->footing, furrows_[query->furrow]->plan, header);
+  scheduling::Header const header{mix.method, mix.path, headers_with(query->home), 0};
+  scheduling::Followed followed = scheduling::follow(query->footing, furrows_[query->furrow]->plan, header);
   report_.decided_anew += followed.changed ? 1 : 0;
   if (followed.decided.has_value()) {
     followed.decided->repeatable = followed.decided->repeatable || !options_.dispatch_once;
@@ -96,4 +96,4 @@
   }
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/workers.cpp
+++ b/source/simulator/query_path/workers.cpp
@@ -2,11 +2,11 @@
 
 #include <algorithm>
 
-#include "almanac/field/world.hpp"
+#include "simulator/query_path/world.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
-using loam::Span;
+using common::Span;
 
 namespace {
 
@@ -66,15 +66,16 @@
   prompt_tokens_ += job.tokens;
   cached_tokens_ += cached;
   worker.cache.remember(job.chain);
-  return noisy(true_prefill[0] + true_prefill[1] * uncached + true_prefill[2] * tilth::pairs(uncached, cached)) /
+  return noisy(true_prefill[0] + true_prefill[1] * uncached + true_prefill[2] * scheduling::pairs(uncached, cached)) /
          worker.speed;
 }
 
 void World::decode(Worker& worker) {
   double const batch = static_cast<double>(worker.running.size());
-  double const seconds = noisy(true_decode[0] + true_decode[1] * tilth::spread(options_.aims.experts_share, 1, batch) +
-                               true_decode[2] * batch) /
-                         worker.speed;
+  double const seconds =
+      noisy(true_decode[0] + true_decode[1] * scheduling::spread(options_.aims.experts_share, 1, batch) +
+            true_decode[2] * batch) /
+      worker.speed;
   worker.busy = true;
   kernel_.after(static_cast<Span>(seconds * 1e6), [this, &worker, life = worker.life] {
     if (worker.life == life) {
@@ -131,7 +132,7 @@
 void World::lose_job(JobPointer const& job, std::string const& reason) {
   if (!job->gone && !job->query->chart->settled() && job->query->dispatch == job->dispatch) {
     job->gone = true;
-    end_dispatch(job->query, tilth::Ending::defect, tilth::WorkerDefect{reason});
+    end_dispatch(job->query, scheduling::Ending::defect, scheduling::WorkerDefect{reason});
   }
 }
 
@@ -142,4 +143,4 @@
   worker.cache.clear();
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/world.cpp
+++ b/source/simulator/query_path/world.cpp
@@ -1,17 +1,17 @@
 // Construction of the query path, and the course of a run.
 
-#include "almanac/field/world.hpp"
+#include "simulator/query_path/world.hpp"
 
 #include <utility>
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
 namespace {
 
-constexpr loam::Span first_arrival_at = loam::milliseconds(300);
-constexpr loam::Span first_fault_at = loam::seconds(6);
-constexpr loam::Span calm_before_end = loam::seconds(2);
-constexpr loam::Span settling_time = loam::seconds(40);
+constexpr common::Span first_arrival_at = common::milliseconds(300);
+constexpr common::Span first_fault_at = common::seconds(6);
+constexpr common::Span calm_before_end = common::seconds(2);
+constexpr common::Span settling_time = common::seconds(40);
 
 }  // namespace
 
@@ -60,7 +60,7 @@
     furrow->name = "furrow-" + hall.name + "-" + std::to_string(number);
     furrow->hall = hall.name;
     furrow->region = hall.region;
-    furrow->placement = tilth::Placement(options_.placement);
+    furrow->placement = scheduling::Placement(options_.placement);
     names_.push_back(furrow->name);
     furrows_.push_back(std::move(furrow));
   }
@@ -86,4 +86,4 @@
   kernel_.after(first_fault_at, [this] { schedule_faults(); });
 }
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
--- a/source/almanac/field/world.hpp
+++ b/source/simulator/query_path/world.hpp
@@ -6,7 +6,7 @@
 /// One class, by job in several files: construction and the run (world.cpp), callers
 /// (arrivals.cpp), what a query's chart orders (queries.cpp), placement (placement.cpp),
 /// dispatches to workers (dispatch.cpp), workers (workers.cpp) and their answers
-/// (answers.cpp), furrows' loops (furrow_loops.cpp), the setup in force (setups.cpp), the
+/// (answers.cpp), furrows' loops (proxy_loops.cpp), the setup in force (setups.cpp), the
 /// control plane beside it (control_plane.cpp), faults (faults.cpp) and the report (results.cpp).
 
 #include <cstdint>
@@ -18,12 +18,12 @@
 #include <utility>
 #include <vector>
 
-#include "almanac/field/field.hpp"
-#include "almanac/field/nodes.hpp"
-#include "almanac/kernel/kernel.hpp"
 #include "config/setup/setup.hpp"
+#include "simulator/kernel/kernel.hpp"
+#include "simulator/query_path/nodes.hpp"
+#include "simulator/query_path/query_path.hpp"
 
-namespace finchlink::almanac::field {
+namespace finchlink::simulator::query_path {
 
 class World {
  public:
@@ -43,32 +43,32 @@
   QueryPointer make_query(std::size_t mix, std::size_t furrow, std::string const& home, config::Serve const& serve,
                           bool passed);
   void draw_prompt(Query& query);
-  [[nodiscard]] std::unique_ptr<tilth::Chart> make_chart(Query const& query, bool passed);
+  [[nodiscard]] std::unique_ptr<scheduling::Chart> make_chart(Query const& query, bool passed);
   void pass_on(QueryPointer const& query);
   void arrive_passed(QueryPointer const& query, std::size_t target);
   /// A service, as its queries are at this time.
   [[nodiscard]] FieldMix mix_of(std::size_t index) const;
 
   // --- what a chart orders ---
-  void feed(QueryPointer const& query, tilth::QueryMessage const& message);
-  void settle_parent(QueryPointer const& query, tilth::QueryMessage const& message);
-  void perform(QueryPointer const& query, std::vector<tilth::QueryAction> const& actions);
-  void perform_one(QueryPointer const& query, tilth::QueryAction const& action);
-  void forward(QueryPointer const& query, tilth::Forward const& event);
+  void feed(QueryPointer const& query, scheduling::QueryMessage const& message);
+  void settle_parent(QueryPointer const& query, scheduling::QueryMessage const& message);
+  void perform(QueryPointer const& query, std::vector<scheduling::QueryAction> const& actions);
+  void perform_one(QueryPointer const& query, scheduling::QueryAction const& action);
+  void forward(QueryPointer const& query, scheduling::Forward const& event);
   void deliver_whole(QueryPointer const& query);
-  void end_good(Query const& query, loam::Moment first);
+  void end_good(Query const& query, common::Moment first);
   void send_home(QueryPointer const& query);
   void refuse(QueryPointer const& query);
-  void apologise(QueryPointer const& query, tilth::Apologise const& apology);
+  void apologise(QueryPointer const& query, scheduling::Apologise const& apology);
   void end_broken(QueryPointer const& query);
   /// Withdraws what a settled query still has at its worker and its placement.
   void withdraw(QueryPointer const& query);
 
   // --- placement ---
   void place(QueryPointer const& query);
-  void obey(std::vector<tilth::PlacementAction> const& actions);
-  void deny(tilth::Denied const& denied);
-  void end_dispatch(QueryPointer const& query, tilth::Ending ending, tilth::QueryMessage const& message);
+  void obey(std::vector<scheduling::PlacementAction> const& actions);
+  void deny(scheduling::Denied const& denied);
+  void end_dispatch(QueryPointer const& query, scheduling::Ending ending, scheduling::QueryMessage const& message);
 
   // --- dispatch ---
   void send(QueryPointer const& query);
@@ -82,7 +82,7 @@
   [[nodiscard]] bool may_repeat(std::string const& rule) const;
   void begin_job(QueryPointer const& query, Worker& worker);
   /// Ends the dispatch by a defect after a span, if it is still under way.
-  void break_later(QueryPointer const& query, loam::Span span, std::string const& reason);
+  void break_later(QueryPointer const& query, common::Span span, std::string const& reason);
   void cut_later(QueryPointer const& query);
 
   // --- workers ---
@@ -109,7 +109,7 @@
   [[nodiscard]] bool vouched(Furrow const& furrow) const;
   void refresh(Furrow& furrow);
   void renew(Furrow& furrow);
-  [[nodiscard]] std::shared_ptr<tilth::Plan> make_plan(Furrow& furrow);
+  [[nodiscard]] std::shared_ptr<scheduling::Plan> make_plan(Furrow& furrow);
   void follow_waiting(Furrow& furrow);
   void look(Furrow& furrow);
   void report_loop(Furrow& furrow);
@@ -145,14 +145,14 @@
   // --- report ---
   void violate(std::string const& text);
   void ended(Query const& query, bool good);
-  Second& second(std::size_t mix, loam::Moment at);
+  Second& second(std::size_t mix, common::Moment at);
   void weigh_crowd();
   void check_queries();
   void weigh_retries();
   void weigh_fit();
   void finish();
 
-  [[nodiscard]] loam::Span hop_within_region() { return kernel_.between(200, 600); }
+  [[nodiscard]] common::Span hop_within_region() { return kernel_.between(200, 600); }
 
   FieldOptions options_;
   Kernel kernel_;
@@ -169,13 +169,13 @@
   std::uint64_t next_ticket_ = 1;
   std::uint64_t next_query_ = 1;
   std::vector<QueryPointer> queries_;
-  std::map<std::pair<std::size_t, loam::Moment>, Second> seconds_;  ///< per service and second
-  std::vector<double> firsts_;                                      ///< seconds to the first event
+  std::map<std::pair<std::size_t, common::Moment>, Second> seconds_;  ///< per service and second
+  std::vector<double> firsts_;                                        ///< seconds to the first event
   std::uint64_t good_late_ = 0;
   double prompt_tokens_ = 0;
   double cached_tokens_ = 0;
-  std::map<std::string, std::vector<loam::Moment>> first_dispatches_;
-  std::map<std::string, std::vector<loam::Moment>> retries_;
+  std::map<std::string, std::vector<common::Moment>> first_dispatches_;
+  std::map<std::string, std::vector<common::Moment>> retries_;
 };
 
-}  // namespace finchlink::almanac::field
+}  // namespace finchlink::simulator::query_path
