--- a/source/almanac/relay/relay.cpp
+++ b/source/simulator/relay/relay.cpp
@@ -1,33 +1,33 @@
-#include "almanac/relay/relay.hpp"
+#include "simulator/relay/relay.hpp"
 
 #include <algorithm>
 #include <map>
 #include <memory>
 #include <set>
 
-#include "almanac/kernel/kernel.hpp"
-#include "loam/constants.hpp"
-#include "loam/relay_constants.hpp"
-#include "tilth/chart/chart.hpp"
-#include "tilth/lanes/lanes.hpp"
-#include "tilth/rights/rights.hpp"
-#include "tilth/silence/silence_watch.hpp"
+#include "common/constants.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
+#include "scheduling/retry_quota/retry_quota.hpp"
+#include "scheduling/route_table/route_table.hpp"
+#include "scheduling/stall_detection/stall_detector.hpp"
+#include "simulator/kernel/kernel.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 namespace {
 
 /// The bounds that the runs are checked against; none is a site's own.
 constexpr double retry_ratio = 0.2;
-constexpr loam::Span retry_window = loam::seconds(10);
+constexpr common::Span retry_window = common::seconds(10);
 constexpr double cold_overshoot = 1.5;
 constexpr double cold_slack = 5;
-constexpr loam::Span drain_bound = loam::milliseconds(4000);
-constexpr loam::Span evacuate_bound = loam::milliseconds(5000);
-constexpr loam::Span warm_up = loam::milliseconds(3000);
-constexpr loam::Span list_lag = loam::milliseconds(800);
+constexpr common::Span drain_bound = common::milliseconds(4000);
+constexpr common::Span evacuate_bound = common::milliseconds(5000);
+constexpr common::Span warm_up = common::milliseconds(3000);
+constexpr common::Span list_lag = common::milliseconds(800);
 constexpr std::size_t halls = 6;
 
 enum class Illness { none, errors, reset, mute, slow, shed };
@@ -48,26 +48,26 @@
   bool dark = false;
   bool full = false;
   std::uint64_t run = 0;  ///< grows when what runs there is lost
-  loam::Moment cold_until = 0;
-  loam::Moment drains_at = 0;  ///< 0: not; shown on the list from then on
+  common::Moment cold_until = 0;
+  common::Moment drains_at = 0;  ///< 0: not; shown on the list from then on
   Sickness sick;
   double garble = 0;
   std::size_t running = 0;
-  std::vector<loam::Moment> cold_arrivals;
+  std::vector<common::Moment> cold_arrivals;
 };
 
 /// What the platform's list showed at a moment.
 struct Image {
-  loam::Moment at = 0;
-  std::vector<tilth::Stand> stands;
+  common::Moment at = 0;
+  std::vector<scheduling::Stand> stands;
 };
 
 struct Furrow {
   std::string name;
   std::size_t hall = 0;
   std::uint64_t life = 1;
-  tilth::Grove grove;
-  std::map<std::string, tilth::Rights> rights;
+  scheduling::Grove grove;
+  std::map<std::string, scheduling::Rights> rights;
   std::set<std::string> evacuated;
 };
 
@@ -76,15 +76,15 @@
   std::size_t furrow = 0;
   std::uint64_t life = 0;  ///< of its furrow
   schema::Lane lane;
-  std::optional<tilth::Chart> chart;
-  tilth::Wanted wanted;
-  tilth::Spot spot;
+  std::optional<scheduling::Chart> chart;
+  scheduling::Wanted wanted;
+  scheduling::Spot spot;
   std::string service;
-  loam::Moment arrived = 0;
-  loam::Moment deadline = 0;
+  common::Moment arrived = 0;
+  common::Moment deadline = 0;
   std::uint64_t dispatch = 0;  ///< grows: what belongs to an earlier one is not heard
   std::uint64_t watch = 0;     ///< the same for its silence alarm
-  tilth::SilenceWatch silence;
+  scheduling::SilenceWatch silence;
   int connects = 0;
   std::uint64_t runs = 0;  ///< that workers began, in truth
   std::uint64_t arrivals = 0;
@@ -99,7 +99,7 @@
 
 /// An arrival at a service: the first of its query or a further one.
 struct Arrival {
-  loam::Moment at = 0;
+  common::Moment at = 0;
   bool further = false;
 };
 
@@ -189,13 +189,13 @@
     return entry;
   }
 
-  std::vector<tilth::Stand> listed() const {
-    std::vector<tilth::Stand> stands;
+  std::vector<scheduling::Stand> listed() const {
+    std::vector<scheduling::Stand> stands;
     for (std::unique_ptr<Life> const& life : lives_) {
       if (!life->up && gone_.count(life->id) > 0) {
         continue;
       }
-      tilth::Stand stand;
+      scheduling::Stand stand;
       stand.id = life->id;
       stand.address = life->address;
       stand.service = life->service;
@@ -218,25 +218,25 @@
     while (images_.size() > 60) {
       images_.erase(images_.begin());
     }
-    kernel_.after(loam::milliseconds(100), [this] { publish(); });
+    kernel_.after(common::milliseconds(100), [this] { publish(); });
   }
 
   /// A furrow hears of workers and evacuations; news are up to some 1.5 s old.
   void hear(std::size_t index) {
     Furrow& furrow = *furrows_[index];
-    loam::Moment const shown = kernel_.now() - list_lag;
+    common::Moment const shown = kernel_.now() - list_lag;
     Image const* image = &images_.front();
     for (Image const& entry : images_) {
       image = entry.at <= shown ? &entry : image;
     }
     furrow.evacuated = evacuated_;
-    std::vector<tilth::Stand> stands = image->stands;
-    for (tilth::Stand& stand : stands) {
+    std::vector<scheduling::Stand> stands = image->stands;
+    for (scheduling::Stand& stand : stands) {
       stand.draining = stand.draining && options_.drop_drained;
       stand.evacuated = options_.drop_evacuated && furrow.evacuated.count(stand.hall) > 0;
       stand.cold_until = stand.cold_until <= kernel_.now() ? 0 : stand.cold_until;
     }
-    tilth::GroveTerms terms;
+    scheduling::GroveTerms terms;
     terms.hall = hall_name(furrow.hall);
     terms.region = region_of(furrow.hall);
     terms.self = furrow.name;
@@ -248,17 +248,18 @@
     }
     furrow.grove.update(stands, terms, kernel_.now());
     check_resting(furrow, stands);
-    kernel_.after(kernel_.between(loam::milliseconds(250), loam::milliseconds(700)), [this, index, life = furrow.life] {
-      if (furrows_[index]->life == life) {
-        hear(index);
-      }
-    });
+    kernel_.after(kernel_.between(common::milliseconds(250), common::milliseconds(700)),
+                  [this, index, life = furrow.life] {
+                    if (furrows_[index]->life == life) {
+                      hear(index);
+                    }
+                  });
   }
 
   /// Never all of a pool rest, and no more than a part.
-  void check_resting(Furrow const& furrow, std::vector<tilth::Stand> const& stands) {
+  void check_resting(Furrow const& furrow, std::vector<scheduling::Stand> const& stands) {
     std::map<std::string, std::pair<std::size_t, std::size_t>> pools;
-    for (tilth::Stand const& stand : stands) {
+    for (scheduling::Stand const& stand : stands) {
       if (stand.draining || stand.evacuated) {
         continue;
       }
@@ -293,11 +294,11 @@
       furrows_.push_back(std::make_unique<Furrow>());
       furrows_.back()->name = "furrow-" + std::to_string(index);
       furrows_.back()->hall = index % halls;
-      furrows_.back()->grove = tilth::Grove(options_.grove);
+      furrows_.back()->grove = scheduling::Grove(options_.grove);
     }
     for (std::size_t index = 0; index < options_.furrows; ++index) {
       hear(index);
-      kernel_.after(static_cast<loam::Span>(kernel_.exponential(1e6)), [this, index] { arrive(index); });
+      kernel_.after(static_cast<common::Span>(kernel_.exponential(1e6)), [this, index] { arrive(index); });
     }
     RelayFaults const& faults = options_.faults;
     repeat(faults.grey, [this] { grow_ill(); });
@@ -318,7 +319,7 @@
     if (mean <= 0) {
       return;
     }
-    kernel_.after(static_cast<loam::Span>(kernel_.exponential(mean * 1e6)), [this, mean, event] {
+    kernel_.after(static_cast<common::Span>(kernel_.exponential(mean * 1e6)), [this, mean, event] {
       ++report_.troubles;
       event();
       repeat(mean, event);
@@ -334,7 +335,7 @@
     }
     return well.empty() ? nullptr : well[kernel_.below(well.size())];
   }
-  void for_a_while(Life& life, loam::Span span, std::function<void(Life&)> const& change,
+  void for_a_while(Life& life, common::Span span, std::function<void(Life&)> const& change,
                    std::function<void(Life&)> const& end) {
     change(life);
     kernel_.after(span, [&life, end] { end(life); });
@@ -347,7 +348,7 @@
                     kernel_.chance(0.4) ? hall_name(kernel_.below(halls)) : ""};
       kernel_.trace("ill " + life->id);
       for_a_while(
-          *life, loam::seconds(6), [sick](Life& entry) { entry.sick = sick; },
+          *life, common::seconds(6), [sick](Life& entry) { entry.sick = sick; },
           [](Life& entry) { entry.sick = Sickness{}; });
     }
   }
@@ -357,7 +358,7 @@
       Illness const kind = kernel_.chance(0.5) ? Illness::errors : Illness::reset;
       kernel_.trace("lies " + life->id);
       for_a_while(
-          *life, loam::seconds(6),
+          *life, common::seconds(6),
           [kind](Life& entry) {
             entry.sick = Sickness{kind, 1, ""};
           },
@@ -377,7 +378,7 @@
     ++life.run;
     life.running = 0;
     if (turns > 0) {
-      kernel_.after(loam::milliseconds(700), [this, &life, turns] { flap(life, turns - 1); });
+      kernel_.after(common::milliseconds(700), [this, &life, turns] { flap(life, turns - 1); });
     }
   }
   void garble() {
@@ -385,7 +386,8 @@
     if (life != nullptr) {
       double const part = 0.03 + 0.2 * kernel_.uniform();
       for_a_while(
-          *life, loam::seconds(5), [part](Life& entry) { entry.garble = part; }, [](Life& entry) { entry.garble = 0; });
+          *life, common::seconds(5), [part](Life& entry) { entry.garble = part; },
+          [](Life& entry) { entry.garble = 0; });
     }
   }
   void end(Life& life) {
@@ -396,7 +398,7 @@
       by_address_.erase(life.address);
     }
     // What crashed stays on the list for some seconds.
-    kernel_.after(loam::seconds(3), [this, &life] { gone_.insert(life.id); });
+    kernel_.after(common::seconds(3), [this, &life] { gone_.insert(life.id); });
   }
   void crash() {
     Life* const life = draw_life();
@@ -406,7 +408,7 @@
       std::string const address = life->address;
       // Its address goes to the next of its kind, or to another service's worker.
       bool const other = kernel_.chance(0.5);
-      kernel_.after(kernel_.between(loam::milliseconds(500), loam::seconds(4)), [this, life, address, other] {
+      kernel_.after(kernel_.between(common::milliseconds(500), common::seconds(4)), [this, life, address, other] {
         if (other && by_address_.count(address) == 0) {
           (void)start(life->service == "pool" ? "web" : "pool", life->hall, address, true);
         }
@@ -419,7 +421,7 @@
     if (life != nullptr) {
       kernel_.trace("dark " + life->id);
       for_a_while(
-          *life, loam::seconds(4),
+          *life, common::seconds(4),
           [](Life& entry) {
             entry.dark = true;
             ++entry.run;
@@ -432,7 +434,7 @@
     Life* const life = draw_life();
     if (life != nullptr) {
       for_a_while(
-          *life, loam::seconds(3), [](Life& entry) { entry.full = true; }, [](Life& entry) { entry.full = false; });
+          *life, common::seconds(3), [](Life& entry) { entry.full = true; }, [](Life& entry) { entry.full = false; });
     }
   }
   void drain() {
@@ -443,12 +445,12 @@
     kernel_.trace("drains " + life->id);
     (void)start(life->service, life->hall, "", true);
     life->drains_at = kernel_.now();
-    kernel_.after(drain_bound + loam::seconds(2), [this, life] {
+    kernel_.after(drain_bound + common::seconds(2), [this, life] {
       std::string const address = life->address;
       end(*life);
       gone_.insert(life->id);
       // Another service's worker may take its address.
-      kernel_.after(loam::seconds(2), [this, life, address] {
+      kernel_.after(common::seconds(2), [this, life, address] {
         if (by_address_.count(address) == 0) {
           (void)start(life->service == "pool" ? "web" : "pool", life->hall, address, true);
         }
@@ -463,7 +465,7 @@
     kernel_.trace("evacuates " + hall_name(hall));
     evacuated_.insert(hall_name(hall));
     evacuated_at_[hall] = kernel_.now();
-    kernel_.after(kernel_.between(loam::seconds(6), loam::seconds(9)), [this, hall] {
+    kernel_.after(kernel_.between(common::seconds(6), common::seconds(9)), [this, hall] {
       evacuated_.erase(hall_name(hall));
       evacuated_at_.erase(hall);
       for (std::unique_ptr<Life> const& life : lives_) {
@@ -478,10 +480,10 @@
     Furrow& furrow = *furrows_[index];
     kernel_.trace("restarts " + furrow.name);
     ++furrow.life;
-    furrow.grove = tilth::Grove(options_.grove);
+    furrow.grove = scheduling::Grove(options_.grove);
     furrow.rights.clear();
     furrow.evacuated.clear();
-    kernel_.after(loam::milliseconds(500), [this, index, life = furrow.life] {
+    kernel_.after(common::milliseconds(500), [this, index, life = furrow.life] {
       if (furrows_[index]->life == life) {
         hear(index);
         arrive(index);
@@ -489,12 +491,12 @@
     });
   }
 
-  // --- queries, as furrow/relay has them ---
+  // --- queries, as data_plane/relay has them ---
 
   void arrive(std::size_t index) {
     Furrow& furrow = *furrows_[index];
     kernel_.after(
-        static_cast<loam::Span>(kernel_.exponential(1e6 * static_cast<double>(options_.furrows) / options_.rate)),
+        static_cast<common::Span>(kernel_.exponential(1e6 * static_cast<double>(options_.furrows) / options_.rate)),
         [this, index, life = furrow.life] {
           if (furrows_[index]->life == life) {
             arrive(index);
@@ -513,26 +515,26 @@
     flight->life = furrow.life;
     flight->lane = *lane;
     flight->arrived = kernel_.now();
-    flight->deadline = kernel_.now() + loam::milliseconds(static_cast<std::int64_t>(lane->deadline_ms));
+    flight->deadline = kernel_.now() + common::milliseconds(static_cast<std::int64_t>(lane->deadline_ms));
     if (lane->stream) {
       bool const long_prompt = name == "once";
       flight->wanted.tokens = long_prompt ? 6000 : 300;
       flight->wanted.outputs = 40;
-      flight->wanted.parts = {tilth::Part{1 + kernel_.below(long_prompt ? 20 : 200), long_prompt ? 4000.0 : 100.0},
-                              tilth::Part{1000000 + last_query_, long_prompt ? 2000.0 : 200.0}};
+      flight->wanted.parts = {scheduling::Part{1 + kernel_.below(long_prompt ? 20 : 200), long_prompt ? 4000.0 : 100.0},
+                              scheduling::Part{1000000 + last_query_, long_prompt ? 2000.0 : 200.0}};
     }
-    tilth::QueryTerms terms;
+    scheduling::QueryTerms terms;
     terms.resumable = lane->stream && lane->resumable;
     terms.repeatable = lane->repeatable || terms.resumable || !options_.dispatch_once;
     terms.stream = lane->stream;
     terms.dispatches_most = options_.dispatch_once ? static_cast<int>(lane->dispatches) : 2;
-    flight->chart.emplace(terms, [this, flight = flight.get()](loam::Moment) { return spend(*flight); });
+    flight->chart.emplace(terms, [this, flight = flight.get()](common::Moment) { return spend(*flight); });
     ++report_.sent;
     perform(flight, flight->chart->begin());
     kernel_.at(flight->deadline, [this, flight] {
       if (live(*flight)) {
-        leave(*flight, tilth::Outcome::defect);
-        feed(flight, tilth::DeadlinePassed{});
+        leave(*flight, scheduling::Outcome::defect);
+        feed(flight, scheduling::DeadlinePassed{});
       }
     });
   }
@@ -544,8 +546,8 @@
     return furrows_[flight.furrow]->life == flight.life && !flight.chart->settled();
   }
   [[nodiscard]] Furrow& furrow_of(Flight const& flight) { return *furrows_[flight.furrow]; }
-  tilth::Rights& rights(Flight const& flight) {
-    tilth::Rights& rights = furrow_of(flight).rights[flight.service];
+  scheduling::Rights& rights(Flight const& flight) {
+    scheduling::Rights& rights = furrow_of(flight).rights[flight.service];
     rights.bound(retry_ratio, options_.retry_slack, static_cast<double>(furrows_.size()));
     return rights;
   }
@@ -556,29 +558,29 @@
     return good;
   }
 
-  void feed(FlightPointer const& flight, tilth::QueryMessage const& message) {
+  void feed(FlightPointer const& flight, scheduling::QueryMessage const& message) {
     perform(flight, flight->chart->advance(message, kernel_.now()));
   }
-  void perform(FlightPointer const& flight, std::vector<tilth::QueryAction> const& actions) {
-    for (tilth::QueryAction const& action : actions) {
+  void perform(FlightPointer const& flight, std::vector<scheduling::QueryAction> const& actions) {
+    for (scheduling::QueryAction const& action : actions) {
       std::visit([this, &flight](auto const& entry) { act(flight, entry); }, action);
     }
   }
-  void act(FlightPointer const& flight, tilth::Place const&) { seek(flight, 0); }
-  void act(FlightPointer const& flight, tilth::PassOn const&) { feed(flight, tilth::NoRoom{}); }
-  void act(FlightPointer const& flight, tilth::SendHome const&) { refuse(*flight); }
-  void act(FlightPointer const&, tilth::Forward const&) {}
-  void act(FlightPointer const&, tilth::Deliver const&) { ++report_.good; }
-  void act(FlightPointer const& flight, tilth::Refuse const&) { refuse(*flight); }
-  void act(FlightPointer const& flight, tilth::Apologise const&) {
+  void act(FlightPointer const& flight, scheduling::Place const&) { seek(flight, 0); }
+  void act(FlightPointer const& flight, scheduling::PassOn const&) { feed(flight, scheduling::NoRoom{}); }
+  void act(FlightPointer const& flight, scheduling::SendHome const&) { refuse(*flight); }
+  void act(FlightPointer const&, scheduling::Forward const&) {}
+  void act(FlightPointer const&, scheduling::Deliver const&) { ++report_.good; }
+  void act(FlightPointer const& flight, scheduling::Refuse const&) { refuse(*flight); }
+  void act(FlightPointer const& flight, scheduling::Apologise const&) {
     if (options_.honest_refusal) {
       ++report_.apologies;
     } else {
       refuse(*flight);
     }
   }
-  void act(FlightPointer const&, tilth::EndBroken const&) { ++report_.broken; }
-  void act(FlightPointer const&, tilth::Abandon const&) {}
+  void act(FlightPointer const&, scheduling::EndBroken const&) { ++report_.broken; }
+  void act(FlightPointer const&, scheduling::Abandon const&) {}
   void refuse(Flight& flight) {
     ++report_.refused;
     flight.refused = true;
@@ -588,7 +590,7 @@
   }
 
   /// The place in the grove is given back, with what was seen.
-  void leave(Flight& flight, tilth::Outcome outcome) {
+  void leave(Flight& flight, scheduling::Outcome outcome) {
     ++flight.dispatch;
     ++flight.watch;
     if (flight.occupied) {
@@ -598,17 +600,17 @@
     }
   }
 
-  void seek(FlightPointer const& flight, loam::Moment until) {
+  void seek(FlightPointer const& flight, common::Moment until) {
     if (!live(*flight)) {
       return;
     }
     if (until == 0) {
-      loam::Span const hold =
-          loam::milliseconds(static_cast<std::int64_t>(flight->lane.set_point_ms * constants::hold_part));
-      loam::Span const again = flight->passed_on > 0
-                                   ? loam::milliseconds(static_cast<std::int64_t>(flight->lane.gap_set_point_ms / 2))
-                               : flight->chart->dispatches() > 0 ? constants::place_pause
-                                                                 : 0;
+      common::Span const hold =
+          common::milliseconds(static_cast<std::int64_t>(flight->lane.set_point_ms * constants::hold_part));
+      common::Span const again =
+          flight->passed_on > 0 ? common::milliseconds(static_cast<std::int64_t>(flight->lane.gap_set_point_ms / 2))
+          : flight->chart->dispatches() > 0 ? constants::place_pause
+                                            : 0;
       until = std::max(flight->arrived + hold, kernel_.now() + again);
     }
     Furrow& furrow = furrow_of(*flight);
@@ -616,11 +618,11 @@
     flight->wanted.homes = options_.keep_homes ? flight->lane.home_regions : std::vector<std::string>{};
     flight->wanted.once = !repeatable(*flight);
     flight->wanted.draw = kernel_.uniform();
-    std::variant<tilth::Spot, tilth::NoSpot> const found = furrow.grove.choose(flight->wanted, kernel_.now());
-    tilth::Spot const* const spot = std::get_if<tilth::Spot>(&found);
+    std::variant<scheduling::Spot, scheduling::NoSpot> const found = furrow.grove.choose(flight->wanted, kernel_.now());
+    scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found);
     if (spot == nullptr) {
       if (kernel_.now() >= until) {
-        feed(flight, tilth::NoRoom{});
+        feed(flight, scheduling::NoRoom{});
       } else {
         kernel_.after(constants::place_pause, [this, flight, until] { seek(flight, until); });
       }
@@ -634,12 +636,12 @@
       rights(*flight).arrived();
       firsts_[flight->service].push_back(kernel_.now());
     }
-    feed(flight, tilth::Placed{spot->worker});
+    feed(flight, scheduling::Placed{spot->worker});
     reach(flight);
   }
 
-  [[nodiscard]] loam::Span hop(Flight const& flight) const {
-    return flight.spot.near ? loam::milliseconds(1) : loam::milliseconds(40);
+  [[nodiscard]] common::Span hop(Flight const& flight) const {
+    return flight.spot.near ? common::milliseconds(1) : common::milliseconds(40);
   }
   [[nodiscard]] Life* at_address(std::string const& address) const {
     std::map<std::string, Life*>::const_iterator const found = by_address_.find(address);
@@ -650,7 +652,7 @@
     std::uint64_t const dispatch = flight->dispatch;
     Life const* const life = at_address(flight->spot.address);
     bool const dark = life != nullptr && life->dark;
-    loam::Span const takes =
+    common::Span const takes =
         dark ? (flight->spot.near ? constants::relay_connect_near : constants::relay_connect_deadline)
              : 2 * hop(*flight);
     bool const reached = life != nullptr && !dark;
@@ -659,34 +661,34 @@
         return;
       }
       if (!reached) {
-        leave(*flight, tilth::Outcome::unreachable);
+        leave(*flight, scheduling::Outcome::unreachable);
         ++flight->connects;
         if (flight->connects < constants::connects_most) {
-          feed(flight, tilth::Withdrawn{});
+          feed(flight, scheduling::Withdrawn{});
         } else {
-          feed(flight, tilth::ConnectDefect{});
+          feed(flight, scheduling::ConnectDefect{});
         }
         return;
       }
       if (!furrow_of(*flight).grove.usable(flight->spot.worker)) {
-        leave(*flight, tilth::Outcome::abandoned);
-        feed(flight, tilth::Withdrawn{});
+        leave(*flight, scheduling::Outcome::abandoned);
+        feed(flight, scheduling::Withdrawn{});
         return;
       }
-      feed(flight, tilth::Connected{});
+      feed(flight, scheduling::Connected{});
       watch(flight, flight->lane.set_point_ms);
       kernel_.after(hop(*flight), [this, flight, dispatch] { come(flight, dispatch); });
     });
   }
 
   void watch(FlightPointer const& flight, double set_point_ms) {
-    tilth::SilenceTerms const terms{set_point_ms, flight->spot.predicted_seconds, flight->wanted.tokens,
-                                    flight->spot.near};
+    scheduling::SilenceTerms const terms{set_point_ms, flight->spot.predicted_seconds, flight->wanted.tokens,
+                                         flight->spot.near};
     ++flight->watch;
     act(flight, flight->silence.begin(terms, kernel_.now()));
   }
-  void act(FlightPointer const& flight, tilth::WaitUntil const& wait) { ring_at(flight, wait.due); }
-  void act(FlightPointer const& flight, tilth::ProbeWorker const& probe) {
+  void act(FlightPointer const& flight, scheduling::WaitUntil const& wait) { ring_at(flight, wait.due); }
+  void act(FlightPointer const& flight, scheduling::ProbeWorker const& probe) {
     if (!may_ask_another(*flight)) {
       return;
     }
@@ -702,19 +704,19 @@
       }
     });
   }
-  void act(FlightPointer const& flight, tilth::GiveUp const&) {
+  void act(FlightPointer const& flight, scheduling::GiveUp const&) {
     if (!may_ask_another(*flight)) {
       return;
     }
     flight->reserved = options_.rights && rights(*flight).take();
     bool const slow = furrow_of(*flight).grove.heard_at(flight->spot.worker) >= flight->silence.since();
-    leave(*flight, slow ? tilth::Outcome::abandoned : tilth::Outcome::defect);
-    feed(flight, tilth::WorkerDefect{"silent"});
+    leave(*flight, slow ? scheduling::Outcome::abandoned : scheduling::Outcome::defect);
+    feed(flight, scheduling::WorkerDefect{"silent"});
   }
-  void perform(FlightPointer const& flight, tilth::SilenceAction const& action) {
+  void perform(FlightPointer const& flight, scheduling::SilenceAction const& action) {
     std::visit([this, &flight](auto const& entry) { act(flight, entry); }, action);
   }
-  void ring_at(FlightPointer const& flight, loam::Moment due) {
+  void ring_at(FlightPointer const& flight, common::Moment due) {
     std::uint64_t const serial = flight->watch;
     kernel_.after(due - kernel_.now(), [this, flight, serial] {
       if (live(*flight) && flight->watch == serial) {
@@ -723,7 +725,7 @@
     });
   }
   [[nodiscard]] bool may_ask_another(Flight const& flight) {
-    tilth::Wanted elsewhere = flight.wanted;
+    scheduling::Wanted elsewhere = flight.wanted;
     elsewhere.avoid.push_back(flight.spot.worker);
     return repeatable(flight) && flight.chart->dispatches() < static_cast<int>(flight.lane.dispatches) &&
            (!options_.rights || rights(flight).available()) &&
@@ -732,7 +734,7 @@
 
   // --- at the worker ---
 
-  void answer(FlightPointer const& flight, std::uint64_t dispatch, loam::Span after,
+  void answer(FlightPointer const& flight, std::uint64_t dispatch, common::Span after,
               std::function<void()> const& what) {
     kernel_.after(after + hop(*flight), [this, flight, dispatch, what] {
       if (live(*flight) && flight->dispatch == dispatch) {
@@ -740,17 +742,17 @@
       }
     });
   }
-  void defect(FlightPointer const& flight, std::uint64_t dispatch, loam::Span after) {
+  void defect(FlightPointer const& flight, std::uint64_t dispatch, common::Span after) {
     ++report_.met_ill;
     answer(flight, dispatch, after, [this, flight] {
-      leave(*flight, tilth::Outcome::defect);
-      feed(flight, tilth::WorkerDefect{"cut"});
+      leave(*flight, scheduling::Outcome::defect);
+      feed(flight, scheduling::WorkerDefect{"cut"});
     });
   }
-  void turn_away(FlightPointer const& flight, std::uint64_t dispatch, tilth::Outcome outcome) {
+  void turn_away(FlightPointer const& flight, std::uint64_t dispatch, scheduling::Outcome outcome) {
     answer(flight, dispatch, 0, [this, flight, outcome] {
       leave(*flight, outcome);
-      feed(flight, tilth::WorkerRefused{});
+      feed(flight, scheduling::WorkerRefused{});
     });
   }
 
@@ -767,14 +769,14 @@
     arrivals_[flight->service].push_back(Arrival{kernel_.now(), flight->arrivals > 1});
     if (life->id != flight->spot.worker && options_.name_worker) {
       ++report_.misdirected;
-      turn_away(flight, dispatch, tilth::Outcome::misdirected);
+      turn_away(flight, dispatch, scheduling::Outcome::misdirected);
       return;
     }
     check_arrival(*flight, *life);
     if (life->full || (life->sick.kind == Illness::shed && ill_for(*life, *flight)) ||
         life->running >= (life->model ? 96u : 30u)) {
       ++report_.turned_away;
-      turn_away(flight, dispatch, tilth::Outcome::refused);
+      turn_away(flight, dispatch, scheduling::Outcome::refused);
       return;
     }
     ++flight->runs;
@@ -787,7 +789,7 @@
     double pace = 1 + static_cast<double>(life->running) / (life->model ? 48.0 : 6.0);
     if (ill_for(*life, *flight)) {
       if (life->sick.kind == Illness::errors || life->sick.kind == Illness::reset) {
-        defect(flight, dispatch, life->sick.kind == Illness::errors ? loam::milliseconds(5) : 0);
+        defect(flight, dispatch, life->sick.kind == Illness::errors ? common::milliseconds(5) : 0);
         return;
       }
       if (life->sick.kind == Illness::mute) {
@@ -800,12 +802,12 @@
     ++life->running;
     std::uint64_t const run = life->run;
     if (!flight->lane.stream) {
-      loam::Span const work = static_cast<loam::Span>(pace * (20e3 + kernel_.exponential(40e3)));
+      common::Span const work = static_cast<common::Span>(pace * (20e3 + kernel_.exponential(40e3)));
       kernel_.after(
           work, [this, flight, dispatch, life, run, spoilt] { finish_whole(flight, dispatch, *life, run, spoilt); });
       return;
     }
-    loam::Span const work = static_cast<loam::Span>(pace * (20e3 + flight->spot.uncached * 20));
+    common::Span const work = static_cast<common::Span>(pace * (20e3 + flight->spot.uncached * 20));
     std::uint64_t const cut_at = spoilt ? 1 + kernel_.below(5) : 0;
     kernel_.after(work, [this, flight, dispatch, life, run, cut_at, pace] {
       next_event(flight, dispatch, *life, run, 6, cut_at, pace);
@@ -850,8 +852,8 @@
     answer(flight, dispatch, 0, [this, flight, &life] {
       tell(*flight, life);
       flight->first_seen = true;
-      leave(*flight, tilth::Outcome::good);
-      feed(flight, tilth::Whole{});
+      leave(*flight, scheduling::Outcome::good);
+      feed(flight, scheduling::Whole{});
     });
   }
 
@@ -882,14 +884,14 @@
       }
       ++flight->passed_on;
       watch(flight, flight->lane.gap_set_point_ms);
-      feed(flight, tilth::Event{flight->chart->last_event() + 1, false});
+      feed(flight, scheduling::Event{flight->chart->last_event() + 1, false});
       if (last) {
-        leave(*flight, tilth::Outcome::good);
-        feed(flight, tilth::Whole{});
+        leave(*flight, scheduling::Outcome::good);
+        feed(flight, scheduling::Whole{});
         ++report_.good;
       }
     });
-    kernel_.after(static_cast<loam::Span>(pace * 20e3), [this, flight, dispatch, &life, run, left, cut_at, pace] {
+    kernel_.after(static_cast<common::Span>(pace * 20e3), [this, flight, dispatch, &life, run, left, cut_at, pace] {
       next_event(flight, dispatch, life, run, left - 1, cut_at, pace);
     });
   }
@@ -897,7 +899,7 @@
   // --- what must never happen ---
 
   void check_arrival(Flight const& flight, Life& life) {
-    loam::Moment const now = kernel_.now();
+    common::Moment const now = kernel_.now();
     if (life.service != flight.service) {
       violation(flight.id + " came to a worker of another service");
     }
@@ -908,7 +910,7 @@
                   " ms after it was draining");
       }
     }
-    std::map<std::size_t, loam::Moment>::const_iterator const evacuated = evacuated_at_.find(life.hall);
+    std::map<std::size_t, common::Moment>::const_iterator const evacuated = evacuated_at_.find(life.hall);
     if (evacuated != evacuated_at_.end() && now - evacuated->second > evacuate_bound) {
       violation(life.id + " got a query in an evacuated hall");
     }
@@ -916,9 +918,9 @@
       violation(flight.id + " came to a worker outside its homes");
     }
     if (now < life.cold_until) {
-      std::vector<loam::Moment>& arrivals = life.cold_arrivals;
+      std::vector<common::Moment>& arrivals = life.cold_arrivals;
       arrivals.push_back(now);
-      std::erase_if(arrivals, [now](loam::Moment moment) { return now - moment >= loam::seconds(1); });
+      std::erase_if(arrivals, [now](common::Moment moment) { return now - moment >= common::seconds(1); });
       double const most = options_.cold_rate * cold_overshoot + cold_slack;
       report_.worst_cold = std::max(report_.worst_cold, static_cast<double>(arrivals.size()) / most);
       if (static_cast<double>(arrivals.size()) > most) {
@@ -930,19 +932,19 @@
   /// Over any window, summed over all furrows.
   void check_retries() {
     for (std::pair<std::string const, std::vector<Arrival>> const& service : arrivals_) {
-      std::vector<loam::Moment> const& firsts = firsts_[service.first];
-      std::vector<loam::Moment> further;
+      std::vector<common::Moment> const& firsts = firsts_[service.first];
+      std::vector<common::Moment> further;
       for (Arrival const& arrival : service.second) {
         if (arrival.further) {
           further.push_back(arrival.at);
         }
       }
       for (std::size_t index = 0; index < further.size(); ++index) {
-        loam::Moment const begin = further[index];
+        common::Moment const begin = further[index];
         std::size_t const end = static_cast<std::size_t>(
             std::lower_bound(further.begin(), further.end(), begin + retry_window) - further.begin());
         double queries = 0;
-        for (loam::Moment const from : {begin, begin - retry_window, begin - retry_window / 2}) {
+        for (common::Moment const from : {begin, begin - retry_window, begin - retry_window / 2}) {
           queries = std::max(queries,
                              static_cast<double>(std::lower_bound(firsts.begin(), firsts.end(), from + retry_window) -
                                                  std::lower_bound(firsts.begin(), firsts.end(), from)));
@@ -961,7 +963,7 @@
 
   RelayOptions options_;
   Kernel kernel_;
-  tilth::LaneBook book_;
+  scheduling::LaneBook book_;
   RelayReport report_;
   std::vector<std::unique_ptr<Life>> lives_;
   std::map<std::string, Life*> by_address_;
@@ -969,8 +971,8 @@
   std::vector<Image> images_;
   std::vector<std::unique_ptr<Furrow>> furrows_;
   std::set<std::string> evacuated_;
-  std::map<std::size_t, loam::Moment> evacuated_at_;
-  std::map<std::string, std::vector<loam::Moment>> firsts_;
+  std::map<std::size_t, common::Moment> evacuated_at_;
+  std::map<std::string, std::vector<common::Moment>> firsts_;
   std::map<std::string, std::vector<Arrival>> arrivals_;
   std::uint64_t last_id_ = 0;
   std::uint64_t last_query_ = 0;
@@ -1046,4 +1048,4 @@
   return true;
 }
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/almanac/relay/relay.hpp
+++ b/source/simulator/relay/relay.hpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "loam/time/moment.hpp"
-#include "tilth/grove/grove.hpp"
+#include "common/time/moment.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
 
-namespace finchlink::almanac {
+namespace finchlink::simulator {
 
 /// Mean seconds between two troubles of a kind; 0: none (section 10.3).
 struct RelayFaults {
@@ -26,13 +26,13 @@
 
 struct RelayOptions {
   std::uint64_t seed = 1;
-  loam::Span length = loam::seconds(30);
+  common::Span length = common::seconds(30);
   std::size_t furrows = 9;
   double rate = 120;      ///< queries a second over all furrows
   double cold_rate = 45;  ///< that a cold worker bears, a second
   double retry_slack = 64;
   RelayFaults faults;
-  tilth::GroveGuards grove;
+  scheduling::GroveGuards grove;
   bool dispatch_once = true;   ///< guard: what may not be repeated has one dispatch that bytes went to
   bool honest_refusal = true;  ///< guard: no refusal once it may have run
   bool rights = true;          ///< guard: a further dispatch takes a right
@@ -54,12 +54,12 @@
   std::uint64_t resumed = 0;
   std::uint64_t misdirected = 0;
   std::uint64_t turned_away = 0;
-  std::uint64_t met_ill = 0;   ///< dispatches that a worker's illness spoilt
-  std::uint64_t troubles = 0;  ///< that were really brought about
-  double worst_retries = 0;    ///< part of what the bound allows, over any window
-  double worst_cold = 0;       ///< the same of the cold bound, over any second
-  loam::Span worst_drain = 0;  ///< behind the list's word
-  double worst_resting = 0;    ///< part of a pool of three or more that rests for one furrow
+  std::uint64_t met_ill = 0;     ///< dispatches that a worker's illness spoilt
+  std::uint64_t troubles = 0;    ///< that were really brought about
+  double worst_retries = 0;      ///< part of what the bound allows, over any window
+  double worst_cold = 0;         ///< the same of the cold bound, over any second
+  common::Span worst_drain = 0;  ///< behind the list's word
+  double worst_resting = 0;      ///< part of a pool of three or more that rests for one furrow
   std::uint64_t trace_hash = 0;
   std::uint64_t events = 0;
 };
@@ -72,4 +72,4 @@
 /// Switches one guard off; false for an unknown one.
 [[nodiscard]] bool switch_off_relay(RelayOptions& options, std::string const& guard);
 
-}  // namespace finchlink::almanac
+}  // namespace finchlink::simulator
--- a/source/tests/loam/asks_test.cpp
+++ b/source/tests/common/asks_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "loam/http/http.hpp"
+#include "common/http/http.hpp"
 #include "tests/relay/fleet.hpp"
 
 namespace finchlink::relay_test {
@@ -10,8 +10,8 @@
 struct Served {
   Served() {
     address = fleet.next_address();
-    EXPECT_TRUE(loam::serve_asks(*fleet.context, address, 16, 1000, [](loam::Ask const& ask, loam::Yield) {
-                  return loam::answer_text(http::status::ok, "got " + std::to_string(ask.body().size()));
+    EXPECT_TRUE(common::serve_asks(*fleet.context, address, 16, 1000, [](common::Ask const& ask, common::Yield) {
+                  return common::answer_text(http::status::ok, "got " + std::to_string(ask.body().size()));
                 }).ok());
   }
   Fleet fleet;
@@ -50,17 +50,17 @@
   bool gone_at_last = false;
   Fleet fleet;
   std::string const address = fleet.next_address();
-  EXPECT_TRUE(loam::serve_asks(*fleet.context, address, 16, 1000,
-                               [&](loam::Ask const&, loam::CallerConnection const& caller, loam::Yield yield) {
-                                 there_at_first = !caller.gone();
-                                 serving = true;
-                                 loam::Moment const until = loam::boot_now() + loam::seconds(10);
-                                 while (!caller.gone() && loam::boot_now() < until) {
-                                   loam::pause(*fleet.context, loam::milliseconds(1), yield);
-                                 }
-                                 gone_at_last = caller.gone();
-                                 return loam::answer_text(http::status::ok, "{}");
-                               })
+  EXPECT_TRUE(common::serve_asks(*fleet.context, address, 16, 1000,
+                                 [&](common::Ask const&, common::CallerConnection const& caller, common::Yield yield) {
+                                   there_at_first = !caller.gone();
+                                   serving = true;
+                                   common::Moment const until = common::boot_now() + common::seconds(10);
+                                   while (!caller.gone() && common::boot_now() < until) {
+                                     common::pause(*fleet.context, common::milliseconds(1), yield);
+                                   }
+                                   gone_at_last = caller.gone();
+                                   return common::answer_text(http::status::ok, "{}");
+                                 })
                   .ok());
   std::shared_ptr<Line> const caller = fleet.call("POST /any HTTP/1.1\r\nHost: any\r\n\r\n", address);
   ASSERT_TRUE(fleet.until([&] { return serving; }));
--- a/source/tests/loam/delta_test.cpp
+++ b/source/tests/common/delta_test.cpp
@@ -1,10 +1,10 @@
-#include "loam/delta/delta.hpp"
+#include "common/delta/delta.hpp"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-namespace finchlink::loam {
+namespace finchlink::common {
 namespace {
 
 using State = std::map<std::string, std::string>;
@@ -143,4 +143,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/tests/loam/followed_test.cpp
+++ b/source/tests/common/followed_test.cpp
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "loam/json/tree.hpp"
-#include "loam/process/followed.hpp"
-#include "loam/process/process.hpp"
+#include "common/json/tree.hpp"
+#include "common/process/followed.hpp"
+#include "common/process/process.hpp"
 #include "tests/relay/fleet.hpp"
 
 namespace finchlink::relay_test {
@@ -22,8 +22,8 @@
   ~File() { std::filesystem::remove(path_); }
   [[nodiscard]] std::string path() const { return path_; }
   void write(schema::Settings const& settings) {
-    loam::Tree const tree(schema::write(settings));
-    write(loam::print_tree(tree.get()));
+    common::Tree const tree(schema::write(settings));
+    write(common::print_tree(tree.get()));
   }
   void write(std::string const& text) { std::ofstream(path_) << text; }
 
@@ -35,15 +35,15 @@
   std::ifstream file(path);
   std::stringstream text;
   text << file.rdbuf();
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(text.str());
+  absl::StatusOr<common::Tree> const tree = common::read_tree(text.str());
   if (!tree.ok()) {
     return tree.status();
   }
   schema::Settings settings;
-  std::vector<loam::Fault> faults;
+  std::vector<common::Fault> faults;
   schema::read(tree->get(), "", settings, faults);
   return faults.empty() ? absl::StatusOr<schema::Settings>(settings)
-                        : absl::InvalidArgumentError(loam::describe(faults));
+                        : absl::InvalidArgumentError(common::describe(faults));
 }
 
 /// What is logged while it lives.
@@ -88,8 +88,8 @@
   File file;
   file.write(wide());
   std::vector<schema::Settings> told;
-  loam::Followed followed(file.path(), read_own,
-                          [&told](schema::Settings const& settings) { told.push_back(settings); });
+  common::Followed followed(file.path(), read_own,
+                            [&told](schema::Settings const& settings) { told.push_back(settings); });
   schema::Settings given;
   given.scaler = "on";  // an option, which no file of someone else's tells
   ASSERT_TRUE(followed.begin(given).ok());
@@ -138,7 +138,7 @@
   schema::Settings broken = wide();
   broken.bounds.apply_ms = 10;
   file.write(broken);
-  loam::Followed followed(file.path(), read_own, nullptr);
+  common::Followed followed(file.path(), read_own, nullptr);
   absl::Status const status = followed.begin(schema::Settings());
   EXPECT_FALSE(status.ok());
   EXPECT_NE(status.message().find("apply_ms"), std::string::npos) << status;
@@ -147,7 +147,7 @@
 TEST(Followed, ASignalDuringTheStartDoesNotEndTheProcess) {
   File file;
   file.write(wide());
-  loam::Daemon daemon;
+  common::Daemon daemon;
   daemon.program = "one";
   daemon.settings_path = [&file] { return file.path(); };
   daemon.read_settings = read_own;
@@ -156,7 +156,7 @@
     return absl::UnavailableError("no address");
   };
   char const* const values[] = {"one"};
-  EXPECT_EQ(loam::run_daemon(daemon, 1, values), loam::exit_listen);
+  EXPECT_EQ(common::run_daemon(daemon, 1, values), common::exit_listen);
   std::signal(SIGHUP, SIG_DFL);
 }
 
@@ -172,11 +172,11 @@
     }
     File file;
     file.write(fleet.settings);
-    loam::Followed followed(file.path(), read_own,
-                            [&fleet](schema::Settings const& settings) { fleet.station->renew(settings); });
+    common::Followed followed(file.path(), read_own,
+                              [&fleet](schema::Settings const& settings) { fleet.station->renew(settings); });
     ASSERT_TRUE(followed.begin(fleet.settings).ok());
     fleet.begin(in_touch);
-    followed.run(*fleet.context, loam::seconds(3600));  // it takes the signal
+    followed.run(*fleet.context, common::seconds(3600));  // it takes the signal
     EXPECT_EQ(fleet.station->ready(), in_touch);
     schema::Settings next = fleet.settings;
     next.bounds.directory_ttl_ms = 1500;
--- a/source/tests/loam/fuzz_test.cpp
+++ b/source/tests/common/fuzz_test.cpp
@@ -6,15 +6,15 @@
 #include <random>
 #include <sstream>
 
-#include "almanac/disk/memory_disk.hpp"
+#include "common/constants.hpp"
+#include "common/json/tree.hpp"
+#include "common/wire/frame.hpp"
+#include "common/wire/pack.hpp"
 #include "config/setup/setup.hpp"
-#include "furrow/worker/contract.hpp"
-#include "loam/constants.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/wire/frame.hpp"
-#include "loam/wire/pack.hpp"
-#include "membership/copy/copy.hpp"
+#include "data_plane/worker/contract.hpp"
+#include "membership/replica/replica.hpp"
 #include "schema/wire.hpp"
+#include "simulator/disk/memory_disk.hpp"
 
 namespace finchlink {
 namespace {
@@ -61,12 +61,12 @@
   answer.list.workers.resize(5);
   schema::Image image;
   image.cells["setup"].value = schema::Value{3, "{}", {{"a.1", 2}, {"b.2", 3}}};
-  std::vector<std::string> const good{loam::pack(schema::Message(answer)), loam::pack(schema::Message(image)),
-                                      loam::pack(schema::Message(schema::Prepare{"setup", {1, 2, 3}}))};
+  std::vector<std::string> const good{common::pack(schema::Message(answer)), common::pack(schema::Message(image)),
+                                      common::pack(schema::Message(schema::Prepare{"setup", {1, 2, 3}}))};
   std::mt19937_64 random(1);
   int refused = 0;
   for (int round = 0; round < rounds(); ++round) {
-    refused += loam::unpack<schema::Message>(spoiled(good[random() % good.size()], random)).ok() ? 0 : 1;
+    refused += common::unpack<schema::Message>(spoiled(good[random() % good.size()], random)).ok() ? 0 : 1;
   }
   EXPECT_GT(refused, 0);
 }
@@ -133,14 +133,14 @@
   told.from = sessions.self();
   sessions.tell(known, 2000, told);
   ASSERT_NE(told.sessions_from, 0u);
-  std::string const answer_bytes = loam::pack(schema::Message(good));
-  std::string const tell_bytes = loam::pack(schema::Message(told));
+  std::string const answer_bytes = common::pack(schema::Message(good));
+  std::string const tell_bytes = common::pack(schema::Message(told));
   std::mt19937_64 random(6);
   int taken = 0;
   int left = 0;
   for (int round = 0; round < rounds(); ++round) {
     absl::StatusOr<schema::Message> const read =
-        loam::unpack<schema::Message>(round == 0 ? answer_bytes : spoiled(answer_bytes, random));
+        common::unpack<schema::Message>(round == 0 ? answer_bytes : spoiled(answer_bytes, random));
     schema::NewsAnswer const* const answer = read.ok() ? std::get_if<schema::NewsAnswer>(&*read) : nullptr;
     if (answer != nullptr) {
       membership::ListCopy lists = list_before;
@@ -156,7 +156,7 @@
         EXPECT_EQ(membership::digest_of(members.members()), answer->members_digest);
       }
     }
-    absl::StatusOr<schema::Message> const heard = loam::unpack<schema::Message>(spoiled(tell_bytes, random));
+    absl::StatusOr<schema::Message> const heard = common::unpack<schema::Message>(spoiled(tell_bytes, random));
     schema::Tell const* const tell = heard.ok() ? std::get_if<schema::Tell>(&*heard) : nullptr;
     if (tell != nullptr) {
       membership::Sessions receiver = other;
@@ -179,7 +179,7 @@
   }
   schema::NewsAnswer answer;
   answer.news.push_back(schema::NamedValue{"charter", 7, content});
-  std::string const large = loam::frame(schema::Message(answer));
+  std::string const large = common::frame(schema::Message(answer));
   EXPECT_LT(large.size(), content.size() / 5);
   std::string noise(5000, ' ');
   for (char& letter : noise) {
@@ -189,10 +189,10 @@
   other.news.push_back(schema::NamedValue{"charter", 8, noise});
   for (schema::Message const& message :
        {schema::Message(answer), schema::Message(other), schema::Message(schema::Prepare{"setup", {1, 2, 3}})}) {
-    std::string const whole = loam::frame(message);
-    std::string_view const header(whole.data(), loam::frame_header);
+    std::string const whole = common::frame(message);
+    std::string_view const header(whole.data(), common::frame_header);
     absl::StatusOr<schema::Message> const read =
-        loam::unframe(header, std::string_view(whole).substr(loam::frame_header));
+        common::unframe(header, std::string_view(whole).substr(common::frame_header));
     ASSERT_TRUE(read.ok()) << read.status();
     EXPECT_EQ(*read, message);
   }
@@ -201,18 +201,18 @@
 TEST(Fuzz, CompressedFramesAreReadOrRefused) {
   schema::NewsAnswer answer;
   answer.news.push_back(schema::NamedValue{"charter", 7, std::string(9000, 'x')});
-  std::string const good = loam::frame(schema::Message(answer));
+  std::string const good = common::frame(schema::Message(answer));
   std::mt19937_64 random(4);
   int refused = 0;
   for (int round = 0; round < rounds(); ++round) {
     // The check made right again: what is behind it must stand by itself.
-    std::string payload = spoiled(good.substr(loam::frame_header), random);
+    std::string payload = spoiled(good.substr(common::frame_header), random);
     boost::crc_32_type check;
     check.process_bytes(payload.data(), payload.size());
-    std::uint32_t const words[3] = {loam::constants::frame_mark_compressed, static_cast<std::uint32_t>(payload.size()),
-                                    check.checksum()};
+    std::uint32_t const words[3] = {common::constants::frame_mark_compressed,
+                                    static_cast<std::uint32_t>(payload.size()), check.checksum()};
     std::string const header(reinterpret_cast<char const*>(words), sizeof(words));
-    refused += loam::unframe(header, payload).ok() ? 0 : 1;
+    refused += common::unframe(header, payload).ok() ? 0 : 1;
   }
   EXPECT_GT(refused, 0);
 }
@@ -222,7 +222,7 @@
   int lost = 0;
   int read = 0;
   for (int round = 0; round < rounds() / 4; ++round) {
-    almanac::MemoryDisk disk(3, 3000);
+    simulator::MemoryDisk disk(3, 3000);
     consensus::WriteAheadLog ring(disk.device(), 3, 3000);
     ASSERT_TRUE(ring.recover().ok());
     std::uint64_t const last = random() % 40 + 1;
@@ -287,8 +287,8 @@
   int refused = 0;
   for (int round = 0; round < rounds(); ++round) {
     std::string const bytes = spoiled(good, random);
-    furrow::EventReader reader(4);
-    std::vector<furrow::StreamEvent> events;
+    data_plane::EventReader reader(4);
+    std::vector<data_plane::StreamEvent> events;
     bool well = true;
     for (std::size_t place = 0; place < bytes.size() && well; place += 37) {  // in pieces, as they come
       well = reader.feed(std::string_view(bytes).substr(place, 37), events);
--- a/source/tests/loam/gather_test.cpp
+++ b/source/tests/common/gather_test.cpp
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
-#include "loam/net/net.hpp"
+#include "common/net/net.hpp"
 #include "tests/own_address.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 namespace {
 
 /// Two colleagues: one is silent, the other closes the first connections
@@ -135,4 +135,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/tests/loam/invariant_test.cpp
+++ b/source/tests/common/invariant_test.cpp
@@ -1,4 +1,4 @@
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,11 +9,11 @@
 #include <sstream>
 #include <thread>
 
-#include "loam/log/invariant_log.hpp"
-#include "loam/log/log.hpp"
+#include "common/log/invariant_log.hpp"
+#include "common/log/log.hpp"
 #include "tests/invariant_listener.hpp"
 
-namespace finchlink::loam {
+namespace finchlink::common {
 namespace {
 
 /// What the process writes to its log in the scope.
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::loam
+}  // namespace finchlink::common
--- a/source/tests/loam/log_test.cpp
+++ b/source/tests/common/log_test.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <sstream>
 
-#include "loam/log/log.hpp"
+#include "common/log/log.hpp"
 
 namespace finchlink {
 namespace {
@@ -14,7 +14,7 @@
   std::stringstream text;
   text << stream.rdbuf();
   std::set<int> numbers;
-  for (loam::EventEntry const& entry : loam::event_catalogue()) {
+  for (common::EventEntry const& entry : common::event_catalogue()) {
     EXPECT_TRUE(numbers.insert(static_cast<int>(entry.event)).second);
     std::string const line =
         "| E" + std::to_string(static_cast<int>(entry.event)) + " | " + entry.name + " | " + entry.meaning + " |";
--- a/source/tests/config/charter_test.cpp
+++ b/source/tests/config/routing_config_test.cpp
@@ -1,8 +1,8 @@
 #include <gtest/gtest.h>
 
-#include "config/charter/proposal.hpp"
-#include "loam/constants.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/constants.hpp"
+#include "common/wire/pack.hpp"
+#include "config/routing/proposal.hpp"
 
 namespace finchlink {
 namespace {
@@ -75,7 +75,7 @@
   EXPECT_EQ(held.change({charter_text(1).replace(charter_text(1).find("1000}"), 4, "0"), false, 0}).note.end,
             config::CharterProposalOutcome::faults);
   EXPECT_EQ(held.value.revision, 0u);
-  std::string const large = charter_text(1) + std::string(loam::constants::charter_limit, ' ');
+  std::string const large = charter_text(1) + std::string(common::constants::charter_limit, ' ');
   EXPECT_EQ(held.change({large, false, 0}).note.end, config::CharterProposalOutcome::size);
 }
 
@@ -103,7 +103,7 @@
   }
   return held;
 }
-std::uint64_t const kept = loam::constants::marks_kept;
+std::uint64_t const kept = common::constants::marks_kept;
 
 TEST(CharterProposal, KeepsTheNewestMarks) {
   Register held = after_many(kept + 2);
@@ -172,8 +172,8 @@
   Register held = after_many(kept);
   schema::Value bare = held.value;
   bare.marks.clear();
-  std::size_t const bytes = loam::pack(schema::CellRecord{"charter", {{}, {}, held.value}}).size() -
-                            loam::pack(schema::CellRecord{"charter", {{}, {}, bare}}).size();
+  std::size_t const bytes = common::pack(schema::CellRecord{"charter", {{}, {}, held.value}}).size() -
+                            common::pack(schema::CellRecord{"charter", {{}, {}, bare}}).size();
   EXPECT_EQ(bytes, kept * 48);
 }
 
--- a/source/tests/config/setup_test.cpp
+++ b/source/tests/config/setup_test.cpp
@@ -3,12 +3,12 @@
 #include <fstream>
 #include <sstream>
 
+#include "common/constants.hpp"
+#include "common/json/tree.hpp"
 #include "config/change/proposal.hpp"
 #include "config/label/selector.hpp"
 #include "config/rule/rule.hpp"
 #include "config/setup/setup.hpp"
-#include "loam/constants.hpp"
-#include "loam/json/tree.hpp"
 
 namespace finchlink {
 namespace {
@@ -21,7 +21,7 @@
 }
 
 bool has_fault(config::SetupReading const& reading, std::string const& path) {
-  for (loam::Fault const& fault : reading.faults) {
+  for (common::Fault const& fault : reading.faults) {
     if (fault.path == path) {
       return true;
     }
@@ -32,10 +32,10 @@
 TEST(Setup, BothDeploymentsAreGoodAndReadBackTheSame) {
   for (std::string const name : {"pruebaviva", "corrib"}) {
     config::SetupReading const reading = config::read_setup(file("deployments/" + name + "/setup.json"));
-    ASSERT_TRUE(reading.good()) << name << loam::describe(reading.faults);
-    loam::Tree const written(schema::write(reading.setup));
-    config::SetupReading const again = config::read_setup(loam::print_tree(written.get()));
-    ASSERT_TRUE(again.good()) << loam::describe(again.faults);
+    ASSERT_TRUE(reading.good()) << name << common::describe(reading.faults);
+    common::Tree const written(schema::write(reading.setup));
+    config::SetupReading const again = config::read_setup(common::print_tree(written.get()));
+    ASSERT_TRUE(again.good()) << common::describe(again.faults);
     EXPECT_EQ(again.setup, reading.setup);
   }
 }
@@ -48,7 +48,7 @@
   for (std::string const path :
        {"/regions/b/halls/0", "/halls/z", "/rules/r~11/match", "/rules/r~11/kind", "/rules/r~11/deadline_ms",
         "/rules/r~11/colour", "/rules/r~11/home/region", "/rules/r~11/selector/values"}) {
-    EXPECT_TRUE(has_fault(reading, path)) << path << " not in " << loam::describe(reading.faults);
+    EXPECT_TRUE(has_fault(reading, path)) << path << " not in " << common::describe(reading.faults);
   }
   EXPECT_FALSE(config::read_setup("{\"regions\":").json);
   EXPECT_TRUE(has_fault(config::read_setup("{\"regions\":{},\"regions\":{},\"rules\":{}}"), "/regions"));
@@ -65,8 +65,8 @@
   config::Labels const labels{{"kind", "model"}, {"site", "cork"}};
   std::function<bool(std::string const&)> const says = [&labels](std::string const& text) {
     schema::Selector selector;
-    std::vector<loam::Fault> faults;
-    schema::read(loam::read_tree(text)->get(), "", selector, faults);
+    std::vector<common::Fault> faults;
+    schema::read(common::read_tree(text)->get(), "", selector, faults);
     EXPECT_TRUE(faults.empty());
     return config::selects(selector, labels);
   };
@@ -111,7 +111,7 @@
   value = after(value, "mine.1");
   std::uint64_t const taken = value.revision;
   ASSERT_EQ(config::standing_of(value, "mine.1").revision, taken);
-  for (std::size_t turn = 0; turn < 2 * loam::constants::marks_kept; ++turn) {
+  for (std::size_t turn = 0; turn < 2 * common::constants::marks_kept; ++turn) {
     value = after(value, "storm-" + std::to_string(turn) + "." + std::to_string(value.revision));
     // Never a false no, never a second effect.
     config::Standing const known = config::standing_of(value, "mine.1").standing;
@@ -120,7 +120,7 @@
     EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::veto_of("mine.1")(value)));
   }
   EXPECT_EQ(config::standing_of(value, "mine.1").standing, config::Standing::forgotten);
-  EXPECT_LE(value.marks.size(), loam::constants::marks_kept);
+  EXPECT_LE(value.marks.size(), common::constants::marks_kept);
   // One that was never sent, born of late, is surely open, and its veto lasts.
   std::string const fresh = "fresh." + std::to_string(value.revision);
   EXPECT_EQ(config::standing_of(value, fresh).standing, config::Standing::open);
--- a/source/tests/config/tenancy_test.cpp
+++ b/source/tests/config/tenancy_test.cpp
@@ -1,8 +1,8 @@
 #include <gtest/gtest.h>
 
-#include "config/charter/charter.hpp"
-#include "tilth/lanes/lanes.hpp"
-#include "tilth/wall/tenant.hpp"
+#include "config/routing/routing_config.hpp"
+#include "scheduling/prompt_isolation/tenant.hpp"
+#include "scheduling/route_table/route_table.hpp"
 
 namespace finchlink {
 namespace {
@@ -11,7 +11,7 @@
   config::CharterReading const reading = config::own_notation().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","prefix":"/a/b/","home_regions":["east"],"shares":[{"service":"s"}],"tenancy":)" +
       tenancy + "}],\"tenants\":" + tenants + "}");
-  return loam::describe(reading.faults);
+  return common::describe(reading.faults);
 }
 
 TEST(Tenancy, GoodOnesHaveNoFault) {
@@ -39,7 +39,7 @@
 TEST(Tenancy, TenantsWithoutALaneAreAFault) {
   config::CharterReading const reading = config::own_notation().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","shares":[{"service":"s"}]}],"tenants":[{"name":"t"}]})");
-  EXPECT_NE(loam::describe(reading.faults).find("/tenants"), std::string::npos);
+  EXPECT_NE(common::describe(reading.faults).find("/tenants"), std::string::npos);
 }
 
 TEST(Tenancy, PatchesChangeTenants) {
@@ -49,8 +49,8 @@
       whole, R"({"number":2,"upsert":{"tenants":[{"name":"u","home_regions":["east"]}]},"remove":{"tenants":["t"]}})");
   ASSERT_TRUE(merged.ok());
   config::CharterReading const reading = config::own_notation().read(*merged);
-  ASSERT_TRUE(reading.good()) << loam::describe(reading.faults);
-  tilth::LaneBook const book(reading.charter);
+  ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
+  scheduling::LaneBook const book(reading.charter);
   EXPECT_EQ(book.tenant("t"), nullptr);
   ASSERT_NE(book.tenant("u"), nullptr);
   EXPECT_EQ(book.tenant("u")->home_regions, std::vector<std::string>{"east"});
@@ -64,30 +64,31 @@
 }
 
 TEST(Tenant, IsReadFromItsHeader) {
-  EXPECT_EQ(tilth::read_tenant(by_header(true), {"acme"}, "/").name, "acme");
-  EXPECT_EQ(tilth::read_tenant(by_header(true), {}, "/").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(by_header(true), {""}, "/").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(by_header(false), {}, "/").end, tilth::TenantEnd::absent);
+  EXPECT_EQ(scheduling::read_tenant(by_header(true), {"acme"}, "/").name, "acme");
+  EXPECT_EQ(scheduling::read_tenant(by_header(true), {}, "/").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(true), {""}, "/").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {}, "/").end, scheduling::TenantEnd::absent);
   // Which of two a worker or a log would take is not known.
-  EXPECT_EQ(tilth::read_tenant(by_header(false), {"acme", "acme"}, "/").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(by_header(false), {"a b"}, "/").end, tilth::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"acme", "acme"}, "/").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"a b"}, "/").end, scheduling::TenantEnd::refused);
   // Two fields that somebody on the way has joined are still two.
-  EXPECT_STREQ(tilth::read_tenant(by_header(false), {"acme,other"}, "/").fault, "ambiguous_tenant");
-  EXPECT_EQ(tilth::read_tenant(by_header(false), {std::string(129, 'x')}, "/").end, tilth::TenantEnd::refused);
+  EXPECT_STREQ(scheduling::read_tenant(by_header(false), {"acme,other"}, "/").fault, "ambiguous_tenant");
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {std::string(129, 'x')}, "/").end,
+            scheduling::TenantEnd::refused);
 }
 
 TEST(Tenant, IsReadFromThePath) {
   schema::Tenancy tenancy;
   tenancy.path_segment = 2;
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/acme/x?y=/z").name, "acme");
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/%61cme/x").name, "acme");
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/%6/x").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/%00/x").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v?/acme").end, tilth::TenantEnd::refused);
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/acme/x?y=/../z").name, "acme");
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/acme//x").name, "acme");
-  EXPECT_EQ(tilth::read_tenant(tenancy, {}, "/v/..acme/x").name, "..acme");
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/acme/x?y=/z").name, "acme");
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%61cme/x").name, "acme");
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%6/x").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%00/x").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v?/acme").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/acme/x?y=/../z").name, "acme");
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/acme//x").name, "acme");
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/..acme/x").name, "..acme");
 }
 
 TEST(Tenant, APathThatAFrontMayReadInAnotherWayIsRefused) {
@@ -99,32 +100,32 @@
     tenancy.path_segment = 2;
     for (char const* const path : {"/v/acme/../other/x", "/v/acme/./x", "/v/../v/acme/x", "/v/acme/%2e%2e/other",
                                    "/v/acme/.%2E/other", "/v/..", "/v/acme/..", "/v/%2e/x"}) {
-      EXPECT_STREQ(tilth::read_tenant(tenancy, {}, path).fault, "malformed_tenant") << path;
+      EXPECT_STREQ(scheduling::read_tenant(tenancy, {}, path).fault, "malformed_tenant") << path;
     }
     tenancy.path_segment = 3;
-    EXPECT_STREQ(tilth::read_tenant(tenancy, {}, "/v//acme/other").fault, "malformed_tenant");
+    EXPECT_STREQ(scheduling::read_tenant(tenancy, {}, "/v//acme/other").fault, "malformed_tenant");
   }
 }
 
 TEST(Tenant, OneNameInTwoRealmsIsTwoTenants) {
   schema::Tenancy lower = by_header(true);
   lower.header = "customer";
-  EXPECT_EQ(tilth::realm_of(by_header(true), "logs"), tilth::realm_of(lower, "diffs"));
+  EXPECT_EQ(scheduling::realm_of(by_header(true), "logs"), scheduling::realm_of(lower, "diffs"));
   schema::Tenancy path;
   path.path_segment = 3;
-  EXPECT_NE(tilth::realm_of(path, "rides"), tilth::realm_of(path, "tickets"));
-  EXPECT_NE(tilth::realm_of(path, "logs"), tilth::realm_of(by_header(true), "logs"));
+  EXPECT_NE(scheduling::realm_of(path, "rides"), scheduling::realm_of(path, "tickets"));
+  EXPECT_NE(scheduling::realm_of(path, "logs"), scheduling::realm_of(by_header(true), "logs"));
 }
 
 TEST(Tenant, HomesOfLaneAndTenantBothBind) {
   std::vector<std::string> joined;
-  EXPECT_TRUE(tilth::join_homes({"a", "b"}, {"b", "c"}, joined));
+  EXPECT_TRUE(scheduling::join_homes({"a", "b"}, {"b", "c"}, joined));
   EXPECT_EQ(joined, std::vector<std::string>{"b"});
-  EXPECT_TRUE(tilth::join_homes({}, {"b"}, joined));
+  EXPECT_TRUE(scheduling::join_homes({}, {"b"}, joined));
   EXPECT_EQ(joined, std::vector<std::string>{"b"});
-  EXPECT_TRUE(tilth::join_homes({"a"}, {}, joined));
+  EXPECT_TRUE(scheduling::join_homes({"a"}, {}, joined));
   EXPECT_EQ(joined, std::vector<std::string>{"a"});
-  EXPECT_FALSE(tilth::join_homes({"a"}, {"b"}, joined));
+  EXPECT_FALSE(scheduling::join_homes({"a"}, {"b"}, joined));
 }
 
 }  // namespace
--- a/source/tests/consensus/acceptor_test.cpp
+++ b/source/tests/consensus/acceptor_test.cpp
@@ -1,9 +1,9 @@
 #include <gtest/gtest.h>
 
+#include "common/constants.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/majority_reader/majority_reader.hpp"
 #include "consensus/proposer/proposer.hpp"
-#include "loam/constants.hpp"
 #include "tests/invariant_listener.hpp"
 
 namespace finchlink {
@@ -129,7 +129,7 @@
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.image_before_vote = guard;
-    ExpectedViolations const expected({loam::Invariant::vote_is_complete}, !guard);
+    ExpectedViolations const expected({common::Invariant::vote_is_complete}, !guard);
     Group group(3, guards);
     group.found();
     ASSERT_EQ(group.change("first", {0, 1, 2}), 1u);
@@ -314,7 +314,7 @@
   EXPECT_EQ(taken.records.size(), 1u);
   EXPECT_TRUE(group.holders[1].take_accepted("charter", Ballot{1, 7, 3}, half).records.empty()) << "it has it";
   MajorityReader reader;
-  (void)reader.begin(group.holders[0].set(), loam::seconds(1));
+  (void)reader.begin(group.holders[0].set(), common::seconds(1));
   std::vector<MajorityReaderAction> actions;
   for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
     actions = reader.receive(*group.holders[index].receive(schema::Read{1, {}, 1}, 0).reply);
@@ -351,8 +351,8 @@
             1, round, voter, {{"charter", schema::Cell{accepted, accepted, schema::Value{ballot, "text", {}}}}}, {}});
       };
   bool settled = false;
-  loam::Moment now = loam::seconds(1);
-  for (std::uint64_t round = 1; round <= 30 && !settled; ++round, now += loam::milliseconds(250)) {
+  common::Moment now = common::seconds(1);
+  for (std::uint64_t round = 1; round <= 30 && !settled; ++round, now += common::milliseconds(250)) {
     (void)reader.begin(set, now);
     for (std::pair<std::uint64_t, std::uint64_t> const& voter :
          {std::make_pair(2ul, 2ul), std::make_pair(3ul, 1ul), std::make_pair(4ul, 1ul), std::make_pair(1ul, 3ul)}) {
@@ -369,13 +369,13 @@
   group.found();
   ASSERT_EQ(group.change("first", {0, 1, 2}), 1u);
   MajorityReader confirm;
-  (void)confirm.begin(group.holders[0].set(), loam::seconds(1));
+  (void)confirm.begin(group.holders[0].set(), common::seconds(1));
   std::vector<MajorityReaderAction> actions;
   for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
     actions = confirm.receive(*group.holders[index].receive(schema::Read{1, {}, 1}, 0).reply);
   }
   ASSERT_EQ(actions.size(), 1u);
-  EXPECT_EQ(std::get<Confirmed>(actions[0]).started, loam::seconds(1));
+  EXPECT_EQ(std::get<Confirmed>(actions[0]).started, common::seconds(1));
   // A half-done change at one holder: not confirmed. When it stays open, the other is told of it once, to take it
   // under the same ballot; only what then stays open still is settled.
   (void)group.holders[0].receive(schema::Accept{"setup", Ballot{1, 99, 3}, schema::Value{2, "half", {}}}, 0);
@@ -383,7 +383,7 @@
   bool settled = false;
   for (std::uint64_t round = 2; round < 9; ++round) {
     (void)confirm.begin(group.holders[0].set(),
-                        loam::seconds(1) + loam::milliseconds(100) * static_cast<loam::Span>(round));
+                        common::seconds(1) + common::milliseconds(100) * static_cast<common::Span>(round));
     for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
       actions = confirm.receive(*group.holders[index].receive(schema::Read{1, {}, round}, 0).reply);
     }
--- a/source/tests/consensus/invariants_test.cpp
+++ b/source/tests/consensus/invariants_test.cpp
@@ -8,7 +8,7 @@
 namespace finchlink::consensus {
 namespace {
 
-using loam::Invariant;
+using common::Invariant;
 
 constexpr std::uint64_t own = 100;
 std::vector<Voter> const voters{{own, "a"}, {101, "b"}, {102, "c"}};
--- a/source/tests/consensus/narrow_link.hpp
+++ b/source/tests/consensus/narrow_link.hpp
@@ -7,12 +7,12 @@
 #include <string>
 #include <vector>
 
-#include "almanac/kernel/kernel.hpp"
+#include "common/constants.hpp"
+#include "common/wire/frame.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/proposer/proposer.hpp"
 #include "consensus/transfer/value_receiver.hpp"
-#include "loam/constants.hpp"
-#include "loam/wire/frame.hpp"
+#include "simulator/kernel/kernel.hpp"
 
 namespace finchlink::consensus_test {
 
@@ -21,7 +21,7 @@
 class NarrowLink {
  public:
   using Arrival = std::function<void()>;
-  NarrowLink(almanac::Kernel& kernel, double bits_per_second, loam::Span one_way)
+  NarrowLink(simulator::Kernel& kernel, double bits_per_second, common::Span one_way)
       : kernel_(kernel), bits_per_second_(bits_per_second), one_way_(one_way) {}
 
   void carry(std::size_t bytes, std::shared_ptr<bool> const& given_up, Arrival arrival) {
@@ -53,7 +53,7 @@
     std::size_t const part = std::min<std::size_t>(load.left, 16384);
     load.left -= part;
     carried += part;
-    loam::Span const span = static_cast<loam::Span>(static_cast<double>(part) * 8e6 / bits_per_second_);
+    common::Span const span = static_cast<common::Span>(static_cast<double>(part) * 8e6 / bits_per_second_);
     kernel_.after(span, [this, load] {
       if (load.left > 0) {
         waiting_.push_back(load);
@@ -67,9 +67,9 @@
       step();
     });
   }
-  almanac::Kernel& kernel_;
+  simulator::Kernel& kernel_;
   double bits_per_second_;
-  loam::Span one_way_;
+  common::Span one_way_;
   std::deque<Load> waiting_;
   bool busy_ = false;
 };
@@ -79,13 +79,13 @@
  public:
   using Answerer = std::function<std::optional<schema::Message>(std::string const& address, schema::Message const&)>;
   using Reply = std::function<void(std::optional<schema::Message> const&)>;
-  FarAway(almanac::Kernel& kernel, double bits_per_second, loam::Span one_way, Answerer answerer)
+  FarAway(simulator::Kernel& kernel, double bits_per_second, common::Span one_way, Answerer answerer)
       : kernel_(kernel),
         up(kernel, bits_per_second, one_way),
         down(kernel, bits_per_second, one_way),
         answerer_(std::move(answerer)) {}
 
-  void call(std::string const& address, schema::Message const& message, loam::Span deadline, Reply const& reply) {
+  void call(std::string const& address, schema::Message const& message, common::Span deadline, Reply const& reply) {
     std::shared_ptr<bool> const over = std::make_shared<bool>(false);
     kernel_.after(deadline, [over, reply] {
       if (!*over) {
@@ -93,10 +93,10 @@
         reply(std::nullopt);
       }
     });
-    up.carry(loam::frame(message).size(), over, [this, address, message, over, reply] {
+    up.carry(common::frame(message).size(), over, [this, address, message, over, reply] {
       std::optional<schema::Message> const answer = answerer_(address, message);
       if (answer.has_value()) {
-        down.carry(loam::frame(*answer).size(), over, [over, reply, answer] {
+        down.carry(common::frame(*answer).size(), over, [over, reply, answer] {
           *over = true;
           reply(answer);
         });
@@ -111,7 +111,7 @@
       return;
     }
     std::size_t const before = receiver->received();
-    call(receiver->source(), receiver->request(), loam::constants::piece_deadline,
+    call(receiver->source(), receiver->request(), common::constants::piece_deadline,
          [this, receiver, done, before](std::optional<schema::Message> const& answer) {
            if (!answer.has_value()) {
              receiver->no_answer();
@@ -126,13 +126,13 @@
                return;
              }
            }
-           kernel_.after(receiver->received() > before ? 0 : loam::constants::piece_pause,
+           kernel_.after(receiver->received() > before ? 0 : common::constants::piece_pause,
                          [this, receiver, done] { run(receiver, done); });
          });
   }
 
  private:
-  almanac::Kernel& kernel_;
+  simulator::Kernel& kernel_;
 
  public:
   NarrowLink up;
--- a/source/tests/consensus/promise_record_test.cpp
+++ b/source/tests/consensus/promise_record_test.cpp
@@ -7,9 +7,9 @@
 #include <cstring>
 #include <filesystem>
 
-#include "almanac/disk/memory_disk.hpp"
+#include "common/wire/pack.hpp"
 #include "consensus/write_ahead_log/file_device.hpp"
-#include "loam/wire/pack.hpp"
+#include "simulator/disk/memory_disk.hpp"
 #include "tests/consensus/narrow_link.hpp"
 
 namespace finchlink {
@@ -17,8 +17,8 @@
 
 using namespace consensus;
 using namespace consensus_test;
-namespace constants = loam::constants;
-using almanac::MemoryDisk;
+namespace constants = common::constants;
+using simulator::MemoryDisk;
 
 std::vector<std::string> const founders{"a", "b", "c"};
 
@@ -34,7 +34,7 @@
   Outcome const promised = trio.acceptors[0].receive(schema::Prepare{"charter", Ballot{1, 4, 1}, {}}, 0);
   ASSERT_EQ(promised.records.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<schema::PromiseRecord>(promised.records[0]));
-  EXPECT_LT(loam::pack(promised.records).size(), 100u);
+  EXPECT_LT(common::pack(promised.records).size(), 100u);
 }
 
 TEST(PromiseRecord, StandsAfterARestart) {
@@ -69,12 +69,12 @@
   EXPECT_EQ(schema::Record(schema::PromiseRecord{}).index(), 3u);
   EXPECT_EQ(schema::Record(schema::SetRecord{}).index(), 4u);
   // A disk of before promises had a record of their own, byte for byte.
-  std::string const packed = loam::pack(std::vector<schema::Record>{schema::CellRecord{"s", schema::Cell{}}});
+  std::string const packed = common::pack(std::vector<schema::Record>{schema::CellRecord{"s", schema::Cell{}}});
   EXPECT_EQ(packed.size(), 8u + 4u + 8u + 1u + 6u * 8u + 8u + 8u + 8u);
   EXPECT_EQ(packed[8], 2);
   // The same for the set in force, on a disk of before sets told of earlier ones.
   schema::FormerSetRecord const former{{7, {{1, "a"}}, {}}, true, true};
-  std::string const set = loam::pack(std::vector<schema::Record>{former});
+  std::string const set = common::pack(std::vector<schema::Record>{former});
   EXPECT_EQ(set.size(), 8u + 4u + 8u + 8u + (8u + 8u + 1u) + 8u + 1u + 1u);
   EXPECT_EQ(set[8], 1);
 }
@@ -186,7 +186,7 @@
                     static_cast<unsigned long long>(changes), alone ? "alone" : "whole", bytes[alone ? 1 : 0],
                     static_cast<double>(logged.syncs) / static_cast<double>(changes),
                     seconds * 1000 / static_cast<double>(changes));
-        std::printf(", image %zu B", loam::pack(logged.acceptor.image()).size());
+        std::printf(", image %zu B", common::pack(logged.acceptor.image()).size());
       }
       absl::StatusOr<Device> const device = open_files(folder, constants::ring_files, constants::ring_file_bytes);
       ASSERT_TRUE(device.ok());
@@ -235,7 +235,7 @@
     (void)trio.acceptors[0].receive(
         schema::Accept{split_register(std::to_string(pool)), Ballot{1, 3, 1}, schema::Value{1, noise(2000), {}}}, 0);
   }
-  std::size_t const image = loam::pack(trio.acceptors[0].image()).size();
+  std::size_t const image = common::pack(trio.acceptors[0].image()).size();
   std::printf("[ figure ] the largest image: %zu B of %zu B\n", image, constants::ring_file_bytes);
   EXPECT_LT(image + constants::charter_limit + 10000, constants::ring_file_bytes);
 }
--- a/source/tests/consensus/transfer_test.cpp
+++ b/source/tests/consensus/transfer_test.cpp
@@ -2,9 +2,9 @@
 
 #include <cstdio>
 
+#include "common/digest/digest.hpp"
+#include "common/wire/pack.hpp"
 #include "consensus/majority_reader/majority_reader.hpp"
-#include "loam/digest/digest.hpp"
-#include "loam/wire/pack.hpp"
 #include "tests/consensus/narrow_link.hpp"
 #include "tests/invariant_listener.hpp"
 
@@ -13,16 +13,16 @@
 
 using namespace consensus;
 using namespace consensus_test;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 std::size_t const large = constants::charter_limit;
 schema::TransferKey const any_key{"charter", "a digest", 0};
 
 schema::TransferKey key_of(std::string const& bytes) {
-  return schema::TransferKey{"charter", loam::Digest().add(bytes).text(), 0};
+  return schema::TransferKey{"charter", common::Digest().add(bytes).text(), 0};
 }
 
-schema::Piece piece(ValueSender& sender, ValueReceiver const& receiver, std::string const& bytes, loam::Moment now) {
+schema::Piece piece(ValueSender& sender, ValueReceiver const& receiver, std::string const& bytes, common::Moment now) {
   return sender.answer(
       receiver.request(), [&bytes](schema::TransferKey const&) { return std::optional<std::string>(bytes); }, now);
 }
@@ -123,14 +123,14 @@
   schema::TransferKey const asked{"charter", named.withheld.at("charter").digest, 0};
   ValueReceiver receiver(asked, {"a"});
   TransferState state = TransferState::under_way;
-  loam::Moment now = 0;
+  common::Moment now = 0;
   for (std::uint64_t round = 4; state == TransferState::under_way; ++round) {
-    now += loam::milliseconds(320);
+    now += common::milliseconds(320);
     state = receiver.receive(*trio.acceptors[0].receive(receiver.request(), now).reply);
     trio.accept(noise(1000, round), round, {0, 1, 2});  // one change for each piece
   }
   ASSERT_EQ(state, TransferState::whole);
-  absl::StatusOr<schema::Value> const value = loam::unpack<schema::Value>(receiver.take());
+  absl::StatusOr<schema::Value> const value = common::unpack<schema::Value>(receiver.take());
   ASSERT_TRUE(value.ok());
   EXPECT_EQ(value->content, content);
   // Nobody asks any more: it is forgotten, and no longer given.
@@ -143,10 +143,10 @@
   ValueSender sender;
   for (std::uint64_t round = 1; round <= 20; ++round) {
     ValueReceiver receiver(schema::TransferKey{"charter", std::to_string(round), 0}, {"a"});
-    (void)piece(sender, receiver, "bytes", static_cast<loam::Moment>(round));
+    (void)piece(sender, receiver, "bytes", static_cast<common::Moment>(round));
     EXPECT_LE(sender.kept(), constants::transfers_kept);
   }
-  sender.expire(constants::transfer_kept_span + loam::seconds(1));
+  sender.expire(constants::transfer_kept_span + common::seconds(1));
   EXPECT_EQ(sender.kept(), 0u);
 }
 
@@ -154,7 +154,7 @@
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.values_whole = guard;
-    ExpectedViolations const expected({loam::Invariant::vote_is_complete}, !guard);
+    ExpectedViolations const expected({common::Invariant::vote_is_complete}, !guard);
     Trio trio(guards);
     std::string const content = noise(100000);
     trio.accept(content, 3, {0, 1, 2});
@@ -244,15 +244,15 @@
 /// A trellis far from all three acceptors that reads until a majority read is
 /// confirmed, as RegisterClient does; when that was, or -1.
 struct FarReader {
-  almanac::Kernel kernel{1};
+  simulator::Kernel kernel{1};
   Trio trio;
   FarAway far;
   MajorityReader reader;
   TransferGuards guards;
   bool fetching = false;
-  loam::Moment confirmed = -1;
+  common::Moment confirmed = -1;
 
-  explicit FarReader(double bits_per_second, loam::Span one_way, std::size_t inline_bytes)
+  explicit FarReader(double bits_per_second, common::Span one_way, std::size_t inline_bytes)
       : far(kernel, bits_per_second, one_way,
             [this](std::string const& address, schema::Message const& message) -> std::optional<schema::Message> {
               return trio.at(address)->receive(message, kernel.now()).reply;
@@ -301,22 +301,22 @@
               [this, name = missing->name, accepted = missing->accepted](std::optional<std::string> const& bytes) {
                 fetching = false;
                 if (bytes.has_value()) {
-                  reader.learn(name, accepted, *loam::unpack<schema::Value>(*bytes));
+                  reader.learn(name, accepted, *common::unpack<schema::Value>(*bytes));
                 }
               });
     }
   }
   /// The way is cut for one second in every three.
   void cut_now_and_then() {
-    kernel.after(loam::seconds(2), [this] {
+    kernel.after(common::seconds(2), [this] {
       far.up.cut = far.down.cut = true;
-      kernel.after(loam::seconds(1), [this] {
+      kernel.after(common::seconds(1), [this] {
         far.up.cut = far.down.cut = false;
         cut_now_and_then();
       });
     });
   }
-  loam::Moment run(loam::Span most) {
+  common::Moment run(common::Span most) {
     read();
     kernel.run(most, [] {});
     return confirmed;
@@ -325,22 +325,23 @@
 
 /// What a transfer may take (section 5.9): its bytes at the way's pace, one way
 /// there and back a piece, and the read before and after it.
-loam::Span bound_of(std::size_t bytes, double bits_per_second, loam::Span one_way) {
+common::Span bound_of(std::size_t bytes, double bits_per_second, common::Span one_way) {
   std::size_t const pieces = bytes / constants::transfer_piece_bytes + 1;
-  return static_cast<loam::Span>(static_cast<double>(bytes) * 8e6 / bits_per_second) +
-         static_cast<loam::Span>(pieces) * 2 * one_way + 2 * constants::holder_deadline + 2 * constants::confirm_pause;
+  return static_cast<common::Span>(static_cast<double>(bytes) * 8e6 / bits_per_second) +
+         static_cast<common::Span>(pieces) * 2 * one_way + 2 * constants::holder_deadline +
+         2 * constants::confirm_pause;
 }
 
 TEST(CatchUp, AReaderHasTheLargestCharterInABoundedTimeOverANarrowWay) {
   struct Way {
     double bits;
-    loam::Span one_way;
+    common::Span one_way;
   };
   for (Way const way :
-       {Way{5e6, loam::milliseconds(55)}, Way{10e6, loam::milliseconds(55)}, Way{1e6, loam::milliseconds(80)}}) {
+       {Way{5e6, common::milliseconds(55)}, Way{10e6, common::milliseconds(55)}, Way{1e6, common::milliseconds(80)}}) {
     FarReader reader(way.bits, way.one_way, constants::inline_register_bytes);
     reader.trio.accept(noise(large), 3, {0, 1, 2});
-    loam::Moment const confirmed = reader.run(loam::seconds(60));
+    common::Moment const confirmed = reader.run(common::seconds(60));
     std::printf("[ figure ] 2 MB over %.0f Mbit/s, %lld ms one way: confirmed after %lld ms, bound %lld ms\n",
                 way.bits / 1e6, static_cast<long long>(way.one_way / 1000), static_cast<long long>(confirmed / 1000),
                 static_cast<long long>(bound_of(large, way.bits, way.one_way) / 1000));
@@ -350,40 +351,40 @@
     // Whole values in every answer, as it was: never.
     FarReader whole(way.bits, way.one_way, constants::frame_limit);
     whole.trio.accept(noise(large), 3, {0, 1, 2});
-    EXPECT_EQ(whole.run(loam::seconds(60)), -1);
+    EXPECT_EQ(whole.run(common::seconds(60)), -1);
   }
 }
 
 TEST(CatchUp, AWayThatBreaksNowAndThenCostsOnlyThePiecesOnIt) {
   for (bool const resumes : {true, false}) {
-    FarReader reader(5e6, loam::milliseconds(55), constants::inline_register_bytes);
+    FarReader reader(5e6, common::milliseconds(55), constants::inline_register_bytes);
     reader.guards.resumes = resumes;
     reader.trio.accept(noise(large), 3, {0, 1, 2});
     reader.cut_now_and_then();
-    loam::Moment const confirmed = reader.run(loam::seconds(60));
+    common::Moment const confirmed = reader.run(common::seconds(60));
     std::printf("[ figure ] cut for 1 s in every 3 s, resumed: %d, confirmed after %lld ms\n", resumes ? 1 : 0,
                 static_cast<long long>(confirmed / 1000));
-    EXPECT_EQ(confirmed > 0 && confirmed < loam::seconds(25), resumes);
+    EXPECT_EQ(confirmed > 0 && confirmed < common::seconds(25), resumes);
   }
 }
 
 TEST(CatchUp, SmallValuesTakeOneRound) {
-  FarReader reader(5e6, loam::milliseconds(55), constants::inline_register_bytes);
+  FarReader reader(5e6, common::milliseconds(55), constants::inline_register_bytes);
   reader.trio.accept(noise(20000), 3, {0, 1, 2});
-  EXPECT_LT(reader.run(loam::seconds(10)), loam::milliseconds(300));
+  EXPECT_LT(reader.run(common::seconds(10)), common::milliseconds(300));
 }
 
 /// A blank acceptor that is to vote in the next epoch, far from those with images.
 struct FarNewcomer {
-  almanac::Kernel kernel{1};
+  simulator::Kernel kernel{1};
   Trio trio;
   FarAway far;
   Acceptor newcomer{777, "d", {}, 0};
   std::vector<schema::Image> images;
   std::shared_ptr<ValueReceiver> receiver;
-  loam::Moment enrolled = -1;
+  common::Moment enrolled = -1;
 
-  FarNewcomer(double bits_per_second, loam::Span one_way, std::size_t inline_bytes)
+  FarNewcomer(double bits_per_second, common::Span one_way, std::size_t inline_bytes)
       : far(kernel, bits_per_second, one_way,
             [this](std::string const& address, schema::Message const& message) -> std::optional<schema::Message> {
               return trio.at(address)->receive(message, kernel.now()).reply;
@@ -445,7 +446,7 @@
     receiver = std::make_shared<ValueReceiver>(schema::TransferKey{missing[0].name, missing[0].digest, 0}, addresses);
     far.run(receiver, [this, missing, again](std::optional<std::string> const& bytes) {
       if (bytes.has_value()) {
-        supply(images, missing[0].name, missing[0].digest, *loam::unpack<schema::Value>(*bytes));
+        supply(images, missing[0].name, missing[0].digest, *common::unpack<schema::Value>(*bytes));
       } else {
         images.clear();
       }
@@ -454,7 +455,7 @@
   }
   /// The voters go on changing the charter, once a second.
   void storm(std::uint64_t round) {
-    kernel.after(loam::seconds(1), [this, round] {
+    kernel.after(common::seconds(1), [this, round] {
       for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
         (void)trio.acceptors[index].receive(
             schema::Accept{"charter", schema::Ballot{2, round, 9}, schema::Value{round, noise(large, round), {}}},
@@ -467,31 +468,31 @@
 
 TEST(CatchUp, ABlankAcceptorVotesInABoundedTimeOverANarrowWayAlsoUnderChanges) {
   for (bool const storm : {false, true}) {
-    FarNewcomer newcomer(5e6, loam::milliseconds(55), constants::inline_register_bytes);
+    FarNewcomer newcomer(5e6, common::milliseconds(55), constants::inline_register_bytes);
     newcomer.trio.accept(noise(large), 3, {0, 1, 2});
     newcomer.adopt();
     if (storm) {
       newcomer.storm(10);
     }
     newcomer.step();
-    newcomer.kernel.run(loam::seconds(30), [] {});
+    newcomer.kernel.run(common::seconds(30), [] {});
     std::printf("[ figure ] blank acceptor, 2 MB over 5 Mbit/s, 55 ms one way, changes: %d: votes after %lld ms\n",
                 storm ? 1 : 0, static_cast<long long>(newcomer.enrolled / 1000));
     ASSERT_GT(newcomer.enrolled, 0);
-    EXPECT_LE(newcomer.enrolled, bound_of(large, 5e6, loam::milliseconds(55)) + 2 * constants::founding_pause);
+    EXPECT_LE(newcomer.enrolled, bound_of(large, 5e6, common::milliseconds(55)) + 2 * constants::founding_pause);
     EXPECT_EQ(newcomer.newcomer.cells().at("charter").value.content, noise(large));
   }
-  FarNewcomer whole(5e6, loam::milliseconds(55), constants::frame_limit);
+  FarNewcomer whole(5e6, common::milliseconds(55), constants::frame_limit);
   whole.trio.accept(noise(large), 3, {0, 1, 2});
   whole.adopt();
   whole.step();
-  whole.kernel.run(loam::seconds(30), [] {});
+  whole.kernel.run(common::seconds(30), [] {});
   EXPECT_EQ(whole.enrolled, -1);
 }
 
 TEST(Transfer, IsGivenUpWhenItsSourcesStaySilent) {
   consensus::ValueReceiver receiver(schema::TransferKey{"charter", {}, 3}, {"lost"});
-  for (std::size_t silence = 1; silence < loam::constants::transfer_silences_most; ++silence) {
+  for (std::size_t silence = 1; silence < common::constants::transfer_silences_most; ++silence) {
     EXPECT_EQ(receiver.no_answer(), consensus::TransferState::under_way);
   }
   EXPECT_EQ(receiver.no_answer(), consensus::TransferState::gone);
--- a/source/tests/consensus/write_ahead_log_test.cpp
+++ b/source/tests/consensus/write_ahead_log_test.cpp
@@ -3,14 +3,14 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "almanac/disk/memory_disk.hpp"
 #include "consensus/write_ahead_log/file_device.hpp"
+#include "simulator/disk/memory_disk.hpp"
 
 namespace finchlink {
 namespace {
 
-using almanac::MemoryDisk;
 using consensus::WriteAheadLog;
+using simulator::MemoryDisk;
 
 std::vector<schema::Record> cell(std::string const& name, std::uint64_t revision, std::size_t size = 20) {
   schema::Cell entry;
--- a/source/tests/trellis/acceptor_service_test.cpp
+++ b/source/tests/control_plane/acceptor_service_test.cpp
@@ -3,17 +3,17 @@
 #include <boost/asio/io_context.hpp>
 #include <filesystem>
 
-#include "loam/constants.hpp"
-#include "loam/net/net.hpp"
+#include "common/constants.hpp"
+#include "common/net/net.hpp"
+#include "control_plane/acceptor/acceptor_service.hpp"
 #include "tests/own_address.hpp"
-#include "trellis/acceptor/acceptor_service.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 namespace {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-constexpr loam::Span given_up_after = loam::seconds(30);
+constexpr common::Span given_up_after = common::seconds(30);
 
 std::string address_of(std::uint64_t incarnation) {
   return own_ip() + ":" + std::to_string(20120 + incarnation);
@@ -22,18 +22,18 @@
 /// A newcomer on a disk of its own, before three scripted voters of the set before.
 struct NewcomerBeforeThree {
   boost::asio::io_context context;
-  loam::Caller caller{context};
-  std::string folder = testing::TempDir() + "acceptor_service_" + std::to_string(loam::boot_now());
+  common::Caller caller{context};
+  std::string folder = testing::TempDir() + "acceptor_service_" + std::to_string(common::boot_now());
   std::uint64_t silent = 0;  ///< the incarnation of one that never answers
-  loam::Moment first_ask = 0;
+  common::Moment first_ask = 0;
   AcceptorService newcomer{context, caller, (std::filesystem::create_directories(folder), folder), address_of(9), {}};
 
   explicit NewcomerBeforeThree(std::uint64_t silent_one) : silent(silent_one) {
     for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
-      EXPECT_TRUE(loam::serve_frames(context, address_of(incarnation), 8,
-                                     [this, incarnation](schema::Message const& message, loam::Yield yield) {
-                                       return answer(incarnation, message, yield);
-                                     })
+      EXPECT_TRUE(common::serve_frames(context, address_of(incarnation), 8,
+                                       [this, incarnation](schema::Message const& message, common::Yield yield) {
+                                         return answer(incarnation, message, yield);
+                                       })
                       .ok());
     }
     newcomer.begin();
@@ -41,11 +41,12 @@
   }
   ~NewcomerBeforeThree() { std::filesystem::remove_all(folder); }
 
-  std::optional<schema::Message> answer(std::uint64_t incarnation, schema::Message const& message, loam::Yield yield) {
+  std::optional<schema::Message> answer(std::uint64_t incarnation, schema::Message const& message,
+                                        common::Yield yield) {
     schema::ImageAsk const* const ask = std::get_if<schema::ImageAsk>(&message);
-    first_ask = first_ask == 0 ? loam::boot_now() : first_ask;
+    first_ask = first_ask == 0 ? common::boot_now() : first_ask;
     if (incarnation == silent) {
-      loam::pause(context, given_up_after, yield);  // its connection stays open all the while
+      common::pause(context, given_up_after, yield);  // its connection stays open all the while
     }
     if (ask == nullptr) {
       return std::nullopt;
@@ -54,26 +55,26 @@
   }
 
   void run_until(std::function<bool()> const& reached) {
-    loam::Moment const given_up = loam::boot_now() + given_up_after;
-    while (!reached() && loam::boot_now() < given_up) {
-      context.run_one_for(loam::duration(loam::milliseconds(5)));
+    common::Moment const given_up = common::boot_now() + given_up_after;
+    while (!reached() && common::boot_now() < given_up) {
+      context.run_one_for(common::duration(common::milliseconds(5)));
     }
     EXPECT_TRUE(reached());
   }
 
   /// From its first ask for an image to its vote.
-  loam::Span time_to_vote() {
+  common::Span time_to_vote() {
     std::vector<schema::Voter> previous;
     for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
       previous.push_back(schema::Voter{incarnation, address_of(incarnation)});
     }
     std::vector<schema::Voter> holders = previous;
     holders[0] = schema::Voter{newcomer.incarnation(), address_of(9)};
-    loam::start(context, [this, holders, previous](loam::Yield yield) {
+    common::start(context, [this, holders, previous](common::Yield yield) {
       (void)newcomer.receive(schema::Adopt{schema::VoterSet{2, holders, previous, {}, {}}}, yield);
     });
     run_until([this] { return newcomer.voting(); });
-    return loam::boot_now() - first_ask;
+    return common::boot_now() - first_ask;
   }
 };
 
@@ -85,4 +86,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/tests/trellis/answer_check_test.cpp
+++ b/source/tests/control_plane/answer_check_test.cpp
@@ -1,15 +1,15 @@
-#include "trellis/operator/answer_check.hpp"
+#include "control_plane/operator/answer_check.hpp"
 
 #include <gtest/gtest.h>
 
-#include "config/charter/proposal.hpp"
-#include "loam/digest/digest.hpp"
+#include "common/digest/digest.hpp"
+#include "config/routing/proposal.hpp"
 #include "tests/invariant_listener.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 namespace {
 
-using loam::Invariant;
+using common::Invariant;
 
 std::string const charter = config::charter_register;
 
@@ -21,7 +21,7 @@
   AnswerCheck checked;
   ToldFloor const early = checked.begin(charter, 1000);
   checked.answered(charter, checked.begin(charter, 1000), value_of(0, 0), 1000);
-  checked.acknowledged(charter, value_of(1, 10), loam::Digest().add("charter 10").text());
+  checked.acknowledged(charter, value_of(1, 10), common::Digest().add("charter 10").text());
   checked.acknowledged_on(charter, 0, "first");
   checked.acknowledged_on(charter, 0, "first");  // sent again
   checked.answered(charter, checked.begin(charter, 2000), value_of(2, 11), 2500);
@@ -46,7 +46,7 @@
 TEST(AnswerCheck, AnotherContentThanTheOneFoundValidIsSeen) {
   AnswerCheck checked;
   ExpectedViolations const expected({Invariant::acknowledged_as_validated});
-  checked.acknowledged(charter, value_of(1, 10), loam::Digest().add("charter 9").text());
+  checked.acknowledged(charter, value_of(1, 10), common::Digest().add("charter 9").text());
   EXPECT_EQ(expected.count(Invariant::acknowledged_as_validated), 1u);
 }
 
@@ -72,10 +72,10 @@
   config::WantedCharter wanted{"{\"number\":3,\"lanes\":[],\"services\":[]}", false, std::nullopt};
   std::shared_ptr<config::CharterProposalReport> const note = std::make_shared<config::CharterProposalReport>();
   consensus::Proposal const proposal = config::charter_proposal(wanted, config::own_notation(), note)(schema::Value{});
-  ASSERT_TRUE(std::holds_alternative<schema::Value>(proposal)) << loam::describe(note->faults);
+  ASSERT_TRUE(std::holds_alternative<schema::Value>(proposal)) << common::describe(note->faults);
   AnswerCheck checked;
   checked.acknowledged(charter, std::get<schema::Value>(proposal), note->valid_digest);
 }
 
 }  // namespace
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/tests/trellis/late_answer_test.cpp
+++ b/source/tests/control_plane/late_answer_test.cpp
@@ -1,19 +1,19 @@
 #include <gtest/gtest.h>
 
-#include "trellis/operator/late_answer.hpp"
+#include "control_plane/operator/late_answer.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 namespace {
 
-namespace constants = loam::constants;
-namespace http = loam::http;
+namespace constants = common::constants;
+namespace http = common::http;
 
-unsigned int status_after(loam::Span span, http::status status, http::verb verb) {
-  return unless_late(loam::answer_text(status, "{}"), verb, span, constants::acknowledge_wait).result_int();
+unsigned int status_after(common::Span span, http::status status, http::verb verb) {
+  return unless_late(common::answer_text(status, "{}"), verb, span, constants::acknowledge_wait).result_int();
 }
 
 TEST(LateAnswer, NoYesRefusalOrReadingIsGivenByOneThatWasFrozenInTheMiddle) {
-  loam::Span const frozen = loam::seconds(20);
+  common::Span const frozen = common::seconds(20);
   EXPECT_EQ(status_after(frozen, http::status::ok, http::verb::put), 504u);
   EXPECT_EQ(status_after(frozen, http::status::ok, http::verb::post), 504u);
   EXPECT_EQ(status_after(frozen, http::status::ok, http::verb::delete_), 504u);
@@ -23,7 +23,7 @@
 }
 
 TEST(LateAnswer, WhatTookNoLongerThanItsOwnWaitsStands) {
-  loam::Span const longest = longest_call(constants::acknowledge_wait);
+  common::Span const longest = longest_call(constants::acknowledge_wait);
   EXPECT_EQ(longest, 2 * constants::change_deadline + constants::acknowledge_wait);
   EXPECT_EQ(status_after(longest, http::status::ok, http::verb::put), 200u);
   EXPECT_EQ(status_after(longest + 1, http::status::ok, http::verb::put), 504u);
@@ -31,4 +31,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/tests/trellis/read_outcomes_test.cpp
+++ b/source/tests/control_plane/read_outcomes_test.cpp
@@ -1,15 +1,15 @@
 #include <gtest/gtest.h>
 
-#include "loam/constants.hpp"
-#include "trellis/operator/read_latency.hpp"
-#include "trellis/register_client/read_outcomes.hpp"
+#include "common/constants.hpp"
+#include "control_plane/operator/read_latency.hpp"
+#include "control_plane/register_client/read_outcomes.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 namespace {
 
-constexpr loam::Span round_span = loam::milliseconds(100);
+constexpr common::Span round_span = common::milliseconds(100);
 
-ReadRound round_at(loam::Moment began, bool confirmed) {
+ReadRound round_at(common::Moment began, bool confirmed) {
   ReadRound round;
   round.began = began;
   round.ended = began + round_span;
@@ -36,9 +36,9 @@
 TEST(ReadOutcomes, ALossIsToldOnceItLastedAndThenAgain) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(0, true)).has_value());
-  loam::Moment now = round_span;
-  std::vector<loam::Moment> told;
-  for (; now < loam::seconds(6); now += round_span) {
+  common::Moment now = round_span;
+  std::vector<common::Moment> told;
+  for (; now < common::seconds(6); now += round_span) {
     std::optional<ReadsEvent> const event = outcomes.record(round_at(now, false));
     if (event.has_value()) {
       ASSERT_TRUE(std::holds_alternative<ReadsLost>(*event));
@@ -46,8 +46,8 @@
       EXPECT_EQ(std::get<ReadsLost>(*event).unconfirmed, told.back());
     }
   }
-  loam::Moment const first = loam::constants::reads_lost_after + round_span;
-  EXPECT_EQ(told, (std::vector<loam::Moment>{first, first + loam::constants::reads_lost_again}));
+  common::Moment const first = common::constants::reads_lost_after + round_span;
+  EXPECT_EQ(told, (std::vector<common::Moment>{first, first + common::constants::reads_lost_again}));
   std::optional<ReadsEvent> const event = outcomes.record(round_at(now, true));
   ASSERT_TRUE(event.has_value() && std::holds_alternative<ReadsRegained>(*event));
   EXPECT_EQ(std::get<ReadsRegained>(*event).rounds, 59u);
@@ -59,22 +59,22 @@
 TEST(ReadOutcomes, AShortGapIsNotTold) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(0, true)).has_value());
-  EXPECT_FALSE(outcomes.record(round_at(loam::milliseconds(500), false)).has_value());
-  EXPECT_FALSE(outcomes.record(round_at(loam::milliseconds(900), true)).has_value());
+  EXPECT_FALSE(outcomes.record(round_at(common::milliseconds(500), false)).has_value());
+  EXPECT_FALSE(outcomes.record(round_at(common::milliseconds(900), true)).has_value());
 }
 
 TEST(ReadOutcomes, TheFirstReadOfAllCountsFromItsStart) {
   ReadOutcomes outcomes;
-  EXPECT_FALSE(outcomes.record(round_at(loam::seconds(100), false)).has_value());
-  EXPECT_TRUE(outcomes.record(round_at(loam::seconds(101), false)).has_value());
+  EXPECT_FALSE(outcomes.record(round_at(common::seconds(100), false)).has_value());
+  EXPECT_TRUE(outcomes.record(round_at(common::seconds(101), false)).has_value());
 }
 
 TEST(ReadOutcomes, TheRestBeforeALostReadIsToldApartFromTheReadItself) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(0, true)).has_value());
-  std::optional<ReadsEvent> const event = outcomes.record(round_at(loam::seconds(5), false));
+  std::optional<ReadsEvent> const event = outcomes.record(round_at(common::seconds(5), false));
   ASSERT_TRUE(event.has_value());
-  EXPECT_EQ(std::get<ReadsLost>(*event).rest, loam::seconds(5) - round_span);
+  EXPECT_EQ(std::get<ReadsLost>(*event).rest, common::seconds(5) - round_span);
 }
 
 TEST(ReadOutcomes, ALineNamesWhatEachVoterDid) {
@@ -101,8 +101,8 @@
 
 TEST(ReadLatency, BucketsAreCumulativeAndTheLongestIsKept) {
   ReadLatency latency;
-  latency.record(loam::milliseconds(60));
-  latency.record(loam::seconds(5));
+  latency.record(common::milliseconds(60));
+  latency.record(common::seconds(5));
   std::string const text = latency.metrics();
   EXPECT_NE(text.find("trellis_read_seconds_bucket{le=\"0.050000\"} 0\n"), std::string::npos);
   EXPECT_NE(text.find("trellis_read_seconds_bucket{le=\"0.100000\"} 1\n"), std::string::npos);
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/tests/trellis/register_client_test.cpp
+++ b/source/tests/control_plane/register_client_test.cpp
@@ -3,17 +3,17 @@
 #include <boost/asio/io_context.hpp>
 #include <optional>
 
-#include "loam/net/net.hpp"
+#include "common/net/net.hpp"
+#include "control_plane/register_client/register_client.hpp"
 #include "tests/own_address.hpp"
-#include "trellis/register_client/register_client.hpp"
 
-namespace finchlink::trellis {
+namespace finchlink::control_plane {
 namespace {
 
 /// A client of the register before three scripted acceptors that promise and accept whatever comes.
 struct ThreeAcceptors {
   boost::asio::io_context context;
-  loam::Caller caller{context};
+  common::Caller caller{context};
   RegisterClient client{context, caller, 7, {}};
   std::size_t prepares = 0;
   std::size_t accepts = 0;
@@ -24,7 +24,7 @@
     for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
       std::string const address = own_ip() + ":" + std::to_string(20100 + incarnation);
       set.holders.push_back(schema::Voter{incarnation, address});
-      EXPECT_TRUE(loam::serve_frames(context, address, 8, [this](schema::Message const& message, loam::Yield) {
+      EXPECT_TRUE(common::serve_frames(context, address, 8, [this](schema::Message const& message, common::Yield) {
                     return answer(message);
                   }).ok());
     }
@@ -48,14 +48,14 @@
   }
 
   /// One change; the process stands still for `frozen` between promise and accept.
-  RegisterClient::Result change(loam::Span deadline, loam::Span frozen) {
+  RegisterClient::Result change(common::Span deadline, common::Span frozen) {
     std::optional<RegisterClient::Result> result;
-    loam::start(context, [&](loam::Yield yield) {
+    common::start(context, [&](common::Yield yield) {
       result = client.change(
           "charter",
           [frozen](schema::Value const& found) -> consensus::Proposal {
-            loam::Moment const woken = loam::boot_now() + frozen;
-            while (loam::boot_now() < woken) {
+            common::Moment const woken = common::boot_now() + frozen;
+            while (common::boot_now() < woken) {
             }
             return schema::Value{found.revision + 1, "new", {}};
           },
@@ -69,7 +69,7 @@
 
 TEST(RegisterClient, AChangeIsChosenInTwoRounds) {
   ThreeAcceptors world;
-  RegisterClient::Result const result = world.change(loam::seconds(60), 0);
+  RegisterClient::Result const result = world.change(common::seconds(60), 0);
   ASSERT_TRUE(std::holds_alternative<consensus::Chosen>(result));
   EXPECT_EQ(world.client.value("charter").content, "new");
   EXPECT_GE(world.accepts, 2u);
@@ -77,7 +77,7 @@
 
 TEST(RegisterClient, OneFrozenBetweenPrepareAndAcceptSendsNoAcceptBehindItsDeadline) {
   ThreeAcceptors world;
-  loam::Span const deadline = loam::milliseconds(300);
+  common::Span const deadline = common::milliseconds(300);
   RegisterClient::Result const result = world.change(deadline, deadline);
   EXPECT_TRUE(std::holds_alternative<RegisterClient::Unknown>(result));
   EXPECT_GE(world.prepares, 2u);
@@ -86,4 +86,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::trellis
+}  // namespace finchlink::control_plane
--- a/source/tests/invariant_listener.cpp
+++ b/source/tests/invariant_listener.cpp
@@ -5,7 +5,7 @@
 namespace finchlink {
 namespace {
 
-using Counts = std::map<loam::Invariant, std::uint64_t>;
+using Counts = std::map<common::Invariant, std::uint64_t>;
 
 /// Violations of the running test that stood in a scope of ExpectedViolations.
 Counts& expected() {
@@ -19,19 +19,19 @@
  public:
   void OnTestStart(testing::TestInfo const& /*test*/) override {
     expected().clear();
-    (void)loam::take_violations();
-    for (loam::InvariantEntry const& entry : loam::invariant_catalogue()) {
-      before_[entry.invariant] = loam::violation_count(entry.invariant);
+    (void)common::take_violations();
+    for (common::InvariantEntry const& entry : common::invariant_catalogue()) {
+      before_[entry.invariant] = common::violation_count(entry.invariant);
     }
   }
 
   void OnTestEnd(testing::TestInfo const& /*test*/) override {
     std::string details;
-    for (loam::InvariantViolation const& violation : loam::take_violations()) {
-      details += std::string("\n  ") + loam::name_of(violation.invariant) + ": " + violation.detail;
+    for (common::InvariantViolation const& violation : common::take_violations()) {
+      details += std::string("\n  ") + common::name_of(violation.invariant) + ": " + violation.detail;
     }
-    for (loam::InvariantEntry const& entry : loam::invariant_catalogue()) {
-      std::uint64_t const rose = loam::violation_count(entry.invariant) - before_[entry.invariant];
+    for (common::InvariantEntry const& entry : common::invariant_catalogue()) {
+      std::uint64_t const rose = common::violation_count(entry.invariant) - before_[entry.invariant];
       EXPECT_EQ(rose, expected()[entry.invariant]) << "violations of invariant " << entry.name << details;
     }
   }
@@ -48,21 +48,21 @@
 
 }  // namespace
 
-ExpectedViolations::ExpectedViolations(std::initializer_list<loam::Invariant> invariants, bool in_force)
+ExpectedViolations::ExpectedViolations(std::initializer_list<common::Invariant> invariants, bool in_force)
     : in_force_(in_force) {
-  for (loam::Invariant const invariant : invariants) {
-    before_[invariant] = loam::violation_count(invariant);
+  for (common::Invariant const invariant : invariants) {
+    before_[invariant] = common::violation_count(invariant);
   }
 }
 
 ExpectedViolations::~ExpectedViolations() {
-  for (std::pair<loam::Invariant const, std::uint64_t> const& entry : before_) {
+  for (std::pair<common::Invariant const, std::uint64_t> const& entry : before_) {
     expected()[entry.first] += in_force_ ? count(entry.first) : 0;
   }
 }
 
-std::uint64_t ExpectedViolations::count(loam::Invariant invariant) const {
-  return loam::violation_count(invariant) - before_.at(invariant);
+std::uint64_t ExpectedViolations::count(common::Invariant invariant) const {
+  return common::violation_count(invariant) - before_.at(invariant);
 }
 
 }  // namespace finchlink
--- a/source/tests/invariant_listener.hpp
+++ b/source/tests/invariant_listener.hpp
@@ -4,7 +4,7 @@
 #include <initializer_list>
 #include <map>
 
-#include "loam/invariant/invariant.hpp"
+#include "common/invariant/invariant.hpp"
 
 namespace finchlink {
 
@@ -14,16 +14,16 @@
 class ExpectedViolations {
  public:
   /// Only `in_force` excuses: for loops with a guard on and off.
-  explicit ExpectedViolations(std::initializer_list<loam::Invariant> invariants, bool in_force = true);
+  explicit ExpectedViolations(std::initializer_list<common::Invariant> invariants, bool in_force = true);
   ~ExpectedViolations();
   ExpectedViolations(ExpectedViolations const&) = delete;
   ExpectedViolations& operator=(ExpectedViolations const&) = delete;
   /// Violations since the scope began.
-  [[nodiscard]] std::uint64_t count(loam::Invariant invariant) const;
+  [[nodiscard]] std::uint64_t count(common::Invariant invariant) const;
 
  private:
   bool in_force_;
-  std::map<loam::Invariant, std::uint64_t> before_;
+  std::map<common::Invariant, std::uint64_t> before_;
 };
 
 }  // namespace finchlink
--- a/source/tests/membership/cut_off_test.cpp
+++ b/source/tests/membership/cut_off_test.cpp
@@ -5,13 +5,13 @@
 #include <set>
 #include <utility>
 
+#include "common/freshness_constants.hpp"
+#include "common/relay_constants.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "consensus/majority_reader/majority_reader.hpp"
 #include "consensus/proposer/proposer.hpp"
-#include "loam/freshness_constants.hpp"
-#include "loam/relay_constants.hpp"
 #include "membership/freshness/freshness_lease.hpp"
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
 #include "tests/invariant_listener.hpp"
 
 /// Schedules around trellises that are cut off (design 13.15): the cores of a register of three, of their majority
@@ -131,7 +131,7 @@
   }
   /// One round of asks, which starts now; whether a vouched answer came.
   bool ask(std::vector<std::size_t> const& order) {
-    loam::Moment const asked = now;
+    common::Moment const asked = now;
     std::uint64_t const chosen_before = newest_chosen;
     // All are asked at once: what each tells leads on from what was held before any answered.
     std::vector<std::optional<schema::NewsAnswer>> answers;
@@ -162,7 +162,7 @@
   }
   [[nodiscard]] std::set<std::size_t> const& frozen() const { return frozen_; }
 
-  loam::Moment now = loam::seconds(100);
+  common::Moment now = common::seconds(100);
   std::uint64_t newest_chosen = 0;
   std::uint64_t chosen_at_start = 0;
   std::set<std::string> broken;
@@ -185,8 +185,8 @@
     }
     schema::NewsAsk ask;
     ask.member.held = lease_.held();
-    loam::Moment const arrival = now;
-    for (loam::Span const waited : {loam::Span(0), loam::constants::ask_patience}) {
+    common::Moment const arrival = now;
+    for (common::Span const waited : {common::Span(0), common::constants::ask_patience}) {
       if (waited == 0) {
         read(trellis);
       }
@@ -209,7 +209,7 @@
   FreshnessLease lease_;
 };
 
-constexpr loam::Span round_of_asks = loam::constants::lost_patience + loam::constants::ask_retry;
+constexpr common::Span round_of_asks = common::constants::lost_patience + common::constants::ask_retry;
 
 /// A random schedule of cuts, freezes, restarts, changes and asks; gives what it broke.
 std::set<std::string> run(std::uint64_t seed, Guards const& guards) {
@@ -219,7 +219,7 @@
   for (int step = 0; step < 60; ++step) {
     std::size_t const one = random() % trellises;
     std::size_t const other = (one + 1 + random() % (trellises - 1)) % trellises;
-    world.now += loam::milliseconds(static_cast<std::int64_t>(1 + random() % 400));
+    world.now += common::milliseconds(static_cast<std::int64_t>(1 + random() % 400));
     switch (random() % 10) {
       case 0:
         world.cut(one, other);
@@ -241,7 +241,7 @@
         break;
       case 5:
         for (std::size_t const frozen : std::set<std::size_t>(world.frozen())) {
-          world.now += loam::seconds(20);
+          world.now += common::seconds(20);
           world.wake(frozen);
         }
         break;
@@ -278,13 +278,13 @@
 TEST(CutOff, EachGuardOffBreaksSomeSchedule) {
   Guards back;
   back.freshness.never_back = false;
-  ExpectedViolations const expected({loam::Invariant::adopted_revision_rises, loam::Invariant::vouch_after_ask});
+  ExpectedViolations const expected({common::Invariant::adopted_revision_rises, common::Invariant::vouch_after_ask});
   EXPECT_GT(broken_seeds(back), 0u);
   Guards early;
   early.news.confirm_after_arrival = false;
   EXPECT_GT(broken_seeds(early), 0u);
-  EXPECT_GT(expected.count(loam::Invariant::adopted_revision_rises), 0u);
-  EXPECT_GT(expected.count(loam::Invariant::vouch_after_ask), 0u);
+  EXPECT_GT(expected.count(common::Invariant::adopted_revision_rises), 0u);
+  EXPECT_GT(expected.count(common::Invariant::vouch_after_ask), 0u);
 }
 
 /// A trellis that is cut off in one of several ways after it has read revision 1; the others go on to revision 2.
@@ -301,7 +301,7 @@
   if (restarted) {
     world.restart(0);
   }
-  world.now += loam::seconds(1);
+  world.now += common::seconds(1);
   world.change(2);
   world.restart_furrow();
   return world;
@@ -333,13 +333,13 @@
 
 TEST(CutOff, ALostCoreIsToldFromACutOffTrellisByTheWaitAlone) {
   World world = cut_off_world(Guards(), false, false);
-  loam::Moment const first = world.now;
+  common::Moment const first = world.now;
   while (world.held() == 0) {
-    ASSERT_LE(world.now - first, loam::constants::unvouched_wait + round_of_asks);
+    ASSERT_LE(world.now - first, common::constants::unvouched_wait + round_of_asks);
     EXPECT_FALSE(world.ask({0}));
     world.now += round_of_asks;
   }
-  EXPECT_GE(world.now - first, loam::constants::unvouched_wait);
+  EXPECT_GE(world.now - first, common::constants::unvouched_wait);
   EXPECT_EQ(world.held(), 1u);
   EXPECT_TRUE(world.ask({1}));
   EXPECT_EQ(world.held(), 2u);
@@ -349,13 +349,13 @@
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.news.confirm_after_arrival = guard;
-    ExpectedViolations const expected({loam::Invariant::vouch_after_ask}, !guard);
+    ExpectedViolations const expected({common::Invariant::vouch_after_ask}, !guard);
     World world(guards);
     world.change(1);
     world.read(0, true);  // frozen before the answers are read
     world.change(2);
     EXPECT_EQ(world.newest_chosen, 2u);
-    world.now += loam::seconds(20);
+    world.now += common::seconds(20);
     world.wake(0);  // and reads them now
     world.cut(0, 1);
     world.cut(0, 2);
--- a/source/tests/membership/departure_test.cpp
+++ b/source/tests/membership/departure_test.cpp
@@ -2,22 +2,22 @@
 
 #include <gtest/gtest.h>
 
+#include "common/constants.hpp"
 #include "consensus/acceptor/acceptor.hpp"
 #include "lease/lease_granter.hpp"
 #include "lease/lease_holder.hpp"
-#include "loam/constants.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
 #include "membership/session/sessions.hpp"
 
 namespace finchlink {
 namespace {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 using membership::DepartureStep;
 using membership::Peer;
 
-constexpr loam::Moment start = loam::seconds(100);
-constexpr loam::Moment until = start + loam::milliseconds(7700);
+constexpr common::Moment start = common::seconds(100);
+constexpr common::Moment until = start + common::milliseconds(7700);
 
 schema::Voter const voter_a{1, "a"};
 schema::Voter const voter_b{2, "b"};
@@ -36,13 +36,13 @@
       2, {newcomer, voter_b, voter_c}, founded().holders, {}, {voter_b.incarnation, voter_c.incarnation}};
 }
 
-Peer peer(schema::Voter const& voter, bool voting, std::uint64_t epoch, loam::Moment heard, bool leaving = false) {
+Peer peer(schema::Voter const& voter, bool voting, std::uint64_t epoch, common::Moment heard, bool leaving = false) {
   schema::TrellisEntry entry{voter.address, voter.incarnation, "h",   voter.address, "", true,
                              voting,        voter.incarnation, epoch, leaving};
   return Peer{entry, heard};
 }
 
-std::vector<Peer> other_voters(loam::Moment heard, std::uint64_t epoch = 1) {
+std::vector<Peer> other_voters(common::Moment heard, std::uint64_t epoch = 1) {
   return {peer(voter_b, true, epoch, heard), peer(voter_c, true, epoch, heard)};
 }
 
@@ -88,10 +88,10 @@
 TEST(Departure, ASuccessorThatFailsMidwayIsAwaitedUntilTheGraceEnds) {
   membership::Departure departure(1, until);
   std::vector<Peer> peers = other_voters(start, 2);
-  loam::Moment now = start;
+  common::Moment now = start;
   while (now < until) {
     ASSERT_EQ(departure.decide(replaced_first(spare_d), peers, now), DepartureStep::await_votes);
-    now += loam::milliseconds(20);
+    now += common::milliseconds(20);
   }
   EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, now), DepartureStep::go_grace_over);
 }
@@ -99,13 +99,13 @@
 TEST(Departure, ASpareThatWentIsNotAwaited) {
   membership::Departure departure(1, until);
   std::vector<Peer> peers = other_voters(start);
-  peers.push_back(peer(spare_d, false, 0, start - loam::seconds(9)));
+  peers.push_back(peer(spare_d, false, 0, start - common::seconds(9)));
   EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::await_successor)
       << "it gets the chance to answer";
-  loam::Moment now = start;
+  common::Moment now = start;
   while (departure.decide(founded(), peers, now) == DepartureStep::await_successor) {
-    now += loam::milliseconds(20);
-    ASSERT_LE(now - start, constants::departure_contact + loam::milliseconds(20));
+    now += common::milliseconds(20);
+    ASSERT_LE(now - start, constants::departure_contact + common::milliseconds(20));
   }
   EXPECT_EQ(departure.decide(founded(), peers, now), DepartureStep::go_unreplaced);
 }
@@ -125,7 +125,7 @@
   std::vector<Peer> peers = other_voters(start);
   peers.push_back(peer(spare_d, false, 0, start));
   EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::await_successor);
-  loam::Moment const woken = start + loam::seconds(4);
+  common::Moment const woken = start + common::seconds(4);
   EXPECT_EQ(departure.decide(founded(), peers, woken), DepartureStep::await_successor);
   EXPECT_EQ(departure.decide(founded(), peers, until + 1), DepartureStep::go_grace_over);
 }
@@ -230,8 +230,9 @@
   for (schema::Voter const& voter : founded().holders) {
     granters.emplace(voter.incarnation, lease::LeaseGranter(start, false));
   }
-  std::function<void(lease::LeaseHolder&, std::vector<lease::LeaseHolderAction> const&, loam::Moment)> const exchange =
-      [&granters](lease::LeaseHolder& holder, std::vector<lease::LeaseHolderAction> const& actions, loam::Moment now) {
+  std::function<void(lease::LeaseHolder&, std::vector<lease::LeaseHolderAction> const&, common::Moment)> const
+      exchange = [&granters](lease::LeaseHolder& holder, std::vector<lease::LeaseHolderAction> const& actions,
+                             common::Moment now) {
         for (lease::LeaseHolderAction const& action : actions) {
           if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
             bool const granted = granters.at(send->to.incarnation).ask(send->ask, now);
@@ -243,11 +244,11 @@
   ASSERT_TRUE(leaver.holds(start));
   exchange(other, other.tick(founded(), start), start);
   EXPECT_FALSE(other.holds(start));
-  loam::Moment const told = start + loam::milliseconds(10);
+  common::Moment const told = start + common::milliseconds(10);
   exchange(leaver, leaver.release(), told);
   EXPECT_FALSE(leaver.holds(told));
-  EXPECT_TRUE(leaver.tick(founded(), told + loam::seconds(5)).empty());
-  loam::Moment const next = start + constants::lease_renew;
+  EXPECT_TRUE(leaver.tick(founded(), told + common::seconds(5)).empty());
+  common::Moment const next = start + constants::lease_renew;
   exchange(other, other.tick(founded(), next), next);
   EXPECT_TRUE(other.holds(next));
 }
--- a/source/tests/membership/digest_test.cpp
+++ b/source/tests/membership/digest_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "loam/digest/digest.hpp"
+#include "common/digest/digest.hpp"
 #include "membership/listing/listing.hpp"
 #include "membership/session/sessions.hpp"
 
@@ -17,10 +17,10 @@
 }
 
 TEST(Digests, PartsDoNotRunIntoEachOther) {
-  EXPECT_NE(loam::Digest().add("ab").add("c").text(), loam::Digest().add("a").add("bc").text());
-  EXPECT_EQ(loam::Digest().add("ab").text().size(), 32u);
-  EXPECT_NE(loam::Digest().short_value(), 0u);
-  EXPECT_LT(loam::Digest().add("x").short_value(), 1ULL << 53u);
+  EXPECT_NE(common::Digest().add("ab").add("c").text(), common::Digest().add("a").add("bc").text());
+  EXPECT_EQ(common::Digest().add("ab").text().size(), 32u);
+  EXPECT_NE(common::Digest().short_value(), 0u);
+  EXPECT_LT(common::Digest().add("x").short_value(), 1ULL << 53u);
 }
 
 TEST(Digests, OfAListLeaveOutWhatCountsDown) {
@@ -61,16 +61,16 @@
   schema::PlatformList list{0, {worker("a"), worker("b")}};
   list.workers[0].left_ms = 500;
   list.workers[1].cold_ms = 0;
-  ASSERT_TRUE(listing.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(listing.keep(list, common::seconds(1), common::seconds(1)));
   std::uint64_t const digest = listing.digest();
-  listing.renew(loam::seconds(2));
+  listing.renew(common::seconds(2));
   EXPECT_EQ(listing.list().workers[0].cold_ms, 2000u);
   EXPECT_EQ(listing.list().workers[0].left_ms, 1u);
   EXPECT_EQ(listing.list().workers[1].cold_ms, 0u);
   EXPECT_EQ(listing.digest(), digest);
-  EXPECT_EQ(listing.age(loam::seconds(2)), 0);
-  listing.renew(loam::seconds(1));  // older word changes nothing
-  EXPECT_EQ(listing.age(loam::seconds(2)), 0);
+  EXPECT_EQ(listing.age(common::seconds(2)), 0);
+  listing.renew(common::seconds(1));  // older word changes nothing
+  EXPECT_EQ(listing.age(common::seconds(2)), 0);
 }
 
 }  // namespace
--- a/source/tests/membership/freshness_lease_test.cpp
+++ b/source/tests/membership/freshness_lease_test.cpp
@@ -1,22 +1,22 @@
 #include <gtest/gtest.h>
 
+#include "common/constants.hpp"
+#include "common/freshness_constants.hpp"
+#include "common/json/tree.hpp"
+#include "common/relay_constants.hpp"
 #include "lease/lease_granter.hpp"
 #include "lease/lease_holder.hpp"
-#include "loam/constants.hpp"
-#include "loam/freshness_constants.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/relay_constants.hpp"
 #include "membership/freshness/freshness_lease.hpp"
 #include "membership/listing/listing.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
 #include "membership/session/sessions.hpp"
 #include "tests/invariant_listener.hpp"
 
 namespace finchlink {
 namespace {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 schema::NewsAnswer news(std::uint64_t revision, bool vouched) {
   schema::NewsAnswer answer;
@@ -30,25 +30,25 @@
   for (bool const guard : {true, false}) {
     membership::FreshnessGuards guards;
     guards.never_back = guard;
-    ExpectedViolations const expected({loam::Invariant::adopted_revision_rises}, !guard);
+    ExpectedViolations const expected({common::Invariant::adopted_revision_rises}, !guard);
     membership::FreshnessLease vouch(guards);
     EXPECT_EQ(vouch.take(news(5, true), 0, 10).size(), 1u);
     // A late answer of a trellis that lagged.
     EXPECT_EQ(vouch.take(news(4, true), 5, 20).empty(), guard);
     EXPECT_EQ(vouch.held().at("setup"), guard ? 5u : 4u);
-    EXPECT_EQ(expected.count(loam::Invariant::adopted_revision_rises), guard ? 0u : 1u);
+    EXPECT_EQ(expected.count(common::Invariant::adopted_revision_rises), guard ? 0u : 1u);
   }
 }
 
 TEST(FreshnessLease, CountsFromWhenTheAskWasSent) {
   membership::FreshnessLease vouch;
   // The answer is read 10 s after the ask: a freeze lay between.
-  (void)vouch.take(news(1, true), loam::seconds(1), loam::seconds(11));
-  EXPECT_FALSE(vouch.vouched(loam::seconds(11)));
-  EXPECT_FALSE(vouch.list_fresh(loam::seconds(11)));
-  (void)vouch.take(news(1, true), loam::seconds(12), loam::seconds(12));
-  EXPECT_TRUE(vouch.vouched(loam::seconds(12) + constants::vouch_bound - 1));
-  EXPECT_FALSE(vouch.vouched(loam::seconds(12) + constants::vouch_bound));
+  (void)vouch.take(news(1, true), common::seconds(1), common::seconds(11));
+  EXPECT_FALSE(vouch.vouched(common::seconds(11)));
+  EXPECT_FALSE(vouch.list_fresh(common::seconds(11)));
+  (void)vouch.take(news(1, true), common::seconds(12), common::seconds(12));
+  EXPECT_TRUE(vouch.vouched(common::seconds(12) + constants::vouch_bound - 1));
+  EXPECT_FALSE(vouch.vouched(common::seconds(12) + constants::vouch_bound));
 }
 
 TEST(FreshnessLease, OneThatHasJustStartedWaitsForAVouchedWord) {
@@ -56,11 +56,11 @@
     membership::FreshnessGuards guards;
     guards.wait_for_vouch = guard;
     membership::FreshnessLease lease(guards);
-    loam::Moment const first = loam::seconds(10);
+    common::Moment const first = common::seconds(10);
     // A trellis that is cut off holds revision 4, the others have gone on to 5.
     EXPECT_EQ(lease.take(news(4, false), first, first).empty(), guard);
     EXPECT_EQ(lease.held().empty(), guard) << "so that it is told all by who knows";
-    EXPECT_EQ(lease.take(news(4, false), first + constants::unvouched_wait - 1, first + loam::seconds(60)).empty(),
+    EXPECT_EQ(lease.take(news(4, false), first + constants::unvouched_wait - 1, first + common::seconds(60)).empty(),
               true)
         << "counted by asks: an answer that is read after a freeze is no newer for it";
     EXPECT_EQ(lease.take(news(5, true), first + constants::unvouched_wait, first + constants::unvouched_wait).size(),
@@ -71,18 +71,18 @@
 
 TEST(FreshnessLease, WithoutAMajorityForLongItTakesWhatIsKnown) {
   membership::FreshnessLease lease;
-  loam::Moment const first = loam::seconds(10);
+  common::Moment const first = common::seconds(10);
   EXPECT_TRUE(lease.take(news(4, false), first, first).empty());
-  loam::Moment const later = first + constants::unvouched_wait;
+  common::Moment const later = first + constants::unvouched_wait;
   EXPECT_EQ(lease.take(news(4, false), later, later).size(), 1u);
   EXPECT_FALSE(lease.vouched(later));
-  EXPECT_FALSE(lease.confirmed_within(loam::seconds(600), later));
+  EXPECT_FALSE(lease.confirmed_within(common::seconds(600), later));
 }
 
 TEST(FreshnessLease, OneThatWasVouchedForTakesNewerWordsFromAll) {
   // Whatever a trellis knows was chosen once, so what is newer than a vouched word is no step back.
   membership::FreshnessLease lease;
-  loam::Moment const first = loam::seconds(10);
+  common::Moment const first = common::seconds(10);
   EXPECT_EQ(lease.take(news(4, true), first, first).size(), 1u);
   EXPECT_EQ(lease.take(news(5, false), first + 1, first + 1).size(), 1u);
   EXPECT_TRUE(lease.take(news(4, false), first + 2, first + 2).empty());
@@ -90,13 +90,13 @@
 
 TEST(FreshnessLease, IsConfirmedFromWhenTheAskWasSent) {
   membership::FreshnessLease lease;
-  EXPECT_FALSE(lease.confirmed_within(loam::seconds(1), 0));
+  EXPECT_FALSE(lease.confirmed_within(common::seconds(1), 0));
   // Read 20 s after the ask: a freeze lay between.
-  (void)lease.take(news(1, true), loam::seconds(1), loam::seconds(21));
-  EXPECT_FALSE(lease.confirmed_within(constants::charter_confirmed_bound, loam::seconds(21)));
-  (void)lease.take(news(1, true), loam::seconds(22), loam::seconds(22));
-  (void)lease.take(news(1, true), loam::seconds(2), loam::seconds(23));  // a late answer takes nothing back
-  EXPECT_TRUE(lease.confirmed_within(constants::charter_confirmed_bound, loam::seconds(24)));
+  (void)lease.take(news(1, true), common::seconds(1), common::seconds(21));
+  EXPECT_FALSE(lease.confirmed_within(constants::charter_confirmed_bound, common::seconds(21)));
+  (void)lease.take(news(1, true), common::seconds(22), common::seconds(22));
+  (void)lease.take(news(1, true), common::seconds(2), common::seconds(23));  // a late answer takes nothing back
+  EXPECT_TRUE(lease.confirmed_within(constants::charter_confirmed_bound, common::seconds(24)));
 }
 
 TEST(NewsResponder, VouchesOnlyForReadsBegunAfterTheAsk) {
@@ -128,24 +128,24 @@
 TEST(Bounds, AddUpToWhatIsAllowed) {
   // design.md section 4: every furrow has stopped or changed before yes is said.
   EXPECT_GE(constants::acknowledge_wait, constants::vouch_bound + constants::vouch_bound / 10 + constants::ask_retry);
-  EXPECT_LE(constants::acknowledge_wait, loam::milliseconds(2500));
+  EXPECT_LE(constants::acknowledge_wait, common::milliseconds(2500));
   // Two failed asks and a good one fit into the vouch bound.
-  EXPECT_LE(constants::ask_deadline + constants::ask_retry + constants::ask_hold + loam::milliseconds(200),
+  EXPECT_LE(constants::ask_deadline + constants::ask_retry + constants::ask_hold + common::milliseconds(200),
             constants::vouch_bound);
   // One that has just started hears a vouched word before it takes another: two rounds of asks.
   EXPECT_GE(constants::unvouched_wait,
             2 * (constants::lost_patience + constants::ask_retry + constants::relay_connect_deadline / 2));
   // In touch the newest vouch is younger: two asks held, one that failed, pauses between them, the ways.
   EXPECT_GE(constants::charter_confirmed_bound, 2 * constants::wide_ask_hold + constants::wide_ask_deadline +
-                                                    2 * constants::ask_least + loam::milliseconds(500));
+                                                    2 * constants::ask_least + common::milliseconds(500));
   // Draining: last read of the list before it showed, its bound, clocks apart.
-  EXPECT_LE(constants::list_bound + constants::list_bound / 10, loam::milliseconds(4000));
+  EXPECT_LE(constants::list_bound + constants::list_bound / 10, common::milliseconds(4000));
   EXPECT_GT(constants::session_bound, constants::vouch_bound);
   EXPECT_GE(constants::lease_reserve, constants::lease_span / 10);
   EXPECT_GE(constants::lease_silence, constants::lease_span + constants::lease_span / 10);
   // Retries: 0.1 of the arrivals of fifteen seconds fall into ten.
-  EXPECT_LE(constants::retry_share * static_cast<double>(loam::seconds(10) + constants::retry_life) /
-                static_cast<double>(loam::seconds(10)),
+  EXPECT_LE(constants::retry_share * static_cast<double>(common::seconds(10) + constants::retry_life) /
+                static_cast<double>(common::seconds(10)),
             0.2);
 }
 
@@ -179,20 +179,20 @@
     consensus::Guards guards;
     guards.tenant_stops_early = guard;
     lease::LeaseHolder slow("duty", 10, guards);
-    std::vector<lease::LeaseGranter> granters(3, lease::LeaseGranter(-loam::seconds(100), true));
-    std::vector<lease::LeaseHolderAction> const asks = slow.tick(three(), loam::seconds(1));
+    std::vector<lease::LeaseGranter> granters(3, lease::LeaseGranter(-common::seconds(100), true));
+    std::vector<lease::LeaseHolderAction> const asks = slow.tick(three(), common::seconds(1));
     std::vector<schema::LeaseAnswer> answers;
     for (std::size_t index = 0; index < 3; ++index) {
       schema::LeaseAsk const& ask = std::get<lease::SendAsk>(asks[index]).ask;
-      answers.push_back(schema::LeaseAnswer{granters[index].ask(ask, loam::seconds(1)), index + 1, ask.round, {}});
+      answers.push_back(schema::LeaseAnswer{granters[index].ask(ask, common::seconds(1)), index + 1, ask.round, {}});
     }
     // The answers are slow, or this machine was frozen: read 2.5 s later.
     for (schema::LeaseAnswer const& answer : answers) {
-      (void)slow.receive(answer, loam::milliseconds(3500));
+      (void)slow.receive(answer, common::milliseconds(3500));
     }
     // Another gets the lease as soon as the first one's span is over.
     lease::LeaseHolder other("duty", 20);
-    loam::Moment const then = loam::seconds(1) + constants::lease_span;
+    common::Moment const then = common::seconds(1) + constants::lease_span;
     for (lease::LeaseHolderAction const& action : other.tick(three(), then)) {
       lease::SendAsk const& send = std::get<lease::SendAsk>(action);
       (void)other.receive(
@@ -207,10 +207,10 @@
 
 TEST(Lease, HolderThatForgotGrantsNothingForASpan) {
   for (bool const guard : {true, false}) {
-    lease::LeaseGranter restarted(loam::seconds(5), guard);
+    lease::LeaseGranter restarted(common::seconds(5), guard);
     schema::LeaseAsk const ask{1, "duty", 20, constants::lease_span, false, 1};
-    EXPECT_EQ(restarted.ask(ask, loam::seconds(5)), !guard);
-    EXPECT_TRUE(restarted.ask(ask, loam::seconds(5) + constants::lease_silence));
+    EXPECT_EQ(restarted.ask(ask, common::seconds(5)), !guard);
+    EXPECT_TRUE(restarted.ask(ask, common::seconds(5) + constants::lease_silence));
   }
 }
 
@@ -218,16 +218,16 @@
   membership::Listing listing;
   schema::PlatformList list;
   list.revision = 500;
-  EXPECT_TRUE(listing.keep(list, loam::seconds(1), loam::seconds(1)));
+  EXPECT_TRUE(listing.keep(list, common::seconds(1), common::seconds(1)));
   // A lagging replica for a moment: nothing that was shown draining comes back.
   list.revision = 499;
-  EXPECT_FALSE(listing.keep(list, loam::seconds(2), loam::seconds(2)));
+  EXPECT_FALSE(listing.keep(list, common::seconds(2), common::seconds(2)));
   list.revision = 501;
-  EXPECT_TRUE(listing.keep(list, loam::milliseconds(2300), loam::milliseconds(2300)));
+  EXPECT_TRUE(listing.keep(list, common::milliseconds(2300), common::milliseconds(2300)));
   // It counts anew: taken for good, and before furrows stop for its age.
   list.revision = 1;
-  loam::Moment const since = loam::seconds(3);
-  loam::Moment now = since;
+  common::Moment const since = common::seconds(3);
+  common::Moment now = since;
   while (!listing.keep(list, now, now)) {
     ASSERT_LT(listing.age(now), constants::list_bound) << "service stops";
     now += constants::list_pause;
@@ -331,7 +331,7 @@
   first.holders[2] = {44, "d"};
   schema::VoterSet second = first;
   second.holders[2] = {55, "e"};
-  schema::Value const chosen{1, loam::print_tree(loam::Tree(schema::write(first)).get()), {}};
+  schema::Value const chosen{1, common::print_tree(common::Tree(schema::write(first)).get()), {}};
   EXPECT_TRUE(std::holds_alternative<consensus::Reject>(membership::reconfiguration_proposal(three(), second)(chosen)));
   EXPECT_TRUE(
       std::holds_alternative<schema::Value>(membership::reconfiguration_proposal(three(), first)(schema::Value{})));
--- a/source/tests/membership/gossip_schedule_test.cpp
+++ b/source/tests/membership/gossip_schedule_test.cpp
@@ -4,17 +4,17 @@
 
 #include <optional>
 
-#include "loam/constants.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/constants.hpp"
+#include "common/relay_constants.hpp"
 #include "membership/session/sessions.hpp"
 
 namespace finchlink::membership {
 namespace {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
-constexpr loam::Span step = loam::milliseconds(10);
-constexpr loam::Span patience = 2 * constants::wide_tell_pause;
+constexpr common::Span step = common::milliseconds(10);
+constexpr common::Span patience = 2 * constants::wide_tell_pause;
 
 schema::TrellisEntry trellis(std::string const& name) {
   schema::TrellisEntry entry;
@@ -41,10 +41,10 @@
   Sessions listener(trellis("listener"), constants::wide_session_bound);
   GossipSchedule schedule;
   std::uint64_t known_there = 0;
-  loam::Moment next_ask = 0;
-  loam::Moment next_round = 0;
+  common::Moment next_ask = 0;
+  common::Moment next_round = 0;
   std::size_t ended = 0;
-  for (loam::Moment now = loam::seconds(1); now < loam::seconds(61); now += step) {
+  for (common::Moment now = common::seconds(1); now < common::seconds(61); now += step) {
     if (now >= next_ask) {
       (void)teller.heard(furrow(), now);
       next_ask = now + constants::wide_ask_hold + constants::ask_least;
--- a/source/tests/membership/copy_test.cpp
+++ b/source/tests/membership/replica_test.cpp
@@ -1,17 +1,17 @@
-#include "membership/copy/copy.hpp"
+#include "membership/replica/replica.hpp"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "loam/constants.hpp"
-#include "loam/wire/frame.hpp"
-#include "loam/wire/pack.hpp"
+#include "common/constants.hpp"
+#include "common/wire/frame.hpp"
+#include "common/wire/pack.hpp"
 
 namespace finchlink {
 namespace {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 schema::WorkerEntry worker(std::string const& id, std::uint64_t cold_ms = 0, bool draining = false) {
   schema::WorkerEntry entry;
@@ -39,7 +39,7 @@
 
 /// What a trellis tells an asker that holds this, sent and read back.
 schema::NewsAnswer answer_of(membership::Listing const& listing, membership::Sessions const& sessions,
-                             std::uint64_t list, std::uint64_t members, loam::Moment now) {
+                             std::uint64_t list, std::uint64_t members, common::Moment now) {
   schema::NewsAnswer answer;
   answer.vouched = true;
   membership::ListNews const told = listing.since(list);
@@ -55,11 +55,11 @@
   answer.members = known.members;
   answer.members_gone = known.gone;
   answer.members_digest = known.digest;
-  absl::StatusOr<schema::Message> const read = loam::unpack<schema::Message>(loam::pack(schema::Message(answer)));
+  absl::StatusOr<schema::Message> const read = common::unpack<schema::Message>(common::pack(schema::Message(answer)));
   return std::get<schema::NewsAnswer>(*read);
 }
 
-bool take(membership::ListCopy& copy, membership::Listing const& teller, loam::Moment now) {
+bool take(membership::ListCopy& copy, membership::Listing const& teller, common::Moment now) {
   return copy.take(teller.since(copy.digest()), teller.age(now), now);
 }
 
@@ -74,20 +74,20 @@
 TEST(ListCopy, IsToldOnlyWhatChanged) {
   membership::Listing teller;
   schema::PlatformList list = many(600);
-  ASSERT_TRUE(teller.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(2)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(2)));
   EXPECT_EQ(copy.list(), teller.list());
-  EXPECT_EQ(copy.as_of(), loam::seconds(1));
+  EXPECT_EQ(copy.as_of(), common::seconds(1));
   list.workers[7].draining = true;
   list.workers.erase(list.workers.begin() + 9);
   list.workers.push_back(worker("worker-0001"));
-  ASSERT_TRUE(teller.keep(list, loam::seconds(3), loam::seconds(3)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(3), common::seconds(3)));
   membership::ListNews const news = teller.since(copy.digest());
   EXPECT_EQ(news.from, copy.digest());
   EXPECT_EQ(news.list.workers.size(), 2u);
   EXPECT_EQ(news.gone, std::vector<std::string>{"worker-1009"});
-  ASSERT_TRUE(copy.take(news, 0, loam::seconds(3)));
+  ASSERT_TRUE(copy.take(news, 0, common::seconds(3)));
   EXPECT_EQ(copy.list(), teller.list());
   EXPECT_TRUE(teller.since(copy.digest()).same);
 }
@@ -96,13 +96,13 @@
   membership::Listing teller;
   membership::Listing other;
   schema::PlatformList list = many(5);
-  ASSERT_TRUE(teller.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(1)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   list.workers[0].draining = true;
-  ASSERT_TRUE(other.keep(list, loam::seconds(2), loam::seconds(2)));  // it never held the first one
+  ASSERT_TRUE(other.keep(list, common::seconds(2), common::seconds(2)));  // it never held the first one
   EXPECT_EQ(other.since(copy.digest()).from, 0u);
-  ASSERT_TRUE(take(copy, other, loam::seconds(2)));
+  ASSERT_TRUE(take(copy, other, common::seconds(2)));
   EXPECT_EQ(copy.list(), other.list());
 }
 
@@ -111,16 +111,16 @@
   membership::Listing other;
   schema::PlatformList list = many(5);
   std::reverse(list.workers.begin(), list.workers.end());
-  ASSERT_TRUE(teller.keep(many(5), loam::seconds(1), loam::seconds(1)));
-  ASSERT_TRUE(other.keep(many(9), loam::milliseconds(500), loam::seconds(1)));
-  ASSERT_TRUE(other.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(many(5), common::seconds(1), common::seconds(1)));
+  ASSERT_TRUE(other.keep(many(9), common::milliseconds(500), common::seconds(1)));
+  ASSERT_TRUE(other.keep(list, common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(1)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   EXPECT_TRUE(other.since(copy.digest()).same);
   list.workers[2].capacity = 9;
-  ASSERT_TRUE(other.keep(list, loam::seconds(2), loam::seconds(2)));
+  ASSERT_TRUE(other.keep(list, common::seconds(2), common::seconds(2)));
   EXPECT_NE(other.since(copy.digest()).from, 0u);
-  ASSERT_TRUE(take(copy, other, loam::seconds(2)));
+  ASSERT_TRUE(take(copy, other, common::seconds(2)));
   EXPECT_EQ(copy.list(), other.list());
 }
 
@@ -128,80 +128,80 @@
   membership::Listing teller;
   membership::Listing behind;
   schema::PlatformList list = many(3);
-  ASSERT_TRUE(behind.keep(list, loam::seconds(1), loam::seconds(1)));
-  ASSERT_TRUE(teller.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(behind.keep(list, common::seconds(1), common::seconds(1)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   list.workers[0].draining = true;
-  ASSERT_TRUE(teller.keep(list, loam::seconds(5), loam::seconds(5)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(5), common::seconds(5)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(6)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(6)));
   std::uint64_t const digest = copy.digest();
-  EXPECT_FALSE(take(copy, behind, loam::seconds(7)));  // its age counts from this ask
+  EXPECT_FALSE(take(copy, behind, common::seconds(7)));  // its age counts from this ask
   EXPECT_EQ(copy.digest(), digest);
-  EXPECT_EQ(copy.as_of(), loam::seconds(5));
+  EXPECT_EQ(copy.as_of(), common::seconds(5));
   EXPECT_TRUE(copy.list().workers[0].draining);
 }
 
 TEST(ListCopy, WhatLeadsElsewhereIsLeftAndAllIsAskedFor) {
   membership::Listing teller;
   schema::PlatformList list = many(4);
-  ASSERT_TRUE(teller.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(1)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   schema::PlatformList const held = copy.list();
   list.workers[1].draining = true;
-  ASSERT_TRUE(teller.keep(list, loam::seconds(2), loam::seconds(2)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(2), common::seconds(2)));
   membership::ListNews news = teller.since(copy.digest());
   news.list.workers[0].capacity = 77;
-  EXPECT_FALSE(copy.take(news, 0, loam::seconds(2)));
+  EXPECT_FALSE(copy.take(news, 0, common::seconds(2)));
   EXPECT_EQ(copy.list(), held);  // in use meanwhile, and no fresher than it was
-  EXPECT_EQ(copy.as_of(), loam::seconds(1));
+  EXPECT_EQ(copy.as_of(), common::seconds(1));
   EXPECT_EQ(copy.digest(), 0u);
   EXPECT_EQ(teller.since(0).from, 0u);
-  ASSERT_TRUE(take(copy, teller, loam::seconds(2)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(2)));
   EXPECT_EQ(copy.list(), teller.list());
 }
 
 TEST(ListCopy, WhatLeadsOnFromAnotherListIsLeft) {
   membership::Listing teller;
   schema::PlatformList list = many(4);
-  ASSERT_TRUE(teller.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(1)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   list.workers[1].draining = true;
-  ASSERT_TRUE(teller.keep(list, loam::seconds(2), loam::seconds(2)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(2), common::seconds(2)));
   membership::ListNews const late = teller.since(copy.digest());
   list.workers[2].draining = true;
-  ASSERT_TRUE(teller.keep(list, loam::seconds(3), loam::seconds(3)));
-  ASSERT_TRUE(take(copy, teller, loam::seconds(3)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(3), common::seconds(3)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(3)));
   std::uint64_t const digest = copy.digest();
   // Even where its word is the newer one: it changes neither list nor age.
-  EXPECT_FALSE(copy.take(late, 0, loam::seconds(4)));
+  EXPECT_FALSE(copy.take(late, 0, common::seconds(4)));
   EXPECT_EQ(copy.digest(), digest);
-  EXPECT_EQ(copy.as_of(), loam::seconds(3));
+  EXPECT_EQ(copy.as_of(), common::seconds(3));
   EXPECT_EQ(copy.list(), teller.list());
   // Neither does the word that another list is still the same.
   membership::ListNews same;
   same.same = true;
   same.digest = digest + 1;
-  EXPECT_FALSE(copy.take(same, 0, loam::seconds(5)));
-  EXPECT_EQ(copy.as_of(), loam::seconds(3));
+  EXPECT_FALSE(copy.take(same, 0, common::seconds(5)));
+  EXPECT_EQ(copy.as_of(), common::seconds(3));
   same.digest = digest;
-  EXPECT_FALSE(copy.take(same, 0, loam::seconds(5)));
-  EXPECT_EQ(copy.as_of(), loam::seconds(5));
+  EXPECT_FALSE(copy.take(same, 0, common::seconds(5)));
+  EXPECT_EQ(copy.as_of(), common::seconds(5));
 }
 
 TEST(ListCopy, WhatCountsDownIsToldWithEachChange) {
   membership::Listing teller;
   schema::PlatformList list{0, {worker("a", 3000), worker("b"), worker("c")}};
-  ASSERT_TRUE(teller.keep(list, loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(1)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   list.workers[0].cold_ms = 2900;  // it was cold anew between two lists
-  ASSERT_TRUE(teller.keep(list, loam::seconds(3), loam::seconds(3)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(3), common::seconds(3)));
   list.workers[1].draining = true;
   list.workers[0].cold_ms = 2400;
-  ASSERT_TRUE(teller.keep(list, loam::milliseconds(3500), loam::milliseconds(3500)));
-  ASSERT_TRUE(take(copy, teller, loam::milliseconds(3500)));
+  ASSERT_TRUE(teller.keep(list, common::milliseconds(3500), common::milliseconds(3500)));
+  ASSERT_TRUE(take(copy, teller, common::milliseconds(3500)));
   EXPECT_EQ(copy.list(), teller.list());
   EXPECT_EQ(copy.list().workers[0].cold_ms, 2400u);
   EXPECT_EQ(teller.since(copy.digest()).same, true);
@@ -209,15 +209,15 @@
 
 TEST(ListCopy, AListReadElsewhereIsNotLedOnFrom) {
   membership::Listing teller;
-  ASSERT_TRUE(teller.keep(many(3), loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(many(3), common::seconds(1), common::seconds(1)));
   membership::ListCopy copy;
-  ASSERT_TRUE(take(copy, teller, loam::seconds(1)));
-  copy.put(many(2), loam::seconds(2));
+  ASSERT_TRUE(take(copy, teller, common::seconds(1)));
+  copy.put(many(2), common::seconds(2));
   EXPECT_EQ(copy.digest(), 0u);
-  EXPECT_FALSE(take(copy, teller, loam::seconds(3)));  // older than the own one
+  EXPECT_FALSE(take(copy, teller, common::seconds(3)));  // older than the own one
   EXPECT_EQ(copy.list().workers.size(), 2u);
-  ASSERT_TRUE(teller.keep(many(4), loam::seconds(4), loam::seconds(4)));
-  ASSERT_TRUE(take(copy, teller, loam::seconds(4)));
+  ASSERT_TRUE(teller.keep(many(4), common::seconds(4), common::seconds(4)));
+  ASSERT_TRUE(take(copy, teller, common::seconds(4)));
   EXPECT_EQ(copy.list(), teller.list());
 }
 
@@ -228,11 +228,11 @@
     membership::Sessions nobody(trellis("t"));
     membership::ListCopy copies[4];
     schema::PlatformList list;
-    loam::Moment now = loam::seconds(10);
+    common::Moment now = common::seconds(10);
     std::size_t led = 0;
     for (int step = 0; step < 150; ++step) {
-      now += loam::milliseconds(50 + static_cast<std::int64_t>(random() % 400));
-      membership::count_down(list, loam::milliseconds(50));
+      now += common::milliseconds(50 + static_cast<std::int64_t>(random() % 400));
+      membership::count_down(list, common::milliseconds(50));
       std::string const id = "w" + std::to_string(random() % 15);
       std::erase_if(list.workers, [&id](schema::WorkerEntry const& entry) { return entry.id == id; });
       if (random() % 3 != 0) {
@@ -257,7 +257,7 @@
         if (random() % 2 == 0 || teller.age(now) < 0) {
           continue;
         }
-        loam::Moment const before = copy.as_of();
+        common::Moment const before = copy.as_of();
         schema::NewsAnswer const answer = answer_of(teller, nobody, copy.digest(), 0, now);
         led += answer.list_from != 0 ? 1 : 0;
         bool const lost = random() % 5 == 0;
@@ -278,19 +278,19 @@
 TEST(Listing, AColleaguesNewsThatLeadElsewhereIsLeftAndAllIsWanted) {
   membership::Listing teller;
   membership::Listing other;
-  ASSERT_TRUE(teller.keep(many(4), loam::seconds(1), loam::seconds(1)));
-  ASSERT_TRUE(other.take(teller.since(other.wanted()), loam::seconds(1), loam::seconds(1)));
+  ASSERT_TRUE(teller.keep(many(4), common::seconds(1), common::seconds(1)));
+  ASSERT_TRUE(other.take(teller.since(other.wanted()), common::seconds(1), common::seconds(1)));
   schema::PlatformList list = many(5);
-  ASSERT_TRUE(teller.keep(list, loam::seconds(2), loam::seconds(2)));
+  ASSERT_TRUE(teller.keep(list, common::seconds(2), common::seconds(2)));
   membership::ListNews news = teller.since(other.wanted());
   ASSERT_NE(news.from, 0u);
   ASSERT_EQ(news.list.workers.size(), 1u);
   news.list.workers[0].address = "spoiled";
-  EXPECT_FALSE(other.take(news, loam::seconds(2), loam::seconds(2)));
+  EXPECT_FALSE(other.take(news, common::seconds(2), common::seconds(2)));
   EXPECT_EQ(other.list().workers.size(), 4u);
-  EXPECT_EQ(other.age(loam::seconds(2)), loam::seconds(1));
+  EXPECT_EQ(other.age(common::seconds(2)), common::seconds(1));
   EXPECT_EQ(other.wanted(), 0u);
-  ASSERT_TRUE(other.take(teller.since(other.wanted()), loam::seconds(2), loam::seconds(2)));
+  ASSERT_TRUE(other.take(teller.since(other.wanted()), common::seconds(2), common::seconds(2)));
   EXPECT_EQ(other.list(), teller.list());
   EXPECT_EQ(other.wanted(), teller.digest());
 }
@@ -315,9 +315,9 @@
   ASSERT_TRUE(copy.take(answer));
   EXPECT_EQ(copy.members(), second.members());
   // All but two end; what went is told by name.
-  (void)second.heard(member("f500"), loam::seconds(9));
-  EXPECT_EQ(second.expire(loam::seconds(9)).size(), 40u);
-  schema::NewsAnswer const ended = answer_of(nothing, second, 0, copy.digest(), loam::seconds(9));
+  (void)second.heard(member("f500"), common::seconds(9));
+  EXPECT_EQ(second.expire(common::seconds(9)).size(), 40u);
+  schema::NewsAnswer const ended = answer_of(nothing, second, 0, copy.digest(), common::seconds(9));
   EXPECT_EQ(ended.members_gone.size(), 40u);
   ASSERT_TRUE(copy.take(ended));
   EXPECT_EQ(copy.members(), second.members());
@@ -357,24 +357,24 @@
 }
 
 /// One telling of `from` to `to`, as sent and read back; gives what `to` answers.
-std::uint64_t telling(membership::Sessions const& from, std::uint64_t known, membership::Sessions& to, loam::Moment now,
-                      std::size_t* bytes = nullptr) {
+std::uint64_t telling(membership::Sessions const& from, std::uint64_t known, membership::Sessions& to,
+                      common::Moment now, std::size_t* bytes = nullptr) {
   schema::Tell tell;
   tell.from = from.self();
   from.tell(known, now, tell);
-  std::string const frame = loam::frame(schema::Message(tell));
+  std::string const frame = common::frame(schema::Message(tell));
   if (bytes != nullptr) {
     *bytes = frame.size();
   }
-  absl::StatusOr<schema::Message> const read = loam::unframe(std::string_view(frame).substr(0, loam::frame_header),
-                                                             std::string_view(frame).substr(loam::frame_header));
+  absl::StatusOr<schema::Message> const read = common::unframe(std::string_view(frame).substr(0, common::frame_header),
+                                                               std::string_view(frame).substr(common::frame_header));
   return to.told(std::get<schema::Tell>(*read), now);
 }
 
 TEST(Tellings, CarryOnlyHowLongAgoWhereNothingChanged) {
   membership::Sessions one(trellis("a"));
   membership::Sessions other(trellis("b"));
-  loam::Moment now = loam::seconds(1);
+  common::Moment now = common::seconds(1);
   for (int index = 0; index < 137; ++index) {
     (void)one.heard(member("furrow-" + std::to_string(index), static_cast<std::uint64_t>(index) * 7919 + 1), now);
   }
@@ -383,10 +383,10 @@
   ASSERT_NE(known, 0u);
   EXPECT_EQ(other.digest(), one.digest());
   for (int turn = 0; turn < 30; ++turn) {  // far beyond the bound: tellings keep the sessions standing
-    now += loam::milliseconds(300);
+    now += common::milliseconds(300);
     for (int index = 0; index < 137; ++index) {
       (void)one.heard(member("furrow-" + std::to_string(index), static_cast<std::uint64_t>(index) * 7919 + 1),
-                      now - loam::milliseconds(index));
+                      now - common::milliseconds(index));
     }
     std::size_t bytes = 0;
     known = telling(one, known, other, now, &bytes);
@@ -400,11 +400,12 @@
 TEST(Tellings, CountFromWhenASessionWasHeardOf) {
   membership::Sessions one(trellis("a"));
   membership::Sessions other(trellis("b"));
-  loam::Moment const heard = loam::seconds(1);
+  common::Moment const heard = common::seconds(1);
   (void)one.heard(member("f"), heard);
   std::uint64_t const known = telling(one, 0, other, heard);
   // Told again and again, but never heard of again: its end does not move out.
-  for (loam::Moment now = heard; now <= heard + constants::session_bound - 1000; now += loam::milliseconds(100) + 1) {
+  for (common::Moment now = heard; now <= heard + constants::session_bound - 1000;
+       now += common::milliseconds(100) + 1) {
     EXPECT_EQ(telling(one, known, other, now), known);
     EXPECT_TRUE(other.expire(now).empty());
   }
@@ -459,10 +460,10 @@
     membership::Sessions one(trellis("a"));
     membership::Sessions other(trellis("b"));
     std::uint64_t known = 0;
-    loam::Moment now = loam::seconds(1);
+    common::Moment now = common::seconds(1);
     std::vector<schema::Tell> under_way;
     for (int step = 0; step < 120; ++step) {
-      now += loam::milliseconds(10);
+      now += common::milliseconds(10);
       (void)one.heard(member("f" + std::to_string(random() % 9), random() % 3 + 1, random() % 2 == 0), now);
       schema::Tell tell;
       tell.from = one.self();
--- a/source/tests/membership/news_responder_test.cpp
+++ b/source/tests/membership/update_responder_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
 
 namespace finchlink::membership {
 namespace {
@@ -21,8 +21,8 @@
 }
 
 TEST(NewsResponder, AReadIsHurriedForOneWhoHoldsNothing) {
-  loam::Moment const arrival = loam::seconds(10);
-  loam::Moment const before = arrival - 1;
+  common::Moment const arrival = common::seconds(10);
+  common::Moment const before = arrival - 1;
   NewsDecision const blank = decide_answer(ask_holding({}), arrival, before, values(), false, arrival);
   EXPECT_FALSE(blank.answer.has_value());  // no word without a read begun after the ask
   EXPECT_TRUE(blank.hurry);
@@ -33,8 +33,8 @@
 }
 
 TEST(NewsResponder, NoReadIsHurriedWithoutNewsOrForOneWhoServes) {
-  loam::Moment const arrival = loam::seconds(10);
-  loam::Moment const before = arrival - 1;
+  common::Moment const arrival = common::seconds(10);
+  common::Moment const before = arrival - 1;
   EXPECT_FALSE(decide_answer(ask_holding({}), arrival, before, {}, false, arrival).hurry);
   EXPECT_FALSE(decide_answer(ask_holding({{"charter", 2}}), arrival, before, values(), false, arrival).hurry);
   EXPECT_FALSE(decide_answer(ask_holding({{"charter", 3}}), arrival, before, values(), false, arrival).hurry);
--- a/source/tests/membership/voter_looks_test.cpp
+++ b/source/tests/membership/voter_looks_test.cpp
@@ -1,13 +1,13 @@
 #include <gtest/gtest.h>
 
-#include "loam/constants.hpp"
+#include "common/constants.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
 #include "membership/reconfiguration/voter_looks.hpp"
 
 namespace finchlink {
 namespace {
 
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 schema::VoterSet three() {
   std::vector<schema::Voter> const voters{{1, "a"}, {2, "b"}, {3, "c"}};
--- a/source/tests/membership/voter_status_test.cpp
+++ b/source/tests/membership/voter_status_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "loam/health_constants.hpp"
+#include "common/health_constants.hpp"
 
 namespace finchlink {
 namespace {
@@ -11,7 +11,7 @@
 using membership::HealthView;
 using membership::Peer;
 
-constexpr loam::Moment now = loam::seconds(50);
+constexpr common::Moment now = common::seconds(50);
 
 Peer voter_process(std::uint64_t incarnation, std::string const& address, std::uint64_t epoch) {
   return Peer{schema::TrellisEntry{address, 1, "h", address, "", true, true, incarnation, epoch, false}, now};
@@ -52,7 +52,7 @@
   std::vector<Peer> peers = all_well();
   peers[0].entry.leaving = true;
   peers[1].entry.voting = false;
-  peers[1].heard = now - loam::seconds(1);
+  peers[1].heard = now - common::seconds(1);
   peers.pop_back();
   std::vector<membership::VoterStatus> const statuses = membership::voter_statuses(three(), peers, now);
   ASSERT_EQ(statuses.size(), 3u);
@@ -61,7 +61,7 @@
   EXPECT_EQ(statuses[0].epoch, 4u);
   EXPECT_FALSE(statuses[1].voting);
   EXPECT_TRUE(statuses[1].catching_up);
-  EXPECT_EQ(statuses[1].contact, loam::seconds(1));
+  EXPECT_EQ(statuses[1].contact, common::seconds(1));
   EXPECT_FALSE(statuses[2].contact.has_value());
   EXPECT_FALSE(statuses[2].voting);
 }
@@ -78,19 +78,19 @@
 
 TEST(VoterStatus, EachProblemIsNamed) {
   std::vector<Peer> peers = all_well();
-  peers[0].heard = now - loam::constants::contact_bound - 1;
+  peers[0].heard = now - common::constants::contact_bound - 1;
   EXPECT_EQ(parts(view_of(peers)), (std::vector<std::string>{"voter", "majority"}));
   peers = all_well();
   peers[0].entry.leaving = true;
   EXPECT_EQ(parts(view_of(peers)), std::vector<std::string>{"voter"});
   HealthView view = view_of(all_well());
-  view.majority_age = loam::constants::contact_bound + 1;
+  view.majority_age = common::constants::contact_bound + 1;
   EXPECT_EQ(parts(view), std::vector<std::string>{"majority"});
   view = view_of(all_well());
   view.own_disk_answers = false;
   EXPECT_EQ(parts(view), std::vector<std::string>{"disk"});
   view.own_disk_answers.reset();
-  view.list_age = loam::seconds(9);
+  view.list_age = common::seconds(9);
   EXPECT_EQ(parts(view), std::vector<std::string>{"list"});
   EXPECT_EQ(parts(HealthView{}), std::vector<std::string>{"register"});
 }
--- a/source/tests/membership/withheld_news_test.cpp
+++ b/source/tests/membership/withheld_updates_test.cpp
@@ -2,10 +2,10 @@
 
 #include <cstdio>
 
-#include "furrow/contents/content_fetcher.hpp"
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
+#include "data_plane/contents/content_fetcher.hpp"
 #include "membership/freshness/freshness_lease.hpp"
-#include "membership/responder/news_responder.hpp"
+#include "membership/responder/update_responder.hpp"
 #include "tests/consensus/narrow_link.hpp"
 
 namespace finchlink {
@@ -14,7 +14,7 @@
 using namespace consensus_test;
 using consensus::ValueReceiver;
 using consensus::ValueSender;
-namespace constants = loam::constants;
+namespace constants = common::constants;
 
 std::map<std::string, schema::Value> values_of(std::string const& charter, std::uint64_t revision) {
   return {{"charter", schema::Value{revision, charter, {}}}, {"evacuated", schema::Value{1, "[\"h\"]", {}}}};
@@ -41,13 +41,13 @@
     answer.news.push_back(schema::NamedValue{"charter", 3, "third", 0});
     EXPECT_EQ(lease.take(answer, 1000, 2000).size(), 1u);
     ASSERT_TRUE(lease.vouched(2000));
-    loam::Moment const later = 1000 + constants::vouch_bound;
+    common::Moment const later = 1000 + constants::vouch_bound;
     answer.news = {schema::NamedValue{"charter", 4, "", 500000}};
     EXPECT_EQ(lease.take(answer, later, later).empty(), guard);  // off: an empty charter comes into force
     EXPECT_EQ(lease.held().at("charter"), guard ? 3u : 4u);
     EXPECT_EQ(lease.vouched(later), !guard);
     // Fetched: it is adopted, and vouched for.
-    furrow::put_in(answer, "charter", 4, "fourth");
+    data_plane::put_in(answer, "charter", 4, "fourth");
     EXPECT_EQ(lease.take(answer, later, later).size(), guard ? 1u : 0u);
     EXPECT_TRUE(lease.vouched(later));
   }
@@ -58,7 +58,7 @@
   schema::NewsAnswer answer;
   answer.vouched = true;
   answer.news = {schema::NamedValue{"charter", 5, "", 500000}};
-  furrow::put_in(answer, "charter", 4, "fourth");
+  data_plane::put_in(answer, "charter", 4, "fourth");
   std::vector<schema::NamedValue> const adopted = lease.take(answer, 1000, 2000);
   ASSERT_EQ(adopted.size(), 1u);
   EXPECT_EQ(adopted[0].revision, 4u);
@@ -68,7 +68,7 @@
 /// A furrow far from its trellises that asks as Station does: three at once
 /// while it is lost, one while it is not.
 struct FarFurrow {
-  almanac::Kernel kernel{1};
+  simulator::Kernel kernel{1};
   std::map<std::string, schema::Value> values;
   std::size_t inline_bytes;
   ValueSender sender;
@@ -77,10 +77,10 @@
   bool lost = true;
   bool fetching = false;
   std::map<std::string, schema::NamedValue> fetched;
-  loam::Moment adopted = -1;
-  loam::Moment evacuated = -1;
+  common::Moment adopted = -1;
+  common::Moment evacuated = -1;
 
-  FarFurrow(double bits_per_second, loam::Span one_way, std::string const& charter, std::size_t inlined)
+  FarFurrow(double bits_per_second, common::Span one_way, std::string const& charter, std::size_t inlined)
       : values(values_of(charter, 4)),
         inline_bytes(inlined),
         far(kernel, bits_per_second, one_way,
@@ -101,9 +101,9 @@
   void ask() {
     schema::NewsAsk ask;
     ask.member.held = lease.held();
-    loam::Moment const asked = kernel.now();
+    common::Moment const asked = kernel.now();
     std::shared_ptr<bool> const over = std::make_shared<bool>(false);
-    loam::Span const patience = lost ? constants::lost_patience : constants::wide_ask_deadline;
+    common::Span const patience = lost ? constants::lost_patience : constants::wide_ask_deadline;
     std::function<void(bool)> const next = [this, over](bool heard) {
       if (!*over) {
         *over = true;
@@ -122,9 +122,9 @@
                });
     }
   }
-  void take(schema::NewsAnswer reply, loam::Moment asked) {
+  void take(schema::NewsAnswer reply, common::Moment asked) {
     for (std::pair<std::string const, schema::NamedValue> const& entry : fetched) {
-      furrow::put_in(reply, entry.first, entry.second.revision, entry.second.content);
+      data_plane::put_in(reply, entry.first, entry.second.revision, entry.second.content);
     }
     fetched.clear();
     for (schema::NamedValue const& news : lease.take(reply, asked, kernel.now())) {
@@ -148,23 +148,23 @@
 
 TEST(CatchUp, AFurrowHasTheLargestCharterInABoundedTimeOverANarrowWay) {
   for (double const bits : {10e6, 5e6}) {
-    loam::Span const one_way = loam::milliseconds(55);
+    common::Span const one_way = common::milliseconds(55);
     std::string const charter = noise(constants::charter_limit);
     FarFurrow furrow(bits, one_way, charter, constants::inline_news_bytes);
     furrow.ask();
-    furrow.kernel.run(loam::seconds(60), [] {});
+    furrow.kernel.run(common::seconds(60), [] {});
     // Bytes at the way's pace, a way there and back a piece, and asks beside it:
     // each of some hundred bytes, and the first by three at once.
-    loam::Span const bound = static_cast<loam::Span>(static_cast<double>(charter.size()) * 8e6 / bits) +
-                             18 * 2 * one_way + constants::lost_patience + constants::ask_least;
+    common::Span const bound = static_cast<common::Span>(static_cast<double>(charter.size()) * 8e6 / bits) +
+                               18 * 2 * one_way + constants::lost_patience + constants::ask_least;
     std::printf("[ figure ] furrow, 2 MB over %.0f Mbit/s, 55 ms one way: adopted after %lld ms, bound %lld ms\n",
                 bits / 1e6, static_cast<long long>(furrow.adopted / 1000), static_cast<long long>(bound / 1000));
     ASSERT_GT(furrow.adopted, 0);
     EXPECT_LE(furrow.adopted, bound);
-    EXPECT_LT(furrow.evacuated, loam::milliseconds(500));  // it does not wait for the charter
+    EXPECT_LT(furrow.evacuated, common::milliseconds(500));  // it does not wait for the charter
     FarFurrow whole(bits, one_way, charter, constants::frame_limit);
     whole.ask();
-    whole.kernel.run(loam::seconds(60), [] {});
+    whole.kernel.run(common::seconds(60), [] {});
     EXPECT_EQ(whole.adopted, -1);
     EXPECT_EQ(whole.evacuated, -1);
   }
--- a/source/tests/platform/listing_test.cpp
+++ b/source/tests/platform/listing_test.cpp
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
-#include "loam/constants.hpp"
-#include "loam/http/http.hpp"
+#include "common/constants.hpp"
+#include "common/http/http.hpp"
 #include "platform/listing.hpp"
 #include "tests/own_address.hpp"
 
@@ -35,22 +35,22 @@
 /// A platform with two pages, on a port of this machine.
 struct Paged {
   explicit Paged(std::string served) : address(std::move(served)) {
-    EXPECT_TRUE(loam::serve_asks(context, address, 8, 1024, [this](loam::Ask const& ask, loam::Yield) {
+    EXPECT_TRUE(common::serve_asks(context, address, 8, 1024, [this](common::Ask const& ask, common::Yield) {
                   asked.push_back(std::string(ask.target()));
-                  if (status != loam::http::status::ok) {
-                    return loam::answer_error(status, "often", "");
+                  if (status != common::http::status::ok) {
+                    return common::answer_error(status, "often", "");
                   }
                   bool const second = ask.target().find("page_token=p%2F1") != std::string::npos;
-                  return loam::answer_text(
-                      loam::http::status::ok,
+                  return common::answer_text(
+                      common::http::status::ok,
                       second ? R"({"instances":[{"id":"b","address":"1.1.1.1:2","plant":"p"}],"next_token":null})"
                              : R"({"instances":[{"id":"a","address":"1.1.1.1:1","plant":"p"}],"next_token":"p/1"})");
                 }).ok());
   }
   absl::StatusOr<schema::PlatformList> read() {
     absl::StatusOr<schema::PlatformList> result = schema::PlatformList{};
-    loam::start(context, [&](loam::Yield yield) {
-      result = platform::read_list(context, address, loam::seconds(2), yield);
+    common::start(context, [&](common::Yield yield) {
+      result = platform::read_list(context, address, common::seconds(2), yield);
       context.stop();
     });
     context.run();
@@ -60,7 +60,7 @@
   boost::asio::io_context context{1};
   std::string address;
   std::vector<std::string> asked;
-  loam::http::status status = loam::http::status::ok;
+  common::http::status status = common::http::status::ok;
 };
 
 TEST(PlatformListing, ReadsAllPages) {
@@ -74,9 +74,9 @@
 
 TEST(PlatformListing, TellsThatItAskedTooOften) {
   Paged paged(own_ip() + ":21002");
-  paged.status = loam::http::status::too_many_requests;
+  paged.status = common::http::status::too_many_requests;
   EXPECT_TRUE(absl::IsResourceExhausted(paged.read().status()));
-  paged.status = loam::http::status::internal_server_error;
+  paged.status = common::http::status::internal_server_error;
   EXPECT_TRUE(absl::IsUnavailable(paged.read().status()));
 }
 
--- a/source/tests/platform/notation_test.cpp
+++ b/source/tests/platform/notation_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "loam/json/tree.hpp"
+#include "common/json/tree.hpp"
 #include "platform/notation.hpp"
 
 namespace finchlink {
@@ -19,7 +19,7 @@
 }
 
 bool faulty(std::string const& text, std::string const& path) {
-  for (loam::Fault const& fault : platform::notation().read(text).faults) {
+  for (common::Fault const& fault : platform::notation().read(text).faults) {
     if (fault.path == path) {
       return true;
     }
@@ -29,7 +29,7 @@
 
 TEST(PlatformNotation, ReadsACharter) {
   config::CharterReading const reading = platform::notation().read(whole);
-  ASSERT_TRUE(reading.good()) << loam::describe(reading.faults);
+  ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
   schema::Charter const& charter = reading.charter;
   EXPECT_EQ(charter.number, 7u);
   ASSERT_EQ(charter.lanes.size(), 2u);
@@ -79,7 +79,7 @@
       R"({"name":"r-1","host":"a.example","path_prefix":"/w/","kind":"stream","deadline_ms":8000,"plant":"p"}]},"remove":{"channels":["r-2","r-none"]}})");
   ASSERT_TRUE(merged.ok()) << merged.status();
   config::CharterReading const reading = platform::notation().read(*merged);
-  ASSERT_TRUE(reading.good()) << loam::describe(reading.faults);
+  ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
   EXPECT_EQ(reading.charter.number, 9u);
   ASSERT_EQ(reading.charter.lanes.size(), 2u);
   EXPECT_EQ(reading.charter.lanes[0].name, "r-1");
@@ -87,7 +87,7 @@
   EXPECT_EQ(reading.charter.lanes[1].name, "r-3");
   EXPECT_EQ(reading.charter.lanes[1].deadline_ms, 1.5);
   // What we don't know stays, number for number.
-  absl::StatusOr<loam::Tree> const tree = loam::read_tree(*merged);
+  absl::StatusOr<common::Tree> const tree = common::read_tree(*merged);
   ASSERT_TRUE(tree.ok());
   EXPECT_EQ(cJSON_GetObjectItem(tree->get(), "tenths")->valuedouble, 0.1);
   EXPECT_EQ(cJSON_GetObjectItem(tree->get(), "far")->valuedouble, 1e15);
--- a/source/tests/platform/settings_test.cpp
+++ b/source/tests/platform/settings_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "loam/process/process.hpp"
+#include "common/process/process.hpp"
 #include "platform/settings.hpp"
 
 namespace finchlink {
@@ -52,7 +52,7 @@
   EXPECT_EQ(read->bounds.retry_window_ms, 10000u);
   EXPECT_EQ(read->bounds.retry_slack, 64);
   EXPECT_EQ(read->bounds.list_lag_ms, 800u);
-  EXPECT_TRUE(loam::check_bounds(read->bounds).ok()) << loam::check_bounds(read->bounds);
+  EXPECT_TRUE(common::check_bounds(read->bounds).ok()) << common::check_bounds(read->bounds);
 }
 
 TEST(PlatformSettings, AreFoundedOnlyWhereTheFileSaysSo) {
@@ -83,7 +83,7 @@
         &schema::TimeBounds::ask_deadline_ms}) {
     schema::TimeBounds bounds = read->bounds;
     bounds.*field = 500;
-    EXPECT_FALSE(loam::check_bounds(bounds).ok());
+    EXPECT_FALSE(common::check_bounds(bounds).ok());
   }
 }
 
--- a/source/tests/relay/adopted_checks_test.cpp
+++ b/source/tests/relay/adopted_checks_test.cpp
@@ -1,13 +1,13 @@
-#include "furrow/relay/adopted_checks.hpp"
+#include "data_plane/relay/adopted_checks.hpp"
 
 #include <gtest/gtest.h>
 
 #include "tests/invariant_listener.hpp"
 
-namespace finchlink::furrow {
+namespace finchlink::data_plane {
 namespace {
 
-using loam::Invariant;
+using common::Invariant;
 
 schema::Lane lane(std::string const& name, std::string const& host, std::string const& prefix) {
   schema::Lane made;
@@ -17,10 +17,10 @@
   return made;
 }
 
-tilth::LaneBook book_of(std::vector<schema::Lane> lanes) {
+scheduling::LaneBook book_of(std::vector<schema::Lane> lanes) {
   schema::Charter charter;
   charter.lanes = std::move(lanes);
-  return tilth::LaneBook(std::move(charter));
+  return scheduling::LaneBook(std::move(charter));
 }
 
 TEST(AdoptedChecks, RoutesThatAllLeadSomewhereViolateNothing) {
@@ -52,9 +52,9 @@
     entry.shares = {schema::Share{"s", 1}};
     entry.deadline_ms = 1000;
   }
-  EXPECT_TRUE(config::check(charter).empty()) << loam::describe(config::check(charter));
+  EXPECT_TRUE(config::check(charter).empty()) << common::describe(config::check(charter));
   ExpectedViolations const expected({Invariant::routes_complete});
-  check_routes(1, tilth::LaneBook(charter));
+  check_routes(1, scheduling::LaneBook(charter));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
@@ -77,4 +77,4 @@
 }
 
 }  // namespace
-}  // namespace finchlink::furrow
+}  // namespace finchlink::data_plane
--- a/source/tests/relay/event_cutter_test.cpp
+++ b/source/tests/relay/event_cutter_test.cpp
@@ -1,13 +1,13 @@
 #include <gtest/gtest.h>
 
-#include "furrow/relay/dialect.hpp"
-#include "furrow/relay/event_cutter.hpp"
-#include "tilth/prefix/prefix.hpp"
+#include "data_plane/relay/dialect.hpp"
+#include "data_plane/relay/event_cutter.hpp"
+#include "scheduling/prefix/prefix_record.hpp"
 
 namespace finchlink {
 namespace {
 
-using furrow::EventCutter;
+using data_plane::EventCutter;
 
 std::string event(std::uint64_t number, std::string const& data = "x") {
   return "id: " + std::to_string(number) + "\ndata: " + data + "\n\n";
@@ -17,7 +17,7 @@
   std::string const text = event(1) + event(2, "two\ndata: lines") + event(3);
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
     EventCutter cutter;
-    furrow::Numbering numbering;
+    data_plane::Numbering numbering;
     std::string passed;
     std::uint64_t count = 0;
     for (std::size_t at = 0; at < text.size(); at += piece) {
@@ -35,7 +35,7 @@
 
 TEST(EventCutter, KeepsAHalfEventBack) {
   EventCutter cutter;
-  furrow::Numbering numbering;
+  data_plane::Numbering numbering;
   EventCutter::Whole const whole = cutter.feed(event(1) + "id: 2\ndata: ha", numbering);
   EXPECT_EQ(whole.bytes, event(1));
   EXPECT_EQ(numbering.last(), 1u);
@@ -44,7 +44,7 @@
 
 TEST(EventCutter, LeavesOutWhatTheCallerHasAlready) {
   EventCutter cutter;
-  furrow::Numbering numbering(4);
+  data_plane::Numbering numbering(4);
   EventCutter::Whole const whole = cutter.feed(event(4) + event(5) + event(5) + event(6), numbering);
   EXPECT_EQ(whole.bytes, event(5) + event(6));
   EXPECT_EQ(whole.count, 2u);
@@ -55,7 +55,7 @@
   EventCutter cutter;
   std::string const first = "revision: 3\r\nid:7\r\ndata: x\r\n\r\n";
   std::string const second = ": only a comment\n\n";
-  furrow::Numbering numbering(6);
+  data_plane::Numbering numbering(6);
   EventCutter::Whole const whole = cutter.feed(first + second, numbering);
   EXPECT_EQ(whole.bytes, first + second);
   EXPECT_EQ(numbering.last(), 7u);
@@ -68,7 +68,7 @@
   bool gap = false;
 };
 Joined join(std::string const& before, std::string const& behind, std::optional<std::uint64_t> had = std::nullopt) {
-  furrow::Numbering numbering(had);
+  data_plane::Numbering numbering(had);
   numbering.begin_run();
   EventCutter first;
   (void)first.feed(before, numbering);
@@ -118,7 +118,7 @@
   for (Case const& entry :
        {Case{"", true}, Case{event(1), true}, Case{event(1) + plain, false}, Case{event(1) + plain + event(2), true},
         Case{plain, false}, Case{event(1) + comment, true}, Case{comment, true}}) {
-    furrow::Numbering numbering;
+    data_plane::Numbering numbering;
     numbering.begin_run();
     EventCutter cutter;
     EXPECT_EQ(cutter.feed(entry.passed, numbering).bytes, entry.passed);
@@ -134,14 +134,14 @@
 }
 
 TEST(Parts, AreReadFromTextAndNeverFail) {
-  std::vector<tilth::Part> const parts = furrow::read_parts("5c1e07a2:800, 91bd3f06:410,e4402b7d:250");
+  std::vector<scheduling::Part> const parts = data_plane::read_parts("5c1e07a2:800, 91bd3f06:410,e4402b7d:250");
   ASSERT_EQ(parts.size(), 3u);
-  EXPECT_EQ(parts[0].key, tilth::hash_text("5c1e07a2"));
-  EXPECT_EQ(parts[1].key, tilth::hash_text("91bd3f06"));
+  EXPECT_EQ(parts[0].key, scheduling::hash_text("5c1e07a2"));
+  EXPECT_EQ(parts[1].key, scheduling::hash_text("91bd3f06"));
   EXPECT_EQ(parts[2].tokens, 250);
-  EXPECT_TRUE(furrow::read_parts("").empty());
-  EXPECT_TRUE(furrow::read_parts("no colon,,").empty());
-  EXPECT_EQ(furrow::read_parts("a:x,b:99999999999999999999999").size(), 2u);
+  EXPECT_TRUE(data_plane::read_parts("").empty());
+  EXPECT_TRUE(data_plane::read_parts("no colon,,").empty());
+  EXPECT_EQ(data_plane::read_parts("a:x,b:99999999999999999999999").size(), 2u);
 }
 
 }  // namespace
--- a/source/tests/relay/exchange_fuzz_test.cpp
+++ b/source/tests/relay/exchange_fuzz_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "loam/relay_constants.hpp"
+#include "common/relay_constants.hpp"
 #include "tests/relay/fleet.hpp"
 
 namespace finchlink::relay_test {
@@ -21,9 +21,9 @@
 constexpr std::size_t workers_of_each_kind = 20;
 constexpr std::uint64_t attempts_most = 3;
 /// After this long nothing more may reach a worker for a caller that left, and no worker may be at work for it.
-constexpr loam::Span left_span = loam::milliseconds(500);
+constexpr common::Span left_span = common::milliseconds(500);
 /// A connection that carried bytes nobody asked for may still get what was on its way to it, no longer than this.
-constexpr loam::Span taint_span = loam::milliseconds(100);
+constexpr common::Span taint_span = common::milliseconds(100);
 constexpr char const* last_chunk = "0\r\n\r\n";
 
 std::size_t from_environment(char const* name, std::size_t otherwise) {
@@ -41,7 +41,7 @@
   std::uint64_t behind = 0;  ///< Last-Event-ID of the caller
   std::uint64_t events = 0;  ///< of its stream
   bool numbered = true;      ///< its events have numbers
-  loam::Moment left = 0;     ///< when the caller left; 0: it is there
+  common::Moment left = 0;   ///< when the caller left; 0: it is there
   bool over = false;         ///< answered, broken or left
   unsigned int status = 0;   ///< as told to the caller
   std::uint64_t runs = 0;
@@ -67,7 +67,7 @@
 
 /// A step of a worker's script that is due later.
 struct Later {
-  loam::Moment due;
+  common::Moment due;
   std::function<void()> act;
 };
 
@@ -96,13 +96,13 @@
 
   void run() {
     callers_.resize(callers_at_once);
-    loam::Moment const most = loam::boot_now() + loam::seconds(static_cast<std::int64_t>(20 + exchanges_ / 10));
-    while ((asked_ < exchanges_ || !all_over()) && loam::boot_now() < most) {
+    common::Moment const most = common::boot_now() + common::seconds(static_cast<std::int64_t>(20 + exchanges_ / 10));
+    while ((asked_ < exchanges_ || !all_over()) && common::boot_now() < most) {
       step();
     }
     EXPECT_TRUE(all_over()) << "not all were answered";
-    loam::Moment const end = loam::boot_now() + loam::milliseconds(60);
-    while (loam::boot_now() < end) {
+    common::Moment const end = common::boot_now() + common::milliseconds(60);
+    while (common::boot_now() < end) {
       step();
     }
     judge();
@@ -121,7 +121,7 @@
   std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
   bool chance(std::uint64_t percent) { return below(100) < percent; }
   void later(std::uint64_t delay_ms, std::function<void()> act) {
-    later_.push_back({loam::boot_now() + loam::milliseconds(static_cast<std::int64_t>(delay_ms)), std::move(act)});
+    later_.push_back({common::boot_now() + common::milliseconds(static_cast<std::int64_t>(delay_ms)), std::move(act)});
   }
   [[nodiscard]] bool all_over() const {
     return std::all_of(ledger_.begin(), ledger_.end(),
@@ -142,7 +142,7 @@
 
   void play_due() {
     std::vector<Later> due;
-    loam::Moment const now = loam::boot_now();
+    common::Moment const now = common::boot_now();
     for (std::size_t index = 0; index < later_.size();) {
       if (later_[index].due <= now) {
         due.push_back(std::move(later_[index]));
@@ -222,7 +222,7 @@
   void leave(ScriptedCaller& caller) {
     caller.line->close();
     for (Entry* const entry : caller.waiting) {
-      entry->left = loam::boot_now();
+      entry->left = common::boot_now();
       entry->over = true;
       ++tally_["left"];
     }
@@ -376,15 +376,15 @@
   }
 
   void count_attempt(Entry& entry, std::shared_ptr<Line> const& line) {
-    loam::Moment const now = loam::boot_now();
+    common::Moment const now = common::boot_now();
     ++attempts_;
     ++entry.attempts;
-    std::uint64_t const no_tries = std::min<std::uint64_t>(entry.refusals, loam::constants::refusals_most);
+    std::uint64_t const no_tries = std::min<std::uint64_t>(entry.refusals, common::constants::refusals_most);
     EXPECT_LE(entry.attempts, attempts_most + no_tries) << entry.id;
     EXPECT_LE(entry.runs, attempts_most) << entry.id;
     EXPECT_FALSE(entry.left > 0 && now - entry.left > left_span)
         << entry.id << " reached a worker after its caller left";
-    std::map<std::shared_ptr<Line>, loam::Moment>::const_iterator const tainted = tainted_.find(line);
+    std::map<std::shared_ptr<Line>, common::Moment>::const_iterator const tainted = tainted_.find(line);
     EXPECT_FALSE(tainted != tainted_.end() && now - tainted->second > taint_span)
         << entry.id << " went out on a connection with bytes that nobody asked for";
     entry.working.push_back(line);
@@ -425,7 +425,7 @@
     ++entry.runs;
   }
   static void finished(Entry& entry, std::shared_ptr<Line> const& line) { std::erase(entry.working, line); }
-  void taint(std::shared_ptr<Line> const& line) { tainted_.emplace(line, loam::boot_now()); }
+  void taint(std::shared_ptr<Line> const& line) { tainted_.emplace(line, common::boot_now()); }
 
   static std::string refusal_of(std::string const& id, std::string const& status) { return not_run(id, status); }
   /// An answer that another request got, or would have got.
@@ -683,7 +683,7 @@
   }
 
   void look_at_those_who_left() {
-    loam::Moment const now = loam::boot_now();
+    common::Moment const now = common::boot_now();
     for (std::pair<std::string const, Entry>& each : ledger_) {
       Entry& entry = each.second;
       if (entry.left == 0 || now - entry.left < left_span || entry.working.empty()) {
@@ -716,7 +716,7 @@
   std::vector<ScriptedCaller> callers_;
   std::vector<Later> later_;
   std::set<std::pair<std::shared_ptr<Line>, std::string>> early_;  ///< answered before the body was read
-  std::map<std::shared_ptr<Line>, loam::Moment> tainted_;          ///< lines with bytes that nobody asked for
+  std::map<std::shared_ptr<Line>, common::Moment> tainted_;        ///< lines with bytes that nobody asked for
   std::set<std::shared_ptr<Line>> slow_;                           ///< half of an answer went out
   std::map<std::string, std::uint64_t> tally_;
   std::size_t asked_ = 0;
--- a/source/tests/relay/exchange_table_test.cpp
+++ b/source/tests/relay/exchange_table_test.cpp
@@ -85,7 +85,7 @@
     if (::testing::Test::HasFatalFailure()) {
       return;
     }
-    happened = loam::boot_now();
+    happened = common::boot_now();
     cell.event(*this);
     finish();
     check_outcome();
@@ -108,8 +108,8 @@
   Worker* first = nullptr;
   std::string id = "q1";
   std::string body = "the body";
-  loam::Moment seen = std::numeric_limits<loam::Moment>::max() / 2;  ///< when the first worker had it
-  loam::Moment happened = 0;
+  common::Moment seen = std::numeric_limits<common::Moment>::max() / 2;  ///< when the first worker had it
+  common::Moment happened = 0;
   std::uint64_t length = stream_length;  ///< events of the stream
   std::size_t earlier = 0;               ///< arrivals of other requests before
 
@@ -153,7 +153,7 @@
     } else {
       first = fleet.holder(earlier + 1);
       ASSERT_NE(first, nullptr);
-      seen = loam::boot_now();
+      seen = common::boot_now();
       line = first->arrivals.back().line;
     }
     add_others();
@@ -277,7 +277,7 @@
 
   void check_attempts() {
     std::size_t count = 0;
-    loam::Span first_left = deadline_ms;
+    common::Span first_left = deadline_ms;
     for (std::pair<std::string const, std::unique_ptr<Worker>>& entry : fleet.workers) {
       for (Arrival& arrival : entry.second->arrivals) {
         if (arrival.header("Finchlink-Query") != id) {
@@ -293,7 +293,7 @@
         // The first was handed on before it was seen, any further one after the event.
         EXPECT_LE(left, arrival.line == line || cell.attempts < 2
                             ? deadline_ms
-                            : first_left - std::max<loam::Span>(0, happened - seen) / 1000 + 1);
+                            : first_left - std::max<common::Span>(0, happened - seen) / 1000 + 1);
       }
     }
     EXPECT_EQ(count + (cell.state == State::body_unread ? 1 : 0), cell.attempts);
@@ -442,10 +442,10 @@
 void caller_pipelines_and_leaves(Exchange& exchange) {
   exchange.caller->send(query("/plain/b", "q9"));
   exchange.fleet.rest(30);
-  loam::Moment const left = loam::boot_now();
+  common::Moment const left = common::boot_now();
   exchange.leave();
   EXPECT_TRUE(exchange.fleet.until([&] { return exchange.line->ended; }, 800));
-  EXPECT_LT(loam::boot_now() - left, loam::milliseconds(500));
+  EXPECT_LT(common::boot_now() - left, common::milliseconds(500));
   exchange.fleet.rest(100);
   for (Worker* const worker : exchange.fleet.order) {
     for (Arrival const& arrival : worker->arrivals) {
--- a/source/tests/relay/fleet.hpp
+++ b/source/tests/relay/fleet.hpp
@@ -18,12 +18,12 @@
 #include <string>
 #include <vector>
 
-#include "config/charter/charter.hpp"
-#include "config/charter/proposal.hpp"
-#include "furrow/relay/dialect.hpp"
-#include "furrow/relay/station.hpp"
-#include "loam/json/tree.hpp"
-#include "loam/net/net.hpp"
+#include "common/json/tree.hpp"
+#include "common/net/net.hpp"
+#include "config/routing/proposal.hpp"
+#include "config/routing/routing_config.hpp"
+#include "data_plane/relay/dialect.hpp"
+#include "data_plane/relay/relay_server.hpp"
 #include "schema/setup.hpp"
 #include "tests/own_address.hpp"
 
@@ -331,8 +331,8 @@
     news[name] = schema::NamedValue{name, revision, content};
   }
   void publish_charter(std::uint64_t revision) {
-    loam::Tree const tree(schema::write(charter));
-    publish(config::charter_register, revision, loam::print_tree(tree.get()));
+    common::Tree const tree(schema::write(charter));
+    publish(config::charter_register, revision, common::print_tree(tree.get()));
   }
 
   /// Starts the relay and waits until it has heard the news.
@@ -340,12 +340,12 @@
     if (with_charter) {
       publish_charter(1);
     }
-    EXPECT_TRUE(
-        loam::serve_frames(*context, trellis_address, 64, [this](schema::Message const& message, loam::Yield yield) {
-          return answer(message, yield);
-        }).ok());
-    station = std::make_unique<furrow::Station>(*context, settings, furrow::own_dialect(), config::own_notation(),
-                                                nullptr, 7);
+    EXPECT_TRUE(common::serve_frames(
+                    *context, trellis_address, 64,
+                    [this](schema::Message const& message, common::Yield yield) { return answer(message, yield); })
+                    .ok());
+    station = std::make_unique<data_plane::Station>(*context, settings, data_plane::own_dialect(),
+                                                    config::own_notation(), nullptr, 7);
     EXPECT_TRUE(station->begin().ok());
     if (with_charter) {
       EXPECT_TRUE(
@@ -360,7 +360,7 @@
 
   /// Runs the world until it is so; false: not within the bound.
   bool until(std::function<bool()> const& so, int bound_ms = 5000) {
-    loam::Moment const end = loam::boot_now() + loam::milliseconds(bound_ms);
+    common::Moment const end = common::boot_now() + common::milliseconds(bound_ms);
     while (true) {
       for (std::pair<std::string const, std::unique_ptr<Worker>>& entry : workers) {
         for (std::size_t count = entry.second->look(); count > 0; --count) {
@@ -370,7 +370,7 @@
       if (so()) {
         return true;
       }
-      if (loam::boot_now() >= end) {
+      if (common::boot_now() >= end) {
         return false;
       }
       context->run_one_for(std::chrono::milliseconds(20));
@@ -384,7 +384,7 @@
   std::shared_ptr<Line> call(std::string const& text, std::string const& address = "") {
     Socket socket(*context);
     error_code error;
-    socket.connect(*loam::read_endpoint(address.empty() ? settings.http_address : address), error);
+    socket.connect(*common::read_endpoint(address.empty() ? settings.http_address : address), error);
     EXPECT_FALSE(error) << error.message();
     callers.push_back(std::make_shared<Line>(std::move(socket)));
     callers.back()->begin();
@@ -429,7 +429,7 @@
   schema::Charter charter;
   schema::PlatformList list;
   std::uint64_t list_digest = 1;
-  loam::Span list_age = 0;  ///< below 0: no trellis has read the list yet
+  common::Span list_age = 0;  ///< below 0: no trellis has read the list yet
   std::vector<schema::Member> members;
   std::uint64_t members_digest = 1;
   std::map<std::string, schema::NamedValue> news;
@@ -439,13 +439,13 @@
   std::function<void(schema::NewsAsk const&, schema::NewsAnswer&)> script;  ///< changes what the trellis answers
   std::uint64_t asks = 0;
   std::vector<schema::Member> told;  ///< what the relay said of itself
-  std::unique_ptr<furrow::Station> station;
+  std::unique_ptr<data_plane::Station> station;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   std::vector<Worker*> order;  ///< whom each query reached, one after the other
   std::vector<std::shared_ptr<Line>> callers;
 
  private:
-  std::optional<schema::Message> answer(schema::Message const& message, loam::Yield) {
+  std::optional<schema::Message> answer(schema::Message const& message, common::Yield) {
     schema::NewsAsk const* const ask = std::get_if<schema::NewsAsk>(&message);
     if (ask == nullptr || silent || (unanswered > 0 && unanswered-- > 0)) {
       return std::nullopt;
--- a/source/tests/relay/forwarding_test.cpp
+++ b/source/tests/relay/forwarding_test.cpp
@@ -23,7 +23,7 @@
   fleet.worker("w1");
   fleet.worker("w2");
   fleet.begin();
-  furrow::Dialect const dialect = furrow::own_dialect();
+  data_plane::Dialect const dialect = data_plane::own_dialect();
   std::map<std::string, std::string> const sent{
       {dialect.model, "model-a"}, {dialect.tokens, "1200, 40"}, {dialect.parts, "p1:700, p2:500"}};
   std::string fields;
@@ -52,7 +52,7 @@
   fleet.worker("w1");
   fleet.worker("w2");
   fleet.begin();
-  std::string const left = furrow::own_dialect().left;
+  std::string const left = data_plane::own_dialect().left;
   std::shared_ptr<Line> const caller =
       fleet.call(query("/plain/a", "q1", "", left + ": " + std::to_string(whole_ms) + "\r\n"));
   Worker* const first = fleet.holder(1);
@@ -101,11 +101,11 @@
     lane.deadline_ms = deadline_ms;
   }
   fleet.begin();
-  loam::Moment const sent = loam::boot_now();
+  common::Moment const sent = common::boot_now();
   std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 503u);
-  EXPECT_GE(loam::boot_now() - sent, loam::milliseconds(deadline_ms));
-  EXPECT_LT(loam::boot_now() - sent, loam::milliseconds(2000));  // the wait for a place would be 4 s
+  EXPECT_GE(common::boot_now() - sent, common::milliseconds(deadline_ms));
+  EXPECT_LT(common::boot_now() - sent, common::milliseconds(2000));  // the wait for a place would be 4 s
 }
 
 }  // namespace
--- a/source/tests/relay/walls_test.cpp
+++ b/source/tests/relay/prompt_isolation_test.cpp
@@ -2,7 +2,7 @@
 
 #include <fstream>
 
-#include "furrow/relay/walls.hpp"
+#include "data_plane/relay/prompt_isolation.hpp"
 #include "tests/relay/fleet.hpp"
 
 namespace finchlink::relay_test {
@@ -123,9 +123,9 @@
   Arrival const other = walled.ask(tenant("b") + prompt);
   EXPECT_EQ(first.header("Finchlink-Expect-Weights"), "v1");
   EXPECT_EQ(first.header("Finchlink-Parts"), again.header("Finchlink-Parts"));
-  std::vector<tilth::NamedPart> const of_cold = tilth::named_parts(cold.header("Finchlink-Parts"));
-  std::vector<tilth::NamedPart> const of_a = tilth::named_parts(first.header("Finchlink-Parts"));
-  std::vector<tilth::NamedPart> const of_b = tilth::named_parts(other.header("Finchlink-Parts"));
+  std::vector<scheduling::NamedPart> const of_cold = scheduling::named_parts(cold.header("Finchlink-Parts"));
+  std::vector<scheduling::NamedPart> const of_a = scheduling::named_parts(first.header("Finchlink-Parts"));
+  std::vector<scheduling::NamedPart> const of_b = scheduling::named_parts(other.header("Finchlink-Parts"));
   ASSERT_EQ(of_a.size(), 3u);
   ASSERT_EQ(of_b.size(), 3u);
   ASSERT_EQ(of_cold.size(), 3u);
@@ -136,7 +136,7 @@
     EXPECT_EQ(of_a[index].id.size(), 32u);
   }
   for (Arrival const& arrival : walled.worker->arrivals) {
-    for (tilth::NamedPart const& part : tilth::named_parts(arrival.header("Finchlink-Parts"))) {
+    for (scheduling::NamedPart const& part : scheduling::named_parts(arrival.header("Finchlink-Parts"))) {
       EXPECT_GT(part.id.size(), 16u) << part.id;
     }
   }
@@ -229,7 +229,7 @@
   std::string const before = walled.ask(prompt).header("Finchlink-Parts");
   (void)walled.ask(prompt, "Finchlink-Weights: v2\r\n");
   EXPECT_EQ(walled.fleet.station->walls().other_weights(), 1u);
-  EXPECT_NE(furrow::print_wall_metrics(walled.fleet.station->walls()).find("relay_wall_other_weights_total 1\n"),
+  EXPECT_NE(data_plane::print_wall_metrics(walled.fleet.station->walls()).find("relay_wall_other_weights_total 1\n"),
             std::string::npos);
   (void)walled.ask(prompt, "Finchlink-Weights: v1\r\n");  // it goes back, and is alarmed of again
   Arrival const cold = walled.ask(prompt, "Finchlink-Weights: v1\r\n");
@@ -265,7 +265,7 @@
   EXPECT_EQ(walled.ask(parts("p:50,x:100"), "Finchlink-Weights: v1\r\n", "/once/a").header("Finchlink-Parts"),
             "p:50,x:100")
       << "not even public parts are shared with it";
-  for (tilth::NamedPart const& part : tilth::named_parts(of_a)) {
+  for (scheduling::NamedPart const& part : scheduling::named_parts(of_a)) {
     EXPECT_TRUE(part.id != "p" && part.id != "x");
   }
 }
@@ -333,12 +333,12 @@
   Walled walled;
   (void)walled.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 100\r\n");
   EXPECT_EQ(walled.fleet.station->walls().crossings(), 1u);
-  EXPECT_NE(furrow::print_wall_metrics(walled.fleet.station->walls()).find("relay_wall_crossings_total 1\n"),
+  EXPECT_NE(data_plane::print_wall_metrics(walled.fleet.station->walls()).find("relay_wall_crossings_total 1\n"),
             std::string::npos);
   (void)walled.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 0\r\n");
   (void)walled.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 200\r\n");
   EXPECT_EQ(walled.fleet.station->walls().crossings(), 1u) << "its own is no crossing";
-  tilth::TenantTally const tally = walled.fleet.station->walls().tallies().at("a");
+  scheduling::TenantTally const tally = walled.fleet.station->walls().tallies().at("a");
   EXPECT_EQ(tally.queries, 3u);
   EXPECT_EQ(tally.cold, 1u);
   EXPECT_EQ(tally.reused, 300);
