--- a/source/tests/relay/station_test.cpp
+++ b/source/tests/relay/relay_server_test.cpp
@@ -56,7 +56,7 @@
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
-  fleet.station->charter_hold = loam::seconds(60);
+  fleet.station->charter_hold = common::seconds(60);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   fleet.publish_charter(1);
   ASSERT_TRUE(fleet.arrived(worker, 1));
@@ -68,12 +68,12 @@
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
-  ASSERT_EQ(fleet.station->charter_hold, loam::constants::charter_hold);
+  ASSERT_EQ(fleet.station->charter_hold, common::constants::charter_hold);
   ASSERT_TRUE(fleet.until([&] { return fleet.asks > 0; }));  // a trellis answers, and has none
-  loam::Moment const sent = loam::boot_now();
+  common::Moment const sent = common::boot_now();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   std::optional<Response> const answer = fleet.answer_on(caller);
-  EXPECT_GE(loam::boot_now() - sent, loam::constants::charter_hold);  // it was waited for
+  EXPECT_GE(common::boot_now() - sent, common::constants::charter_hold);  // it was waited for
   EXPECT_EQ(status_of(answer), 503u);
   EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q1");
   // Final: the charter that comes a moment later doesn't bring it to a worker.
@@ -110,7 +110,7 @@
 }
 
 TEST(Station, ATrellisThatComesUpIsAskedWhileAnotherHoldsItsAnswer) {
-  loam::Bell never;
+  common::Bell never;
   std::size_t held = 0;
   Fleet fleet;
   fleet.worker("w1");
@@ -118,16 +118,16 @@
   std::string const holding = fleet.next_address();
   fleet.settings.seeds = {holding, fleet.trellis_address};
   fleet.settings.bounds.ask_deadline_ms = 600000;
-  ASSERT_TRUE(loam::serve_frames(*fleet.context, holding, 8,
-                                 [&](schema::Message const&, loam::Yield yield) -> std::optional<schema::Message> {
-                                   ++held;
-                                   never.wait(never.count(), loam::seconds(600), yield);
-                                   return std::nullopt;
-                                 })
+  ASSERT_TRUE(common::serve_frames(*fleet.context, holding, 8,
+                                   [&](schema::Message const&, common::Yield yield) -> std::optional<schema::Message> {
+                                     ++held;
+                                     never.wait(never.count(), common::seconds(600), yield);
+                                     return std::nullopt;
+                                   })
                   .ok());
   fleet.unanswered = 4;
   fleet.begin(false);
-  fleet.station->lost_patience = loam::seconds(600);
+  fleet.station->lost_patience = common::seconds(600);
   EXPECT_TRUE(fleet.until([&] { return fleet.station->ready(); }, 30000));
   EXPECT_EQ(held, 1u);
 }
@@ -137,7 +137,7 @@
   Worker& worker = fleet.worker("w1");
   fleet.list_age = -1;
   fleet.begin(false);
-  fleet.station->charter_hold = loam::seconds(60);
+  fleet.station->charter_hold = common::seconds(60);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   fleet.publish_charter(1);
   ASSERT_TRUE(fleet.until([&] { return fleet.station->book() != nullptr; }));
@@ -251,14 +251,14 @@
   std::string const cut_off = fleet.next_address();
   fleet.settings.seeds = {cut_off};
   std::size_t asked = 0;
-  ASSERT_TRUE(loam::serve_frames(*fleet.context, cut_off, 8,
-                                 [&](schema::Message const&, loam::Yield) -> std::optional<schema::Message> {
-                                   ++asked;
-                                   schema::NewsAnswer answer;
-                                   answer.list_age = -1;
-                                   answer.colleagues = {cut_off, fleet.trellis_address};
-                                   return answer;
-                                 })
+  ASSERT_TRUE(common::serve_frames(*fleet.context, cut_off, 8,
+                                   [&](schema::Message const&, common::Yield) -> std::optional<schema::Message> {
+                                     ++asked;
+                                     schema::NewsAnswer answer;
+                                     answer.list_age = -1;
+                                     answer.colleagues = {cut_off, fleet.trellis_address};
+                                     return answer;
+                                   })
                   .ok());
   fleet.begin(false);
   EXPECT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
@@ -392,24 +392,24 @@
   bool released = false;
   std::size_t held = 0;
   std::size_t heard = 0;
-  loam::Bell release;
+  common::Bell release;
   std::string const holding = fleet.next_address();
   std::string const second = fleet.next_address();
   fleet.settings.seeds = {holding, second, fleet.trellis_address};
-  ASSERT_TRUE(loam::serve_frames(*fleet.context, holding, 8,
-                                 [&](schema::Message const&, loam::Yield yield) -> std::optional<schema::Message> {
-                                   held += leaving ? 1 : 0;
-                                   while (leaving && !released) {
-                                     release.wait(release.count(), loam::seconds(600), yield);
-                                   }
-                                   return std::nullopt;
-                                 })
+  ASSERT_TRUE(common::serve_frames(*fleet.context, holding, 8,
+                                   [&](schema::Message const&, common::Yield yield) -> std::optional<schema::Message> {
+                                     held += leaving ? 1 : 0;
+                                     while (leaving && !released) {
+                                       release.wait(release.count(), common::seconds(600), yield);
+                                     }
+                                     return std::nullopt;
+                                   })
                   .ok());
-  ASSERT_TRUE(loam::serve_frames(*fleet.context, second, 8,
-                                 [&](schema::Message const&, loam::Yield) -> std::optional<schema::Message> {
-                                   heard += leaving ? 1 : 0;
-                                   return std::nullopt;
-                                 })
+  ASSERT_TRUE(common::serve_frames(*fleet.context, second, 8,
+                                   [&](schema::Message const&, common::Yield) -> std::optional<schema::Message> {
+                                     heard += leaving ? 1 : 0;
+                                     return std::nullopt;
+                                   })
                   .ok());
   fleet.settings.bounds.ask_deadline_ms = 600000;
   fleet.begin();
--- a/source/tests/relay/whole_test.cpp
+++ b/source/tests/relay/whole_test.cpp
@@ -151,12 +151,12 @@
 TEST(RelayWhole, WithoutWorkersItIsRefusedSoonAndNeverHeldBack) {
   Fleet fleet;
   fleet.begin();
-  loam::Moment const sent = loam::boot_now();
+  common::Moment const sent = common::boot_now();
   std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1"));
   std::optional<Response> const answer = fleet.answer_on(caller);
   EXPECT_EQ(status_of(answer), 503u);
   EXPECT_GT(std::stod(text_of(answer, "Retry-After")), 0);
-  EXPECT_LT(loam::boot_now() - sent, loam::milliseconds(300));  // a part of its set point, not its deadline
+  EXPECT_LT(common::boot_now() - sent, common::milliseconds(300));  // a part of its set point, not its deadline
 }
 
 TEST(RelayWhole, AMisdirectedWorkerIsNotAskedAgain) {
@@ -438,7 +438,7 @@
 
 /// A prompt of which another worker would read 5,000 tokens.
 std::string long_query(std::string const& id) {
-  return query("/plain/a", id, "", std::string(furrow::own_dialect().tokens) + ": 5000, 10\r\n");
+  return query("/plain/a", id, "", std::string(data_plane::own_dialect().tokens) + ": 5000, 10\r\n");
 }
 
 TEST(RelaySilence, ABusyWorkerOfALongPromptIsConnectedToAndWaitedFor) {
@@ -517,13 +517,13 @@
     Fleet fleet;
     Worker& worker = fleet.worker("w1");
     fleet.begin();
-    loam::Moment const sent = loam::boot_now();
+    common::Moment const sent = common::boot_now();
     std::shared_ptr<Line> const caller = fleet.call(query(lane + "a", "q1", "", "Finchlink-Left: 400\r\n"));
     ASSERT_TRUE(fleet.arrived(worker, 1));
     std::optional<Response> const answer = fleet.answer_on(caller);
     EXPECT_EQ(status_of(answer), 504u);
-    EXPECT_GE(loam::boot_now() - sent, loam::milliseconds(390));
-    EXPECT_LT(loam::boot_now() - sent, loam::milliseconds(1500));
+    EXPECT_GE(common::boot_now() - sent, common::milliseconds(390));
+    EXPECT_LT(common::boot_now() - sent, common::milliseconds(1500));
     EXPECT_TRUE(fleet.until([&] { return last(&worker).line->ended; }));
   }
 }
--- a/source/tests/relay/withheld_charter_test.cpp
+++ b/source/tests/relay/withheld_routing_config_test.cpp
@@ -16,7 +16,7 @@
   std::uint64_t silent_at = 0;  ///< says nothing to this piece, as after a loss on the way
 
   explicit Withholding(Fleet& fleet) : fleet(fleet), address(fleet.next_address()) {
-    EXPECT_TRUE(loam::serve_frames(*fleet.context, address, 8, [this](schema::Message const& message, loam::Yield) {
+    EXPECT_TRUE(common::serve_frames(*fleet.context, address, 8, [this](schema::Message const& message, common::Yield) {
                   return answer(message);
                 }).ok());
   }
@@ -28,7 +28,7 @@
       consensus::TransferSource const source = [this](schema::TransferKey const& key) {
         return std::optional<std::string>(fleet.news.at(key.name).content);
       };
-      return sender.answer(*request, source, loam::boot_now());
+      return sender.answer(*request, source, common::boot_now());
     }
     schema::NewsAsk const* const ask = std::get_if<schema::NewsAsk>(&message);
     if (ask == nullptr) {
--- a/source/tests/tilth/grove_test.cpp
+++ b/source/tests/scheduling/load_balancer_test.cpp
@@ -3,15 +3,15 @@
 #include <algorithm>
 #include <set>
 
-#include "loam/relay_constants.hpp"
-#include "tilth/census/census.hpp"
-#include "tilth/grove/grove.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
+#include "scheduling/proxy_count/proxy_count.hpp"
 
 namespace finchlink {
 namespace {
 
-using namespace tilth;
-namespace constants = loam::constants;
+using namespace scheduling;
+namespace constants = common::constants;
 
 Stand stand(std::string const& id, std::string const& service = "web", std::string const& hall = "north") {
   Stand entry;
@@ -60,13 +60,13 @@
   return entry;
 }
 
-std::string place(Grove& grove, Wanted const& query, loam::Moment now) {
+std::string place(Grove& grove, Wanted const& query, common::Moment now) {
   std::variant<Spot, NoSpot> const found = grove.choose(query, now);
   Spot const* const spot = std::get_if<Spot>(&found);
   return spot == nullptr ? "" : spot->worker;
 }
 
-constexpr loam::Moment start = loam::seconds(1000);
+constexpr common::Moment start = common::seconds(1000);
 
 TEST(Grove, WeightsDivideAndWeightNothingIsNeverServed) {
   Grove grove;
@@ -110,7 +110,7 @@
   census.told({"b", "a", "c"}, start);
   EXPECT_EQ(census.furrows(start), (std::vector<std::string>{"a", "b", "c"}));
   census.told({"a"}, start + 10);
-  loam::Moment const over = start + 10 + constants::census_memory;
+  common::Moment const over = start + 10 + constants::census_memory;
   EXPECT_EQ(census.furrows(over - 1), (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(census.furrows(over), (std::vector<std::string>{"a"}));
   // It counts once when it is back, and anew from when it left again.
@@ -131,7 +131,7 @@
     std::vector<Stand> stands{stand("a", "web")};
     stands[0].capacity = 1000;
     stands[0].cold_rate = 8;
-    stands[0].cold_until = start + loam::seconds(60);
+    stands[0].cold_until = start + common::seconds(60);
     std::vector<std::string> all;
     for (std::size_t index = 0; index < furrows; ++index) {
       all.push_back("furrow-" + std::to_string(index));
@@ -141,12 +141,12 @@
       Census census;
       census.told(all, start);
       if (index >= cut) {
-        census.told({all.begin() + static_cast<std::ptrdiff_t>(cut), all.end()}, start + loam::seconds(2));
+        census.told({all.begin() + static_cast<std::ptrdiff_t>(cut), all.end()}, start + common::seconds(2));
       }
       GroveTerms entry = terms(1, index);
-      entry.furrows = census.furrows(start + loam::seconds(3));
-      groves[index].update(stands, entry, start + loam::seconds(3));
-      while (place(groves[index], wanted(), start + loam::seconds(3)) != "") {
+      entry.furrows = census.furrows(start + common::seconds(3));
+      groves[index].update(stands, entry, start + common::seconds(3));
+      while (place(groves[index], wanted(), start + common::seconds(3)) != "") {
         ++taken;
       }
     }
@@ -213,13 +213,13 @@
   std::vector<Stand> stands = several(1, "web");
   stands[0].cold_rate = cold_rate;
   stands[0].capacity = 10000;
-  stands[0].cold_until = start + loam::seconds(60);
+  stands[0].cold_until = start + common::seconds(60);
   for (std::size_t index = 0; index < furrows; ++index) {
     groves.emplace_back(guards);
     groves.back().update(stands, terms(furrows, index), start);
   }
-  std::vector<loam::Moment> sends;
-  for (loam::Moment now = start; now < start + loam::seconds(5); now += loam::milliseconds(10)) {
+  std::vector<common::Moment> sends;
+  for (common::Moment now = start; now < start + common::seconds(5); now += common::milliseconds(10)) {
     for (Grove& grove : groves) {
       for (int attempt = 0; attempt < 3; ++attempt) {
         std::variant<Spot, NoSpot> const found = grove.choose(wanted(), now);
@@ -231,10 +231,10 @@
     }
   }
   std::size_t most = 0;
-  for (loam::Moment const begin : sends) {
+  for (common::Moment const begin : sends) {
     most = std::max<std::size_t>(
-        most, static_cast<std::size_t>(std::count_if(sends.begin(), sends.end(), [begin](loam::Moment sent) {
-          return sent >= begin && sent < begin + loam::seconds(1);
+        most, static_cast<std::size_t>(std::count_if(sends.begin(), sends.end(), [begin](common::Moment sent) {
+          return sent >= begin && sent < begin + common::seconds(1);
         })));
   }
   return most;
@@ -286,7 +286,7 @@
   std::vector<Stand> stands = several(1, "web");
   stands[0].cold_rate = 1;
   stands[0].capacity = 1000;
-  stands[0].cold_until = start + loam::seconds(5);
+  stands[0].cold_until = start + common::seconds(5);
   grove.update(stands, terms(), start);
   stands[0].cold_until = 0;  // a list read before it came
   grove.update(stands, terms(), start);
@@ -301,8 +301,8 @@
   for (bool const guarded : {true, false}) {
     Grove grove(GroveGuards{.rest = guarded});
     grove.update(several(1, "web"), terms(), start);
-    loam::Moment now = start;
-    loam::Span before = 0;
+    common::Moment now = start;
+    common::Span before = 0;
     for (int round = 0; round < 4; ++round) {
       std::variant<Spot, NoSpot> const found = grove.choose(wanted(), now);
       ASSERT_TRUE(std::holds_alternative<Spot>(found)) << round;
@@ -312,9 +312,9 @@
         continue;
       }
       EXPECT_TRUE(place(grove, wanted(), now).empty());
-      loam::Span rest = 0;
-      while (rest < loam::seconds(60) && !grove.alternative(wanted(), now + rest)) {
-        rest += loam::milliseconds(100);
+      common::Span rest = 0;
+      while (rest < common::seconds(60) && !grove.alternative(wanted(), now + rest)) {
+        rest += common::milliseconds(100);
       }
       EXPECT_GT(rest, before);
       before = rest;
@@ -338,7 +338,7 @@
     std::variant<Spot, NoSpot> const first = grove.choose(wanted(), start);
     ASSERT_TRUE(std::holds_alternative<Spot>(first));
     grove.ended(std::get<Spot>(first), false, Outcome::defect, start);
-    loam::Moment const now = start + constants::worker_rest_most;
+    common::Moment const now = start + constants::worker_rest_most;
     std::variant<Spot, NoSpot> const trial = grove.choose(wanted(), now);
     ASSERT_TRUE(std::holds_alternative<Spot>(trial));
     EXPECT_TRUE(place(grove, wanted(), now).empty());  // the first is not back yet
@@ -391,7 +391,7 @@
   std::variant<Spot, NoSpot> const second = grove.choose(wanted(), start + constants::refused_rest);
   ASSERT_TRUE(std::holds_alternative<Spot>(second));
   grove.ended(std::get<Spot>(second), false, Outcome::misdirected, start + constants::refused_rest);
-  EXPECT_EQ(place(grove, wanted(), start + loam::seconds(2)), "");  // another has its address
+  EXPECT_EQ(place(grove, wanted(), start + common::seconds(2)), "");  // another has its address
 }
 
 TEST(Grove, CallersWhoWentAwayDontSpeakAgainstAWorker) {
@@ -426,7 +426,7 @@
   grove.update(stands, terms(), start);
   grove.told("north-0", 8, 4, 8, start);
   EXPECT_EQ(place(grove, wanted(), start), "");
-  EXPECT_FALSE(place(grove, wanted(), start + loam::seconds(4)).empty());
+  EXPECT_FALSE(place(grove, wanted(), start + common::seconds(4)).empty());
 }
 
 TEST(Grove, LoadsAreLevelledAmongEquals) {
@@ -572,9 +572,9 @@
   grove.update(several(6, "pool"), terms(), start);
   std::set<std::string> read_long;
   std::set<std::string> read_short;
-  loam::Moment now = start;
+  common::Moment now = start;
   for (std::uint64_t step = 0; step < 200; ++step) {
-    now += loam::milliseconds(20);
+    now += common::milliseconds(20);
     bool const is_long = step % 10 == 0;
     Wanted const query = is_long ? long_prompt(step) : wanted("pool", 380);
     std::variant<Spot, NoSpot> const found = grove.choose(query, now);
--- a/source/tests/tilth/mechanisms_test.cpp
+++ b/source/tests/scheduling/mechanisms_test.cpp
@@ -1,4 +1,4 @@
-#include "tilth/mechanisms/mechanisms.hpp"
+#include "scheduling/mechanisms/mechanisms.hpp"
 
 #include <gtest/gtest.h>
 
@@ -6,10 +6,10 @@
 namespace {
 
 TEST(Mechanisms, AllAreOnUnlessNamed) {
-  absl::StatusOr<tilth::Mechanisms> const all = tilth::mechanisms_without({});
+  absl::StatusOr<scheduling::Mechanisms> const all = scheduling::mechanisms_without({});
   ASSERT_TRUE(all.ok());
   EXPECT_TRUE(all->grove.owners && all->grove.spare_regions && all->grove.rest && all->silence.probe && all->set_aside);
-  absl::StatusOr<tilth::Mechanisms> const some = tilth::mechanisms_without({"owners", "set_aside"});
+  absl::StatusOr<scheduling::Mechanisms> const some = scheduling::mechanisms_without({"owners", "set_aside"});
   ASSERT_TRUE(some.ok());
   EXPECT_FALSE(some->grove.owners);
   EXPECT_FALSE(some->set_aside);
@@ -17,10 +17,10 @@
 }
 
 TEST(Mechanisms, EachNameOfTheTableIsKnownAndNoOther) {
-  for (std::string const& name : tilth::mechanism_names()) {
-    EXPECT_TRUE(tilth::mechanisms_without({name}).ok()) << name;
+  for (std::string const& name : scheduling::mechanism_names()) {
+    EXPECT_TRUE(scheduling::mechanisms_without({name}).ok()) << name;
   }
-  EXPECT_TRUE(absl::IsInvalidArgument(tilth::mechanisms_without({"owner"}).status()));
+  EXPECT_TRUE(absl::IsInvalidArgument(scheduling::mechanisms_without({"owner"}).status()));
 }
 
 }  // namespace
--- a/source/tests/tilth/judge_test.cpp
+++ b/source/tests/scheduling/outlier_detector_test.cpp
@@ -1,30 +1,30 @@
 #include <gtest/gtest.h>
 
-#include "loam/relay_constants.hpp"
-#include "tilth/judge/judge.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/outlier_detection/outlier_detector.hpp"
 
 namespace finchlink {
 namespace {
 
-using namespace tilth;
-namespace constants = loam::constants;
+using namespace scheduling;
+namespace constants = common::constants;
 
-constexpr loam::Moment start = loam::seconds(1000);
+constexpr common::Moment start = common::seconds(1000);
 
 Subject subject(std::string const& worker) {
   return Subject{worker, "east/web", "north"};
 }
-bool open(Judge const& judge, Judge::Handle worker, loam::Moment now) {
+bool open(Judge const& judge, Judge::Handle worker, common::Moment now) {
   return std::holds_alternative<Open>(judge.verdict(worker, now));
 }
-bool on_trial(Judge const& judge, Judge::Handle worker, loam::Moment now) {
+bool on_trial(Judge const& judge, Judge::Handle worker, common::Moment now) {
   return std::holds_alternative<OnTrial>(judge.verdict(worker, now));
 }
-bool resting(Judge const& judge, Judge::Handle worker, loam::Moment now) {
+bool resting(Judge const& judge, Judge::Handle worker, common::Moment now) {
   return std::holds_alternative<Resting>(judge.verdict(worker, now));
 }
 /// When its rest is over.
-loam::Moment rested(Judge const& judge, Judge::Handle worker, loam::Moment now) {
+common::Moment rested(Judge const& judge, Judge::Handle worker, common::Moment now) {
   Verdict const verdict = judge.verdict(worker, now);
   Resting const* const rest = std::get_if<Resting>(&verdict);
   return rest == nullptr ? now : rest->until;
@@ -40,7 +40,7 @@
     EXPECT_TRUE(open(judge, worker, start));
     EXPECT_TRUE(forgets(judge.take(worker, Ended{1, outcome}, start)));
     EXPECT_EQ(rested(judge, worker, start), start + constants::worker_rest_least);
-    loam::Moment const after = start + constants::worker_rest_least;
+    common::Moment const after = start + constants::worker_rest_least;
     EXPECT_TRUE(on_trial(judge, worker, after));
     EXPECT_TRUE(judge.take(worker, Ended{2, Outcome::abandoned}, after).empty());
     EXPECT_TRUE(on_trial(judge, worker, after));  // who went away says nothing
@@ -63,10 +63,10 @@
 TEST(Judge, OverdueIsTheOldestDispatchWithoutAFirstToken) {
   Judge judge;
   Judge::Handle const worker = judge.admit(subject("a"));
-  loam::Moment const due = start + loam::seconds(1);
+  common::Moment const due = start + common::seconds(1);
   EXPECT_TRUE(judge.take(worker, Sent{1, due}, start).empty());
-  EXPECT_TRUE(judge.take(worker, Sent{2, due + loam::seconds(1)}, start).empty());
-  loam::Moment const late = due + constants::overdue_slack + loam::seconds(3);
+  EXPECT_TRUE(judge.take(worker, Sent{2, due + common::seconds(1)}, start).empty());
+  common::Moment const late = due + constants::overdue_slack + common::seconds(3);
   EXPECT_DOUBLE_EQ(judge.overdue(worker, start), 0);
   EXPECT_DOUBLE_EQ(judge.overdue(worker, late), 3);
   EXPECT_TRUE(judge.awaits(worker, 1));
@@ -122,9 +122,9 @@
       Judge::Handle const elsewhere = judge.admit(Subject{"other", "west/web", "far"});
       // The first worker was bad first, so its pause ends first: it is the least bad.
       for (std::size_t index = 0; index < size; ++index) {
-        (void)judge.take(workers[index], Ended{index, Outcome::defect}, start + static_cast<loam::Moment>(index));
+        (void)judge.take(workers[index], Ended{index, Outcome::defect}, start + static_cast<common::Moment>(index));
       }
-      loam::Moment const now = start + static_cast<loam::Moment>(size);
+      common::Moment const now = start + static_cast<common::Moment>(size);
       std::size_t rest = 0;
       for (Judge::Handle const worker : workers) {
         rest += resting(judge, worker, now) ? 1 : 0;
--- a/source/tests/tilth/placement_test.cpp
+++ b/source/tests/scheduling/placement_test.cpp
@@ -2,16 +2,16 @@
 
 #include <set>
 
-#include "loam/constants.hpp"
-#include "tilth/fit/fit.hpp"
-#include "tilth/placement/placement.hpp"
-#include "tilth/scaler/scaler.hpp"
+#include "common/constants.hpp"
+#include "scheduling/fit/fit.hpp"
+#include "scheduling/placement/placement.hpp"
+#include "scheduling/scaler/scaler.hpp"
 
 namespace finchlink {
 namespace {
 
-using namespace tilth;
-namespace constants = loam::constants;
+using namespace scheduling;
+namespace constants = common::constants;
 
 struct Bench {
   Placement placement;
@@ -34,9 +34,9 @@
       (void)placement.load(wish.id, 0, 0, "1", 0);
     }
   }
-  std::vector<PlacementAction> update(loam::Moment now) { return placement.update(wishes, bounds, aims, 1, now); }
+  std::vector<PlacementAction> update(common::Moment now) { return placement.update(wishes, bounds, aims, 1, now); }
   std::vector<PlacementAction> enqueue(Phase phase = Phase::both, std::vector<std::uint64_t> chain = {},
-                                       loam::Moment now = 0, loam::Span patience = loam::seconds(60)) {
+                                       common::Moment now = 0, common::Span patience = common::seconds(60)) {
     Ticket ticket;
     ticket.id = next++;
     ticket.rule = "r";
@@ -72,7 +72,7 @@
   int good = 0;
   int worst = 0;
   for (int tick = 0; tick < 80; ++tick) {  // of 50 ms, a look at every fifth
-    loam::Moment const now = loam::milliseconds(50) * (tick + 1);
+    common::Moment const now = common::milliseconds(50) * (tick + 1);
     for (std::size_t furrow = 0; furrow < 2; ++furrow) {
       wish.tended = second_comes_late ? (furrow == 0 ? tick < 40 : tick >= 40) : true;
       (void)furrows[furrow].update({wish}, bounds, schema::ScalerAims{}, 2, now);
@@ -94,7 +94,7 @@
         ticket.rule = "r";
         ticket.allowed = {"a"};
         ticket.tokens = 100;
-        ticket.deadline = now + loam::seconds(60);
+        ticket.deadline = now + common::seconds(60);
         ticket.waitlist_bound = 0;
         for (PlacementAction const& action : furrows[furrow].enqueue(ticket, now)) {
           if (std::holds_alternative<Go>(action)) {
@@ -217,26 +217,26 @@
 TEST(Placement, RefusesAtOnceWhatCannotBeInTime) {
   Bench bench(1, 1);
   EXPECT_EQ(went(bench.enqueue()), "a");
-  std::vector<PlacementAction> const late = bench.enqueue(Phase::both, {}, 0, loam::milliseconds(10));
+  std::vector<PlacementAction> const late = bench.enqueue(Phase::both, {}, 0, common::milliseconds(10));
   ASSERT_EQ(late.size(), 1u);
   EXPECT_EQ(std::get<Denied>(late[0]).reason, "busy");
-  (void)bench.enqueue(Phase::both, {}, 0, loam::seconds(2));
-  std::vector<PlacementAction> const over = bench.placement.tick(loam::seconds(3));
+  (void)bench.enqueue(Phase::both, {}, 0, common::seconds(2));
+  std::vector<PlacementAction> const over = bench.placement.tick(common::seconds(3));
   ASSERT_EQ(over.size(), 1u);
   EXPECT_EQ(std::get<Denied>(over[0]).reason, "deadline");
 }
 
 TEST(Placement, ColdWorkerIsRampedByItsTenderOnly) {
   Bench bench(1, 16);
-  (void)bench.placement.load("a", 0, 0, "2", loam::seconds(1));  // it started anew
-  EXPECT_FALSE(bench.placement.room(loam::seconds(1)));
+  (void)bench.placement.load("a", 0, 0, "2", common::seconds(1));  // it started anew
+  EXPECT_FALSE(bench.placement.room(common::seconds(1)));
   bench.wishes[0].tended = true;
-  (void)bench.update(loam::seconds(1));
-  EXPECT_EQ(went(bench.enqueue(Phase::both, {}, loam::seconds(1))), "a");
-  EXPECT_EQ(went(bench.enqueue(Phase::both, {}, loam::seconds(1))), "");  // one at a time at first
-  loam::Moment now = loam::seconds(1);
+  (void)bench.update(common::seconds(1));
+  EXPECT_EQ(went(bench.enqueue(Phase::both, {}, common::seconds(1))), "a");
+  EXPECT_EQ(went(bench.enqueue(Phase::both, {}, common::seconds(1))), "");  // one at a time at first
+  common::Moment now = common::seconds(1);
   for (std::uint64_t answered = 0; answered < 40; ++answered) {
-    now += loam::milliseconds(200);
+    now += common::milliseconds(200);
     (void)bench.placement.finished(answered + 1, Ending::good, now);
     (void)bench.enqueue(Phase::both, {}, now);
   }
@@ -280,15 +280,15 @@
 }
 
 /// Feeds a scaler with slices of the same or wobbling work.
-ScalerAction decide(double decode_iterations, double wobble, loam::Span since_switch, schema::Split split) {
+ScalerAction decide(double decode_iterations, double wobble, common::Span since_switch, schema::Split split) {
   schema::ScalerAims aims;
   aims.manner = "paired";
   aims.window_ms = 10000;
   aims.hold_ms = 3000;
   schema::WorkerBounds bounds;
   Scaler scaler;
-  loam::Moment now = loam::seconds(100);
-  (void)scaler.tick(split, 5, {"a", "b", "c", "d"}, aims, bounds, now + loam::seconds(11) - since_switch);
+  common::Moment now = common::seconds(100);
+  (void)scaler.tick(split, 5, {"a", "b", "c", "d"}, aims, bounds, now + common::seconds(11) - since_switch);
   for (int slice = 0; slice < 11; ++slice) {
     double const sign = slice % 2 == 0 ? 1 : -1;
     schema::FurrowReport report;
@@ -302,7 +302,7 @@
     decode.iterations = 100 * decode_iterations * (1 + sign * wobble);
     report.figures = {prefill, decode};
     scaler.report(report, aims, now);
-    now += loam::seconds(1);
+    now += common::seconds(1);
   }
   return scaler.tick(split, 5, {"a", "b", "c", "d"}, aims, bounds, now);
 }
@@ -315,18 +315,18 @@
     split.phases[worker] = worker == "d" ? "decode" : "prefill";
     split.coefficients[worker] = schema::Coefficients{{0.004, 0.00002, 0, 0}, {0.004, 0.002, 0.0003}, 0};
   }
-  ScalerAction const sure = decide(200, 0, loam::seconds(10), split);
+  ScalerAction const sure = decide(200, 0, common::seconds(10), split);
   ASSERT_TRUE(std::holds_alternative<WriteSplit>(sure));
   std::size_t prefills = 0;
   for (std::pair<std::string const, std::string> const& phase : std::get<WriteSplit>(sure).split.phases) {
     prefills += phase.second == "prefill" ? 1 : 0;
   }
   EXPECT_LT(prefills, 3u);
-  EXPECT_TRUE(std::holds_alternative<Rest>(decide(200, 0, loam::seconds(1), split)));  // held
-  EXPECT_TRUE(std::holds_alternative<Rest>(decide(4, 0, loam::seconds(10), split)));   // nothing to gain
+  EXPECT_TRUE(std::holds_alternative<Rest>(decide(200, 0, common::seconds(1), split)));  // held
+  EXPECT_TRUE(std::holds_alternative<Rest>(decide(4, 0, common::seconds(10), split)));   // nothing to gain
   // A gain in the mean, but from bursts: less than two errors.
-  EXPECT_TRUE(std::holds_alternative<WriteSplit>(decide(9, 0, loam::seconds(10), split)));
-  EXPECT_TRUE(std::holds_alternative<Rest>(decide(9, 0.9, loam::seconds(10), split)));
+  EXPECT_TRUE(std::holds_alternative<WriteSplit>(decide(9, 0, common::seconds(10), split)));
+  EXPECT_TRUE(std::holds_alternative<Rest>(decide(9, 0.9, common::seconds(10), split)));
 }
 
 TEST(Scaler, AssignsAtOnceWhatCameNewOrAPhaseThatIsEmpty) {
--- a/source/tests/tilth/wall_flood_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_flood_test.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 #include <vector>
 
-#include "tilth/wall/walls.hpp"
+#include "scheduling/prompt_isolation/prompt_isolation.hpp"
 
 namespace finchlink {
 namespace {
@@ -14,9 +14,9 @@
 constexpr std::uint64_t flooding = 2;
 constexpr std::size_t flood_prompts = 20000;
 
-std::vector<tilth::Part> prompt_of(std::uint64_t holder, std::uint64_t number) {
-  return {tilth::Part{holder * 1000003 + number * 7, 400, holder},
-          tilth::Part{holder * 1000003 + number * 7 + 1, 200, holder}};
+std::vector<scheduling::Part> prompt_of(std::uint64_t holder, std::uint64_t number) {
+  return {scheduling::Part{holder * 1000003 + number * 7, 400, holder},
+          scheduling::Part{holder * 1000003 + number * 7 + 1, 200, holder}};
 }
 
 double bytes_in_use() {
@@ -37,7 +37,7 @@
 Flooded flood(std::size_t tenants, double most) {
   Flooded result;
   double const before = bytes_in_use();
-  tilth::Reuse reuse(most);
+  scheduling::Reuse reuse(most);
   std::size_t const each = flood_prompts / tenants + 1;
   std::size_t sent = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
@@ -60,8 +60,8 @@
   }
   result.give_up_us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - began).count() / 20;
   double const between = bytes_in_use();
-  tilth::Walls walls;
-  tilth::Prompt prompt{"", "m", {tilth::NamedPart{"a", 100}}, {}, ""};
+  scheduling::Walls walls;
+  scheduling::Prompt prompt{"", "m", {scheduling::NamedPart{"a", 100}}, {}, ""};
   for (std::size_t index = 0; index < tenants; ++index) {
     prompt.tenant = "customer-number-" + std::to_string(index);
     walls.count(prompt, {}, 0.0);
@@ -94,7 +94,7 @@
   // the flood's part is not above that of those who are left.
   std::size_t const tenants = 8600;
   double const most = 8600.0 * 60;
-  tilth::Reuse reuse(most);
+  scheduling::Reuse reuse(most);
   std::size_t kept = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
     reuse.remember(prompt_of(100 + tenant, 0));
--- a/source/tests/tilth/wall_grove_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
@@ -1,12 +1,12 @@
 #include <gtest/gtest.h>
 
-#include "tilth/grove/grove.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
 
 namespace finchlink {
 namespace {
 
-tilth::Stand stand_of(std::string const& id) {
-  tilth::Stand stand;
+scheduling::Stand stand_of(std::string const& id) {
+  scheduling::Stand stand;
   stand.id = id;
   stand.address = "127.0.0.1:1";
   stand.service = "s";
@@ -20,43 +20,43 @@
 
 /// One worker on which a tenant's part of 500 tokens is kept.
 struct Kept {
-  tilth::Grove grove;
-  tilth::Wanted wanted;
-  loam::Moment now = 1000000;
+  scheduling::Grove grove;
+  scheduling::Wanted wanted;
+  common::Moment now = 1000000;
   Kept() {
     wanted.shares.push_back(schema::Share{"s", 1});
-    wanted.parts = {tilth::Part{77, 500, 9}};
+    wanted.parts = {scheduling::Part{77, 500, 9}};
     wanted.tokens = 500;
     put({stand_of("w")});
-    tilth::Spot const spot = place();
+    scheduling::Spot const spot = place();
     EXPECT_EQ(spot.uncached, 500);
     grove.first_token(spot, wanted.parts, 0.01);
-    grove.ended(spot, true, tilth::Outcome::good, now);
+    grove.ended(spot, true, scheduling::Outcome::good, now);
     EXPECT_EQ(uncached(), 0);
   }
-  void put(std::vector<tilth::Stand> const& stands) {
-    tilth::GroveTerms terms;
+  void put(std::vector<scheduling::Stand> const& stands) {
+    scheduling::GroveTerms terms;
     terms.hall = "h";
     terms.region = "r";
     terms.self = "f";
     terms.furrows = {"f"};
     grove.update(stands, terms, now += 100000);
   }
-  tilth::Spot place() {
-    std::variant<tilth::Spot, tilth::NoSpot> const found = grove.choose(wanted, now += 10000000);
-    EXPECT_TRUE(std::holds_alternative<tilth::Spot>(found));
-    return std::holds_alternative<tilth::Spot>(found) ? std::get<tilth::Spot>(found) : tilth::Spot{};
+  scheduling::Spot place() {
+    std::variant<scheduling::Spot, scheduling::NoSpot> const found = grove.choose(wanted, now += 10000000);
+    EXPECT_TRUE(std::holds_alternative<scheduling::Spot>(found));
+    return std::holds_alternative<scheduling::Spot>(found) ? std::get<scheduling::Spot>(found) : scheduling::Spot{};
   }
   double uncached() {
-    tilth::Spot const spot = place();
-    grove.ended(spot, false, tilth::Outcome::abandoned, now);
+    scheduling::Spot const spot = place();
+    grove.ended(spot, false, scheduling::Outcome::abandoned, now);
     return spot.uncached;
   }
 };
 
 TEST(WallGrove, AnotherTenantHasNothingThere) {
   Kept kept;
-  kept.wanted.parts = {tilth::Part{78, 500, 10}};
+  kept.wanted.parts = {scheduling::Part{78, 500, 10}};
   EXPECT_EQ(kept.uncached(), 500);
 }
 
@@ -75,7 +75,7 @@
 
 TEST(WallGrove, AHallTakenBackKeepsNothing) {
   Kept kept;
-  tilth::Stand emptied = stand_of("w");
+  scheduling::Stand emptied = stand_of("w");
   emptied.evacuated = true;
   kept.put({emptied});
   kept.put({stand_of("w")});
@@ -84,17 +84,17 @@
 
 TEST(WallGrove, AWorkerTurnedColdKeepsNothing) {
   Kept kept;
-  tilth::Stand cold = stand_of("w");
+  scheduling::Stand cold = stand_of("w");
   cold.cold_until = kept.now + 1000000;
   kept.put({cold});
   EXPECT_EQ(kept.uncached(), 500);
 }
 
 TEST(WallGrove, ADefectForgets) {
-  for (tilth::Outcome const outcome :
-       {tilth::Outcome::unreachable, tilth::Outcome::defect, tilth::Outcome::misdirected}) {
+  for (scheduling::Outcome const outcome :
+       {scheduling::Outcome::unreachable, scheduling::Outcome::defect, scheduling::Outcome::misdirected}) {
     Kept kept;
-    tilth::Spot const spot = kept.place();
+    scheduling::Spot const spot = kept.place();
     kept.grove.ended(spot, false, outcome, kept.now);
     EXPECT_EQ(kept.uncached(), 500);
   }
--- a/source/tests/tilth/wall_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <set>
 
-#include "tilth/wall/walls.hpp"
+#include "scheduling/prompt_isolation/prompt_isolation.hpp"
 
 namespace finchlink {
 namespace {
@@ -18,27 +18,27 @@
 
 TEST(WallKey, IsTheStandardsKeyedHash) {
   // RFC 4231, test case 2.
-  EXPECT_EQ(tilth::hex(tilth::keyed_hash("Jefe", "what do ya want for nothing?")),
+  EXPECT_EQ(scheduling::hex(scheduling::keyed_hash("Jefe", "what do ya want for nothing?")),
             "5bdcc146bf60754e6a042426089575c75a003f089d2739839dec58b964ec3843");
 }
 
 TEST(WallKey, EveryFieldCounts) {
   std::set<std::string> keys;
-  keys.insert(tilth::wall_key(first_secret, {false, "t", "m", "1", ""}));
-  keys.insert(tilth::wall_key(second_secret, {false, "t", "m", "1", ""}));
-  keys.insert(tilth::wall_key(first_secret, {true, "", "m", "1", ""}));
-  keys.insert(tilth::wall_key(first_secret, {false, "", "m", "1", ""}));
-  keys.insert(tilth::wall_key(first_secret, {false, "tm", "", "1", ""}));
-  keys.insert(tilth::wall_key(first_secret, {false, "t", "m1", "", ""}));
-  keys.insert(tilth::wall_key(first_secret, {false, "t", "m", "2", ""}));
-  keys.insert(tilth::wall_key(first_secret, {false, "t", "m", "1", "header customer"}));
-  keys.insert(tilth::wall_key(first_secret, {false, "t", "m", "1", "path rides"}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "1", ""}));
+  keys.insert(scheduling::wall_key(second_secret, {false, "t", "m", "1", ""}));
+  keys.insert(scheduling::wall_key(first_secret, {true, "", "m", "1", ""}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "", "m", "1", ""}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "tm", "", "1", ""}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m1", "", ""}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "2", ""}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "1", "header customer"}));
+  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "1", "path rides"}));
   EXPECT_EQ(keys.size(), 9u);
 }
 
 TEST(WallSecrets, AreReadAndNeverQuoted) {
-  absl::StatusOr<tilth::Secrets> const good =
-      tilth::read_secrets("{\"current\":\"" + first_secret + "\",\"previous\":\"" + second_secret + "\",\"moved\":30}");
+  absl::StatusOr<scheduling::Secrets> const good = scheduling::read_secrets(
+      "{\"current\":\"" + first_secret + "\",\"previous\":\"" + second_secret + "\",\"moved\":30}");
   ASSERT_TRUE(good.ok());
   EXPECT_EQ(good->moved, 30u);
   std::vector<std::string> const bad{"",
@@ -50,7 +50,7 @@
                                      "{\"current\":\"" + first_secret + "\",\"other\":1}",
                                      "{\"current\":\"" + first_secret};
   for (std::string const& text : bad) {
-    absl::StatusOr<tilth::Secrets> const read = tilth::read_secrets(text);
+    absl::StatusOr<scheduling::Secrets> const read = scheduling::read_secrets(text);
     EXPECT_FALSE(read.ok()) << text;
     EXPECT_EQ(read.status().message().find("aaaa"), std::string::npos);
     EXPECT_EQ(read.status().message().find("short"), std::string::npos);
@@ -58,8 +58,8 @@
 }
 
 TEST(WallSecrets, ATenantIsOnOneOfBoth) {
-  tilth::Secrets secrets{first_secret, second_secret, 0};
-  EXPECT_EQ(tilth::secret_of(secrets, "t"), second_secret);
+  scheduling::Secrets secrets{first_secret, second_secret, 0};
+  EXPECT_EQ(scheduling::secret_of(secrets, "t"), second_secret);
   int moved = 0;
   std::set<std::string> before;
   for (std::uint64_t share : {25u, 50u, 100u}) {
@@ -67,7 +67,7 @@
     moved = 0;
     for (int index = 0; index < 1000; ++index) {
       std::string const tenant = "tenant-" + std::to_string(index);
-      bool const current = tilth::secret_of(secrets, tenant) == first_secret;
+      bool const current = scheduling::secret_of(secrets, tenant) == first_secret;
       moved += current ? 1 : 0;
       EXPECT_TRUE(current || before.count(tenant) == 0) << "moved back";
       if (current) {
@@ -79,49 +79,50 @@
   EXPECT_EQ(moved, 1000);
 }
 
-tilth::Prompt prompt_of(std::string const& tenant, std::string const& parts, std::vector<std::string> shared = {}) {
-  return tilth::Prompt{tenant, "m", tilth::named_parts(parts), std::move(shared), ""};
+scheduling::Prompt prompt_of(std::string const& tenant, std::string const& parts,
+                             std::vector<std::string> shared = {}) {
+  return scheduling::Prompt{tenant, "m", scheduling::named_parts(parts), std::move(shared), ""};
 }
 
-tilth::Walls walls_with_secret(tilth::WallGuards guards = {}) {
-  tilth::Walls walls(guards);
-  walls.take(tilth::Secrets{first_secret, "", 100});
+scheduling::Walls walls_with_secret(scheduling::WallGuards guards = {}) {
+  scheduling::Walls walls(guards);
+  walls.take(scheduling::Secrets{first_secret, "", 100});
   return walls;
 }
 
-std::vector<std::string> ids_of(tilth::Walled const& walled) {
+std::vector<std::string> ids_of(scheduling::Walled const& walled) {
   std::vector<std::string> ids;
-  for (tilth::NamedPart const& part : tilth::named_parts(walled.header)) {
+  for (scheduling::NamedPart const& part : scheduling::named_parts(walled.header)) {
     ids.push_back(part.id);
   }
   return ids;
 }
 
 TEST(Walls, ColdUntilVersionAndSecretAreKnown) {
-  tilth::Walls walls = walls_with_secret();
-  tilth::Prompt const prompt = prompt_of("t", "a:100,b:50");
-  tilth::Walled const first = walls.send(prompt, "w", {1, 2});
+  scheduling::Walls walls = walls_with_secret();
+  scheduling::Prompt const prompt = prompt_of("t", "a:100,b:50");
+  scheduling::Walled const first = walls.send(prompt, "w", {1, 2});
   EXPECT_TRUE(first.cold);
   EXPECT_EQ(first.most_reused, 0);
   EXPECT_NE(walls.send(prompt, "w", {3, 4}).header, first.header);
-  std::vector<tilth::WallAction> const actions = walls.heard({"w", "v1", 0.0}, first, 0);
+  std::vector<scheduling::WallAction> const actions = walls.heard({"w", "v1", 0.0}, first, 0);
   ASSERT_EQ(actions.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<tilth::ForgetWorker>(actions[0]));
-  tilth::Walled const second = walls.send(prompt, "w", {5, 6});
+  EXPECT_TRUE(std::holds_alternative<scheduling::ForgetWorker>(actions[0]));
+  scheduling::Walled const second = walls.send(prompt, "w", {5, 6});
   EXPECT_FALSE(second.cold);
   EXPECT_EQ(second.version, "v1");
   EXPECT_EQ(walls.send(prompt, "w", {7, 8}).header, second.header);
   EXPECT_EQ(second.header.find("a:"), std::string::npos) << "the caller's own ids never go out";
-  tilth::Walls bare;
+  scheduling::Walls bare;
   (void)bare.heard({"w", "v1", {}}, first, 0);
   EXPECT_TRUE(bare.send(prompt, "w", {1, 2}).cold);
   EXPECT_TRUE(bare.place(prompt).empty());
 }
 
 TEST(Walls, VersionsAndModelsAreWallsToo) {
-  tilth::Walls walls = walls_with_secret();
+  scheduling::Walls walls = walls_with_secret();
   (void)walls.heard({"w", "v1", {}}, {}, 0);
-  tilth::Prompt prompt = prompt_of("t", "a:100");
+  scheduling::Prompt prompt = prompt_of("t", "a:100");
   std::string const before = walls.send(prompt, "w", {1, 2}).header;
   (void)walls.heard({"w", "v2", {}}, {}, 0);
   EXPECT_NE(walls.send(prompt, "w", {1, 2}).header, before);
@@ -134,7 +135,7 @@
 }
 
 TEST(Walls, PublicPartsAreSharedOnlyAtTheBeginning) {
-  tilth::Walls walls = walls_with_secret();
+  scheduling::Walls walls = walls_with_secret();
   (void)walls.heard({"w", "v1", {}}, {}, 0);
   std::vector<std::string> const one = ids_of(walls.send(prompt_of("t", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
   std::vector<std::string> const other = ids_of(walls.send(prompt_of("u", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
@@ -143,7 +144,7 @@
   EXPECT_NE(one[2], other[2]);
   EXPECT_NE(one[2], one[0]) << "what a worker computed depends on all in front of it";
   // Who names no tenant shares the public beginning and nothing else.
-  tilth::Walled const nobody = walls.send(prompt_of("", "p:10,a:20", {"p"}), "w", {1, 2});
+  scheduling::Walled const nobody = walls.send(prompt_of("", "p:10,a:20", {"p"}), "w", {1, 2});
   EXPECT_EQ(ids_of(nobody)[0], one[0]);
   EXPECT_TRUE(nobody.cold);
   EXPECT_EQ(nobody.most_reused, 10);
@@ -151,29 +152,29 @@
 }
 
 TEST(Walls, NameWhatCrossesAndWhatWasGivenUp) {
-  tilth::Walls walls = walls_with_secret();
-  tilth::Walled const cold = walls.send(prompt_of("t", "a:100"), "w", {1, 2});
-  std::vector<tilth::WallAction> actions = walls.heard({"w", "v1", 60.0}, cold, 0);
+  scheduling::Walls walls = walls_with_secret();
+  scheduling::Walled const cold = walls.send(prompt_of("t", "a:100"), "w", {1, 2});
+  std::vector<scheduling::WallAction> actions = walls.heard({"w", "v1", 60.0}, cold, 0);
   ASSERT_FALSE(actions.empty());
-  ASSERT_TRUE(std::holds_alternative<tilth::Crossed>(actions[0]));
-  EXPECT_EQ(std::get<tilth::Crossed>(actions[0]).tokens, 60);
+  ASSERT_TRUE(std::holds_alternative<scheduling::Crossed>(actions[0]));
+  EXPECT_EQ(std::get<scheduling::Crossed>(actions[0]).tokens, 60);
   EXPECT_EQ(walls.crossings(), 1u);
   actions = walls.heard({"w", "v1", 40.0}, walls.send(prompt_of("t", "a:100"), "w", {1, 2}), 100);
   ASSERT_EQ(actions.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<tilth::GaveUp>(actions[0]));
+  EXPECT_TRUE(std::holds_alternative<scheduling::GaveUp>(actions[0]));
 }
 
 TEST(Walls, AWorkerThatRanForOtherWeightsIsColdForThatVersion) {
-  tilth::Walls walls = walls_with_secret();
-  tilth::Prompt const prompt = prompt_of("t", "a:100");
+  scheduling::Walls walls = walls_with_secret();
+  scheduling::Prompt const prompt = prompt_of("t", "a:100");
   (void)walls.heard({"w", "v1", {}}, {}, 0);
-  tilth::Walled const keyed = walls.send(prompt, "w", {1, 2});
+  scheduling::Walled const keyed = walls.send(prompt, "w", {1, 2});
   ASSERT_EQ(keyed.version, "v1");
   // It ran although it has v2: what it keeps under v1's ids, v2 computed.
-  std::vector<tilth::WallAction> const actions = walls.heard({"w", "v2", 0.0, true}, keyed, 0);
+  std::vector<scheduling::WallAction> const actions = walls.heard({"w", "v2", 0.0, true}, keyed, 0);
   ASSERT_EQ(actions.size(), 2u);
-  ASSERT_TRUE(std::holds_alternative<tilth::RanOtherWeights>(actions[0]));
-  EXPECT_EQ(std::get<tilth::RanOtherWeights>(actions[0]).expected, "v1");
+  ASSERT_TRUE(std::holds_alternative<scheduling::RanOtherWeights>(actions[0]));
+  EXPECT_EQ(std::get<scheduling::RanOtherWeights>(actions[0]).expected, "v1");
   EXPECT_EQ(walls.other_weights(), 1u);
   EXPECT_FALSE(walls.send(prompt, "w", {1, 2}).cold) << "v2's ids are whole";
   (void)walls.heard({"w", "v1", {}}, {}, 0);
@@ -187,10 +188,10 @@
 }
 
 TEST(Walls, AWorkerThatTellsNoVersionAnyMoreIsCold) {
-  tilth::Walls walls = walls_with_secret();
-  tilth::Prompt const prompt = prompt_of("t", "a:100");
+  scheduling::Walls walls = walls_with_secret();
+  scheduling::Prompt const prompt = prompt_of("t", "a:100");
   (void)walls.heard({"w", "v1", {}}, {}, 0);
-  tilth::Walled const keyed = walls.send(prompt, "w", {1, 2});
+  scheduling::Walled const keyed = walls.send(prompt, "w", {1, 2});
   (void)walls.heard({"w", "", 0.0, true}, keyed, 0);
   EXPECT_TRUE(walls.send(prompt, "w", {1, 2}).cold);
   EXPECT_EQ(walls.other_weights(), 1u);
@@ -204,24 +205,24 @@
   for (int index = 0; index < 4000; ++index) {
     text += "a" + std::to_string(index) + ":1,";
   }
-  std::vector<tilth::NamedPart> const parts = tilth::named_parts(text);
+  std::vector<scheduling::NamedPart> const parts = scheduling::named_parts(text);
   ASSERT_EQ(parts.size(), 64u);
   double tokens = 0;
-  for (tilth::NamedPart const& part : parts) {
+  for (scheduling::NamedPart const& part : parts) {
     tokens += part.tokens;
   }
   EXPECT_EQ(tokens, 4000);
   // Prompts that differ in the last part only differ there still.
-  EXPECT_NE(tilth::named_parts(text + "x:1").back().id, tilth::named_parts(text + "y:1").back().id);
+  EXPECT_NE(scheduling::named_parts(text + "x:1").back().id, scheduling::named_parts(text + "y:1").back().id);
   EXPECT_LT(walls_with_secret().send(prompt_of("t", text), "w", {1, 2}).header.size(), 4000u);
-  EXPECT_LE(tilth::named_parts("a:18446744073709551615").front().tokens, 1e9);
+  EXPECT_LE(scheduling::named_parts("a:18446744073709551615").front().tokens, 1e9);
 }
 
 TEST(WallRecord, AFloodTakesNothingFromTheOthers) {
-  tilth::Reuse reuse(100000);
-  std::function<std::vector<tilth::Part>(std::uint64_t, std::uint64_t)> const parts = [](std::uint64_t holder,
-                                                                                         std::uint64_t key) {
-    return std::vector<tilth::Part>{{holder * 1000003, 50, holder}, {key, 50, holder}};
+  scheduling::Reuse reuse(100000);
+  std::function<std::vector<scheduling::Part>(std::uint64_t, std::uint64_t)> const parts = [](std::uint64_t holder,
+                                                                                              std::uint64_t key) {
+    return std::vector<scheduling::Part>{{holder * 1000003, 50, holder}, {key, 50, holder}};
   };
   for (std::uint64_t tenant = 100; tenant < 200; ++tenant) {
     reuse.remember(parts(tenant, tenant));
@@ -239,7 +240,7 @@
 }
 
 TEST(WallRecord, ManyTenantsShareWithinTheBound) {
-  tilth::Reuse reuse(40000);
+  scheduling::Reuse reuse(40000);
   for (std::uint64_t tenant = 2; tenant < 8602; ++tenant) {
     reuse.remember({{tenant, 100, tenant}});
   }
@@ -253,7 +254,7 @@
 }
 
 TEST(WallRecord, ForgetsWhatWasGivenUpAndWhatIsOlder) {
-  tilth::Reuse reuse(100000);
+  scheduling::Reuse reuse(100000);
   reuse.remember({{1, 100, 5}});
   reuse.remember({{2, 100, 6}});
   reuse.remember({{3, 100, 7}});
@@ -272,8 +273,8 @@
   // Printed for docs/operating/walls.md; a sanitizer's heap tells nothing.
   std::function<double(std::size_t)> const of_tallies = [](std::size_t tenants) {
     double const before = bytes_in_use();
-    tilth::Walls walls;
-    tilth::Prompt prompt = prompt_of("", "a:100");
+    scheduling::Walls walls;
+    scheduling::Prompt prompt = prompt_of("", "a:100");
     for (std::size_t index = 0; index < tenants; ++index) {
       prompt.tenant = "customer-number-" + std::to_string(index);
       walls.count(prompt, {}, 0.0);
@@ -282,7 +283,7 @@
   };
   std::function<double(std::size_t)> const of_records = [](std::size_t tenants) {
     double const before = bytes_in_use();
-    tilth::Reuse reuse(1e9);
+    scheduling::Reuse reuse(1e9);
     for (std::uint64_t tenant = 2; tenant < tenants + 2; ++tenant) {
       reuse.remember({{tenant * 3, 400, tenant}, {tenant * 5, 200, tenant}});
     }
@@ -305,11 +306,11 @@
     std::string id;
     double tokens;
   };
-  std::vector<Hit> read(std::string const& reader, std::vector<tilth::NamedPart> const& parts, double most,
+  std::vector<Hit> read(std::string const& reader, std::vector<scheduling::NamedPart> const& parts, double most,
                         std::size_t& own) {
     std::vector<Hit> crossed;
     bool kept = true;
-    for (tilth::NamedPart const& part : parts) {
+    for (scheduling::NamedPart const& part : parts) {
       std::map<std::string, std::pair<std::string, std::uint64_t>>::iterator const found = kept_.find(part.id);
       kept = kept && found != kept_.end();
       if (kept) {
@@ -356,19 +357,19 @@
 
 /// Furrows, workers and tenants that all send the same prompts, with moves,
 /// restarts, new weights, lost memory and rotating secrets, by seed.
-Played play(std::uint64_t seed, tilth::WallGuards guards) {
+Played play(std::uint64_t seed, scheduling::WallGuards guards) {
   std::mt19937_64 random(seed);
-  std::vector<tilth::Walls> furrows(3, tilth::Walls(guards));
+  std::vector<scheduling::Walls> furrows(3, scheduling::Walls(guards));
   std::vector<Memory> memories(4);
   std::vector<std::string> versions(4, "v1");
-  tilth::Secrets secrets{first_secret, "", 100};
+  scheduling::Secrets secrets{first_secret, "", 100};
   std::uint64_t nonce = 0;
   Played played;
   for (int step = 0; step < 4000; ++step) {
     if (step % 500 == 250) {  // a rotation, which furrows learn of one by one
       secrets = secrets.previous.empty()
-                    ? tilth::Secrets{std::string(32, static_cast<char>('c' + step / 500)), secrets.current, 40}
-                    : tilth::Secrets{secrets.current, "", 100};
+                    ? scheduling::Secrets{std::string(32, static_cast<char>('c' + step / 500)), secrets.current, 40}
+                    : scheduling::Secrets{secrets.current, "", 100};
     }
     std::size_t const at = random() % furrows.size();
     std::size_t const worker = random() % memories.size();
@@ -376,7 +377,7 @@
       furrows[at].take(secrets);
     }
     if (random() % 200 == 0) {
-      furrows[at] = tilth::Walls(guards);  // restarted, for a while without secrets
+      furrows[at] = scheduling::Walls(guards);  // restarted, for a while without secrets
     }
     if (random() % 150 == 0) {
       memories[worker].lose();
@@ -386,25 +387,26 @@
     }
     std::string const tenant = random() % 20 == 0 ? "" : "t" + std::to_string(random() % 12);
     std::string const reader = tenant.empty() ? "nobody-" + std::to_string(step) : tenant;
-    tilth::Prompt const prompt =
+    scheduling::Prompt const prompt =
         prompt_of(tenant, "a:400,b" + std::to_string(random() % 3) + ":200,c" + std::to_string(random() % 5) + ":100");
     std::string const name = "w" + std::to_string(worker);
     ++nonce;
-    tilth::Walled const walled = furrows[at].send(prompt, name, {nonce, seed << 20u});
+    scheduling::Walled const walled = furrows[at].send(prompt, name, {nonce, seed << 20u});
     bool const expected = walled.version.empty() || walled.version == versions[worker];
     double reused = 0;
     if (expected) {  // other weights: 421, nothing ran
       ++played.queries;
       std::size_t own = 0;
-      played.crossed +=
-          memories[worker].read(reader + "@" + versions[worker], tilth::named_parts(walled.header), 60, own).size();
+      played.crossed += memories[worker]
+                            .read(reader + "@" + versions[worker], scheduling::named_parts(walled.header), 60, own)
+                            .size();
       played.own += own;
       reused = memories[worker].reused();
     }
     (void)furrows[at].heard({name, versions[worker], expected ? std::optional<double>(reused) : std::nullopt, expected},
                             walled, 0);
   }
-  for (tilth::Walls const& walls : furrows) {
+  for (scheduling::Walls const& walls : furrows) {
     played.named += walls.crossings();
   }
   return played;
@@ -421,7 +423,7 @@
 
 TEST(Walls, WithoutTheTenantInTheKeyHitsCross) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    tilth::WallGuards guards;
+    scheduling::WallGuards guards;
     guards.tenant_in_key = false;
     Played const played = play(seed, guards);
     EXPECT_GT(played.crossed, 1000u) << "seed " << seed;
@@ -432,7 +434,7 @@
 TEST(Walls, WithoutTheVersionWhatOtherWeightsComputedIsReused) {
   std::size_t crossed = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    tilth::WallGuards guards;
+    scheduling::WallGuards guards;
     guards.version_in_key = false;
     crossed += play(seed, guards).crossed;
   }
--- a/source/tests/tilth/chart_test.cpp
+++ b/source/tests/scheduling/query_state_machine_test.cpp
@@ -3,19 +3,19 @@
 #include <numeric>
 #include <random>
 
-#include "loam/constants.hpp"
-#include "loam/relay_constants.hpp"
-#include "tilth/budget/budget.hpp"
-#include "tilth/chart/chart.hpp"
+#include "common/constants.hpp"
+#include "common/relay_constants.hpp"
+#include "scheduling/query_state/query_state_machine.hpp"
+#include "scheduling/retry_budget/retry_budget.hpp"
 
 namespace finchlink {
 namespace {
 
-using namespace tilth;
-namespace constants = loam::constants;
+using namespace scheduling;
+namespace constants = common::constants;
 
 Chart chart(QueryTerms terms, bool budget = true) {
-  return Chart(terms, [budget](loam::Moment) { return budget; });
+  return Chart(terms, [budget](common::Moment) { return budget; });
 }
 template <class Kind>
 bool only(std::vector<QueryAction> const& actions) {
@@ -59,7 +59,7 @@
   QueryTerms terms;
   terms.dispatches_most = 1;
   Chart query = chart(terms);
-  for (int refusals = 0; refusals < loam::constants::refusals_most; ++refusals) {
+  for (int refusals = 0; refusals < common::constants::refusals_most; ++refusals) {
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     EXPECT_TRUE(only<Place>(query.advance(WorkerRefused{}, 0))) << refusals;
@@ -200,7 +200,7 @@
   terms.repeatable = true;
   for (bool const right : {true, false}) {
     int asked = 0;
-    Chart query(terms, [&asked, right](loam::Moment) { return ++asked == 1 || right; });
+    Chart query(terms, [&asked, right](common::Moment) { return ++asked == 1 || right; });
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     (void)query.advance(Event{1, false}, 0);
@@ -346,7 +346,7 @@
   std::vector<int> retries(slots, 0);
   Shares result;
   for (int slot = 0; slot < slots; ++slot) {
-    loam::Moment const now = loam::milliseconds(100) * (slot + 1);
+    common::Moment const now = common::milliseconds(100) * (slot + 1);
     std::poisson_distribution<int> count(std::max(1e-9, rate(slot) / 10));
     int const queries = rate(slot) > 0 ? count(random) : 0;
     for (int query = 0; query < queries; ++query) {
@@ -413,24 +413,24 @@
 }
 
 TEST(Budget, RightsDieYoungAndThereIsNoFreeMinimum) {
-  Budget budget(0.1, loam::milliseconds(500));
+  Budget budget(0.1, common::milliseconds(500));
   EXPECT_FALSE(budget.take(0, true));
   for (int query = 0; query < 9; ++query) {
     budget.arrived(0);
   }
   EXPECT_FALSE(budget.take(0, true));
-  budget.arrived(loam::milliseconds(400));
-  EXPECT_TRUE(budget.take(loam::milliseconds(400), true));
+  budget.arrived(common::milliseconds(400));
+  EXPECT_TRUE(budget.take(common::milliseconds(400), true));
   for (int query = 0; query < 30; ++query) {
-    budget.arrived(loam::seconds(2));
+    budget.arrived(common::seconds(2));
   }
-  EXPECT_FALSE(budget.take(loam::milliseconds(2600), false));  // not here: three furrows keep one,
-  EXPECT_TRUE(budget.take(loam::milliseconds(2600), true));    // one is kept while queries came of late,
-  EXPECT_FALSE(budget.take(loam::milliseconds(2600), true));   // and one only
+  EXPECT_FALSE(budget.take(common::milliseconds(2600), false));  // not here: three furrows keep one,
+  EXPECT_TRUE(budget.take(common::milliseconds(2600), true));    // one is kept while queries came of late,
+  EXPECT_FALSE(budget.take(common::milliseconds(2600), true));   // and one only
   for (int query = 0; query < 30; ++query) {
-    budget.arrived(loam::seconds(4));
+    budget.arrived(common::seconds(4));
   }
-  EXPECT_FALSE(budget.take(loam::milliseconds(6100), true));  // nothing came for two seconds
+  EXPECT_FALSE(budget.take(common::milliseconds(6100), true));  // nothing came for two seconds
 }
 
 }  // namespace
--- a/source/tests/tilth/lanes_test.cpp
+++ b/source/tests/scheduling/route_table_test.cpp
@@ -1,13 +1,13 @@
 #include <gtest/gtest.h>
 
-#include "tilth/lanes/lanes.hpp"
-#include "tilth/reuse/reuse.hpp"
-#include "tilth/rights/rights.hpp"
+#include "scheduling/prompt_cache/prompt_cache_estimate.hpp"
+#include "scheduling/retry_quota/retry_quota.hpp"
+#include "scheduling/route_table/route_table.hpp"
 
 namespace finchlink {
 namespace {
 
-using namespace tilth;
+using namespace scheduling;
 
 schema::Lane lane(std::string const& name, std::string const& host, std::string const& prefix) {
   schema::Lane entry;
--- a/source/tests/tilth/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -1,17 +1,17 @@
 #include <gtest/gtest.h>
 
+#include "common/relay_constants.hpp"
 #include "consensus/proposer/proposer.hpp"
-#include "loam/relay_constants.hpp"
-#include "tilth/grove/grove.hpp"
-#include "tilth/observe/observer.hpp"
-#include "tilth/scaler/pools.hpp"
-#include "tilth/scaler/scaler.hpp"
+#include "scheduling/load_balancer/load_balancer.hpp"
+#include "scheduling/observer/observer.hpp"
+#include "scheduling/scaler/pools.hpp"
+#include "scheduling/scaler/scaler.hpp"
 
 // The split on the relay's ordinary path (docs/design.md section 13.11).
 namespace finchlink {
 namespace {
 
-using tilth::Grove;
+using scheduling::Grove;
 
 schema::WorkerEntry worker(std::string const& id, std::string const& zone, std::string const& service = "text") {
   schema::WorkerEntry entry;
@@ -38,9 +38,9 @@
 
 std::map<std::string, std::string> const regions{{"north", "r1"}, {"south", "r1"}, {"west", "r2"}};
 
-tilth::Sighting stream(std::string const& on, bool long_prompt, loam::Span to_first, loam::Span gap,
-                       std::uint64_t events) {
-  tilth::Sighting sighting;
+scheduling::Sighting stream(std::string const& on, bool long_prompt, common::Span to_first, common::Span gap,
+                            std::uint64_t events) {
+  scheduling::Sighting sighting;
   sighting.worker = on;
   sighting.pool = "r1/text";
   sighting.long_prompt = long_prompt;
@@ -48,8 +48,8 @@
   sighting.uncached = long_prompt ? 4000 : 300;
   sighting.cached = long_prompt ? 13000 : 60;
   sighting.running = 4;
-  sighting.sent = loam::seconds(10);
-  loam::Moment now = sighting.sent + to_first;
+  sighting.sent = common::seconds(10);
+  common::Moment now = sighting.sent + to_first;
   for (std::uint64_t index = 0; index < events; ++index) {
     sighting.event(1, now);
     now += gap;
@@ -63,16 +63,16 @@
                   worker("e", "nowhere"), worker("f", "north"), worker("g", "south")};
   list.workers[5].draining = true;
   list.workers[6].phase = "decode";
-  std::map<std::string, tilth::Pool> const pools = tilth::pools_of(list, charter(), regions, {});
+  std::map<std::string, scheduling::Pool> const pools = scheduling::pools_of(list, charter(), regions, {});
   ASSERT_EQ(pools.size(), 2u);
-  tilth::Pool const& one = pools.at("r1/text");
+  scheduling::Pool const& one = pools.at("r1/text");
   EXPECT_EQ(std::set<std::string>(one.workers.begin(), one.workers.end()), (std::set<std::string>{"a", "b", "g"}));
   EXPECT_EQ(one.listed, (std::set<std::string>{"a", "b", "f", "g"}));
   EXPECT_EQ(one.fixed, (std::map<std::string, std::string>{{"g", "decode"}}));
   EXPECT_EQ(one.capacity, 48u);
   EXPECT_EQ(pools.at("r2/text").workers, std::vector<std::string>{"c"});
   // An evacuated hall's workers take none, and stay in the split meanwhile.
-  std::map<std::string, tilth::Pool> const evacuated = tilth::pools_of(list, charter(), regions, {"north"});
+  std::map<std::string, scheduling::Pool> const evacuated = scheduling::pools_of(list, charter(), regions, {"north"});
   EXPECT_EQ(evacuated.at("r1/text").listed.count("a"), 1u);
   for (std::string const& id : evacuated.at("r1/text").workers) {
     EXPECT_NE(id, "a");
@@ -80,13 +80,13 @@
 }
 
 TEST(Observer, SumsByPoolAndPhaseAndGivesRowsUntilFrozen) {
-  tilth::Observer observer;
+  scheduling::Observer observer;
   schema::FurrowReport report;
-  EXPECT_FALSE(observer.take(1, loam::seconds(2), report));
-  observer.saw(stream("a", true, loam::milliseconds(200), loam::milliseconds(30), 10), 5, 0.03);
-  observer.saw(stream("a", false, loam::milliseconds(60), loam::milliseconds(30), 5), 5, 0.03);
-  observer.saw(stream("b", false, loam::milliseconds(60), loam::milliseconds(30), 5), 5, 0.03);
-  ASSERT_TRUE(observer.take(1, loam::seconds(2), report));
+  EXPECT_FALSE(observer.take(1, common::seconds(2), report));
+  observer.saw(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
+  observer.saw(stream("a", false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
+  observer.saw(stream("b", false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
+  ASSERT_TRUE(observer.take(1, common::seconds(2), report));
   ASSERT_EQ(report.figures.size(), 2u);
   schema::WorkerFigures const& rest = report.figures[0];
   EXPECT_EQ(rest.worker, "r1/text");
@@ -104,33 +104,33 @@
   }
   // Frozen: figures go on, rows do not.
   observer.freeze({"r1/text"});
-  observer.saw(stream("a", true, loam::milliseconds(200), loam::milliseconds(30), 10), 5, 0.03);
-  ASSERT_TRUE(observer.take(2, loam::seconds(2), report));
+  observer.saw(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
+  ASSERT_TRUE(observer.take(2, common::seconds(2), report));
   EXPECT_EQ(report.figures.size(), 1u);
   EXPECT_TRUE(report.samples.empty());
 }
 
 TEST(Observer, TakesNoPrefillTimeOfWhatWaitedAndBoundsItsRows) {
-  tilth::Observer observer;
-  tilth::Sighting waited = stream("a", true, loam::milliseconds(900), loam::milliseconds(30), 2);
+  scheduling::Observer observer;
+  scheduling::Sighting waited = stream("a", true, common::milliseconds(900), common::milliseconds(30), 2);
   waited.alone = false;
   observer.saw(waited, 5, 0.03);
   schema::FurrowReport report;
-  ASSERT_TRUE(observer.take(1, loam::seconds(2), report));
+  ASSERT_TRUE(observer.take(1, common::seconds(2), report));
   EXPECT_TRUE(report.samples.empty());
   for (int index = 0; index < 40; ++index) {
-    observer.saw(stream("w" + std::to_string(index), false, loam::milliseconds(60), loam::milliseconds(30), 5), 5,
+    observer.saw(stream("w" + std::to_string(index), false, common::milliseconds(60), common::milliseconds(30), 5), 5,
                  0.03);
   }
-  ASSERT_TRUE(observer.take(2, loam::seconds(2), report));
-  EXPECT_LE(report.samples.size(), loam::constants::samples_told);
+  ASSERT_TRUE(observer.take(2, common::seconds(2), report));
+  EXPECT_LE(report.samples.size(), common::constants::samples_told);
   EXPECT_EQ(report.figures.size(), 1u);
 }
 
 TEST(Observer, EventsReadAtOnceShareTheirGap) {
-  tilth::Sighting sighting;
-  sighting.event(1, loam::milliseconds(100));
-  sighting.event(2, loam::milliseconds(160));
+  scheduling::Sighting sighting;
+  sighting.event(1, common::milliseconds(100));
+  sighting.event(2, common::milliseconds(160));
   EXPECT_EQ(sighting.events, 3u);
   ASSERT_EQ(sighting.gaps.size(), 1u);
   EXPECT_NEAR(sighting.gaps[0], 0.03, 1e-9);
@@ -141,8 +141,8 @@
   std::vector<std::string> const workers{"a", "b", "c", "d", "e", "f"};
   schema::ScalerAims aims;
   schema::WorkerBounds bounds;
-  tilth::Scaler scaler;
-  loam::Moment now = loam::seconds(100);
+  scheduling::Scaler scaler;
+  common::Moment now = common::seconds(100);
 
   Fed() {
     aims.window_ms = 10000;
@@ -153,24 +153,24 @@
   }
   /// One slice; times follow the source's equations without noise.
   void slice(double longs, double shorts) {
-    tilth::Observer observer;
+    scheduling::Observer observer;
     for (int index = 0; index < 200; ++index) {
       bool const long_prompt = index < longs;
       if (index >= longs + shorts) {
         break;
       }
-      tilth::Sighting sighting = stream(workers[static_cast<std::size_t>(index) % workers.size()], long_prompt,
-                                        loam::milliseconds(long_prompt ? 50 + 80 : 50 + 6),
-                                        loam::milliseconds(27 + index % 3), long_prompt ? 24 : 9);
+      scheduling::Sighting sighting = stream(workers[static_cast<std::size_t>(index) % workers.size()], long_prompt,
+                                             common::milliseconds(long_prompt ? 50 + 80 : 50 + 6),
+                                             common::milliseconds(27 + index % 3), long_prompt ? 24 : 9);
       sighting.running = 1 + index % 12;
       observer.saw(sighting, 5, 0.03125);
     }
     schema::FurrowReport report;
-    ASSERT_TRUE(observer.take(1, loam::seconds(1), report));
+    ASSERT_TRUE(observer.take(1, common::seconds(1), report));
     scaler.report(report, aims, now);
-    now += loam::seconds(1);
+    now += common::seconds(1);
   }
-  tilth::ScalerAction tick(schema::Split const& split, std::uint64_t revision) {
+  scheduling::ScalerAction tick(schema::Split const& split, std::uint64_t revision) {
     return scaler.tick(split, revision, workers, aims, bounds, now);
   }
 };
@@ -187,26 +187,26 @@
   Fed fed;
   schema::Split split;
   fed.slice(10, 100);
-  EXPECT_TRUE(std::holds_alternative<tilth::Rest>(fed.tick(split, 0)));  // warm-up: nobody is set apart
+  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(split, 0)));  // warm-up: nobody is set apart
   for (int index = 0; index < 10; ++index) {
     fed.slice(10, 100);
   }
-  tilth::ScalerAction const first = fed.tick(split, 0);
-  ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(first));
-  split = std::get<tilth::WriteSplit>(first).split;
+  scheduling::ScalerAction const first = fed.tick(split, 0);
+  ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
+  split = std::get<scheduling::WriteSplit>(first).split;
   EXPECT_TRUE(split.frozen);
   EXPECT_EQ(split.phases.size(), 6u);
   std::size_t const before = prefills(split);
-  EXPECT_TRUE(std::holds_alternative<tilth::Rest>(fed.tick(split, 1)));  // held
+  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(split, 1)));  // held
   // Traffic turns to long prompts: more workers are fed them, and none switch in the hold.
   for (int index = 0; index < 12; ++index) {
     fed.slice(80, 40);
   }
-  tilth::ScalerAction const next = fed.tick(split, 1);
-  ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(next));
-  EXPECT_GT(prefills(std::get<tilth::WriteSplit>(next).split), before);
-  split = std::get<tilth::WriteSplit>(next).split;
-  EXPECT_TRUE(std::holds_alternative<tilth::Rest>(fed.tick(split, 2)));
+  scheduling::ScalerAction const next = fed.tick(split, 1);
+  ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(next));
+  EXPECT_GT(prefills(std::get<scheduling::WriteSplit>(next).split), before);
+  split = std::get<scheduling::WriteSplit>(next).split;
+  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(split, 2)));
 }
 
 TEST(Split, WorkersWithOnePhaseNeverSwitch) {
@@ -215,10 +215,10 @@
     fed.slice(10, 100);
   }
   std::map<std::string, std::string> const fixed{{"a", "decode"}, {"b", "decode"}};
-  tilth::ScalerAction const action =
+  scheduling::ScalerAction const action =
       fed.scaler.tick(schema::Split(), 0, fed.workers, fed.aims, fed.bounds, fed.now, fixed);
-  ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(action));
-  schema::Split split = std::get<tilth::WriteSplit>(action).split;
+  ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(action));
+  schema::Split split = std::get<scheduling::WriteSplit>(action).split;
   EXPECT_EQ(split.phases.at("a"), "decode");
   EXPECT_EQ(split.phases.at("b"), "decode");
   EXPECT_GE(prefills(split), 1u);
@@ -227,8 +227,8 @@
   for (std::string const& id : fed.workers) {
     all[id] = "decode";
   }
-  EXPECT_TRUE(
-      std::holds_alternative<tilth::Rest>(fed.scaler.tick(split, 1, fed.workers, fed.aims, fed.bounds, fed.now, all)));
+  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(
+      fed.scaler.tick(split, 1, fed.workers, fed.aims, fed.bounds, fed.now, all)));
 }
 
 TEST(Split, ALostScalerLeavesAWholeOneAndItsSuccessorHolds) {
@@ -236,31 +236,31 @@
   for (int index = 0; index < 12; ++index) {
     fed.slice(10, 100);
   }
-  tilth::ScalerAction const first = fed.tick(schema::Split(), 0);
-  ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(first));
+  scheduling::ScalerAction const first = fed.tick(schema::Split(), 0);
+  ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
   schema::Value kept;
   consensus::Proposal const wish =
-      consensus::replace_at(0, tilth::print_split(std::get<tilth::WriteSplit>(first).split))(kept);
+      consensus::replace_at(0, scheduling::print_split(std::get<scheduling::WriteSplit>(first).split))(kept);
   ASSERT_TRUE(std::holds_alternative<schema::Value>(wish));
   kept = std::get<schema::Value>(wish);
   // Whoever lost the lease meanwhile builds on what is no longer there.
   EXPECT_FALSE(std::holds_alternative<schema::Value>(consensus::replace_at(kept.revision + 7, "other")(kept)));
   // The successor reads it back whole; it has seen no report and decides nothing.
-  absl::StatusOr<schema::Split> const read = tilth::read_split(kept.content);
+  absl::StatusOr<schema::Split> const read = scheduling::read_split(kept.content);
   ASSERT_TRUE(read.ok());
-  EXPECT_EQ(read->phases, std::get<tilth::WriteSplit>(first).split.phases);
+  EXPECT_EQ(read->phases, std::get<scheduling::WriteSplit>(first).split.phases);
   EXPECT_TRUE(read->frozen);
   EXPECT_EQ(read->coefficients.size(), 6u);
-  tilth::Scaler successor;
-  EXPECT_TRUE(std::holds_alternative<tilth::Rest>(
+  scheduling::Scaler successor;
+  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(
       successor.tick(*read, kept.revision, fed.workers, fed.aims, fed.bounds, fed.now)));
   // Workers that the platform lists no longer leave it.
-  EXPECT_EQ(tilth::pruned(*read, {"a", "b"}).phases.size(), 2u);
-  EXPECT_FALSE(tilth::read_split("{\"phases\":").ok());
+  EXPECT_EQ(scheduling::pruned(*read, {"a", "b"}).phases.size(), 2u);
+  EXPECT_FALSE(scheduling::read_split("{\"phases\":").ok());
 }
 
-tilth::Stand stand(std::string const& id, std::string const& phase) {
-  tilth::Stand made;
+scheduling::Stand stand(std::string const& id, std::string const& phase) {
+  scheduling::Stand made;
   made.id = id;
   made.address = "10.0.0.1:80";
   made.service = "text";
@@ -273,26 +273,26 @@
   return made;
 }
 
-std::set<std::string> fed(Grove& grove, double tokens, int count, loam::Moment now) {
+std::set<std::string> fed(Grove& grove, double tokens, int count, common::Moment now) {
   std::set<std::string> used;
   for (int index = 0; index < count; ++index) {
-    tilth::Wanted wanted;
+    scheduling::Wanted wanted;
     wanted.shares = {schema::Share{"text", 1}};
     wanted.tokens = tokens;
-    wanted.parts = {tilth::Part{static_cast<std::uint64_t>(index) * 7919u + 1u, tokens * 0.8},
-                    tilth::Part{static_cast<std::uint64_t>(index) * 104729u + 3u, tokens * 0.2}};
-    std::variant<tilth::Spot, tilth::NoSpot> const found = grove.choose(wanted, now);
-    if (tilth::Spot const* const spot = std::get_if<tilth::Spot>(&found)) {
+    wanted.parts = {scheduling::Part{static_cast<std::uint64_t>(index) * 7919u + 1u, tokens * 0.8},
+                    scheduling::Part{static_cast<std::uint64_t>(index) * 104729u + 3u, tokens * 0.2}};
+    std::variant<scheduling::Spot, scheduling::NoSpot> const found = grove.choose(wanted, now);
+    if (scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found)) {
       used.insert(spot->worker);
       grove.first_token(*spot, wanted.parts, 0.1);
-      grove.ended(*spot, true, tilth::Outcome::good, now);
+      grove.ended(*spot, true, scheduling::Outcome::good, now);
     }
   }
   return used;
 }
 
-tilth::GroveTerms terms() {
-  tilth::GroveTerms made;
+scheduling::GroveTerms terms() {
+  scheduling::GroveTerms made;
   made.hall = "north";
   made.region = "r1";
   made.self = "f1";
@@ -305,21 +305,21 @@
   grove.update(
       {stand("a", "prefill"), stand("b", "prefill"), stand("c", "decode"), stand("d", "decode"), stand("e", "both")},
       terms(), 0);
-  std::set<std::string> const longs = fed(grove, 16000, 60, loam::seconds(1));
+  std::set<std::string> const longs = fed(grove, 16000, 60, common::seconds(1));
   EXPECT_EQ(longs.count("c") + longs.count("d"), 0u);
   EXPECT_EQ(longs.count("a") + longs.count("b"), 2u);
-  std::set<std::string> const rest = fed(grove, 300, 60, loam::seconds(1));
+  std::set<std::string> const rest = fed(grove, 300, 60, common::seconds(1));
   EXPECT_EQ(rest.count("a") + rest.count("b"), 0u);
   EXPECT_FALSE(rest.empty());
 }
 
 TEST(Split, APhaseWithoutAWorkerThatTakesQueriesLeavesItToTheEstimate) {
   Grove grove;
-  std::vector<tilth::Stand> stands{stand("a", "prefill"), stand("b", "decode"), stand("c", "decode")};
+  std::vector<scheduling::Stand> stands{stand("a", "prefill"), stand("b", "decode"), stand("c", "decode")};
   stands[0].draining = true;
   grove.update(stands, terms(), 0);
-  EXPECT_FALSE(fed(grove, 16000, 10, loam::seconds(1)).empty());
-  EXPECT_FALSE(fed(grove, 300, 10, loam::seconds(1)).empty());
+  EXPECT_FALSE(fed(grove, 16000, 10, common::seconds(1)).empty());
+  EXPECT_FALSE(fed(grove, 300, 10, common::seconds(1)).empty());
 }
 
 TEST(Split, FurrowsWithDifferentViewsBothPlaceAll) {
@@ -327,21 +327,21 @@
   Grove newer;
   older.update({stand("a", "prefill"), stand("b", "decode"), stand("c", "decode")}, terms(), 0);
   newer.update({stand("a", "prefill"), stand("b", "prefill"), stand("c", "decode")}, terms(), 0);
-  EXPECT_EQ(fed(older, 16000, 40, loam::seconds(1)), std::set<std::string>{"a"});
-  EXPECT_EQ(fed(newer, 16000, 40, loam::seconds(1)), (std::set<std::string>{"a", "b"}));
-  EXPECT_EQ(fed(newer, 300, 40, loam::seconds(1)), std::set<std::string>{"c"});
+  EXPECT_EQ(fed(older, 16000, 40, common::seconds(1)), std::set<std::string>{"a"});
+  EXPECT_EQ(fed(newer, 16000, 40, common::seconds(1)), (std::set<std::string>{"a", "b"}));
+  EXPECT_EQ(fed(newer, 300, 40, common::seconds(1)), std::set<std::string>{"c"});
   // What runs on a worker that switches stays there; only what comes goes elsewhere.
-  tilth::Wanted wanted;
+  scheduling::Wanted wanted;
   wanted.shares = {schema::Share{"text", 1}};
   wanted.tokens = 300;
-  std::variant<tilth::Spot, tilth::NoSpot> const before = older.choose(wanted, loam::seconds(1));
-  ASSERT_TRUE(std::holds_alternative<tilth::Spot>(before));
-  tilth::Spot const spot = std::get<tilth::Spot>(before);
-  std::vector<tilth::Stand> switched{stand("a", "decode"), stand("b", "prefill"), stand("c", "prefill")};
-  older.update(switched, terms(), loam::seconds(2));
+  std::variant<scheduling::Spot, scheduling::NoSpot> const before = older.choose(wanted, common::seconds(1));
+  ASSERT_TRUE(std::holds_alternative<scheduling::Spot>(before));
+  scheduling::Spot const spot = std::get<scheduling::Spot>(before);
+  std::vector<scheduling::Stand> switched{stand("a", "decode"), stand("b", "prefill"), stand("c", "prefill")};
+  older.update(switched, terms(), common::seconds(2));
   EXPECT_TRUE(older.usable(spot.worker));
-  EXPECT_EQ(older.running_on(spot.worker, loam::seconds(2)), 1);
-  EXPECT_EQ(fed(older, 300, 10, loam::seconds(2)), std::set<std::string>{"a"});
+  EXPECT_EQ(older.running_on(spot.worker, common::seconds(2)), 1);
+  EXPECT_EQ(fed(older, 300, 10, common::seconds(2)), std::set<std::string>{"a"});
 }
 
 TEST(Split, AllMixedTrafficOfOneKindIsNotSetApart) {
@@ -349,7 +349,7 @@
   for (int index = 0; index < 12; ++index) {
     fed.slice(40, 0);
   }
-  EXPECT_TRUE(std::holds_alternative<tilth::Rest>(fed.tick(schema::Split(), 0)));
+  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(schema::Split(), 0)));
 }
 
 TEST(Split, CandidatesStayWithinTheShares) {
@@ -359,39 +359,40 @@
     for (int index = 0; index < 12; ++index) {
       fed.slice(6, 140);
     }
-    tilth::ScalerAction const first = fed.tick(schema::Split(), 0);
-    ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(first));
-    EXPECT_EQ(prefills(std::get<tilth::WriteSplit>(first).split) >= 3, least > 0);  // the bound is what keeps it up
+    scheduling::ScalerAction const first = fed.tick(schema::Split(), 0);
+    ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
+    EXPECT_EQ(prefills(std::get<scheduling::WriteSplit>(first).split) >= 3,
+              least > 0);  // the bound is what keeps it up
   }
 }
 
 TEST(Split, ASetPointCountsWhatAWorkerBearsWithinIt) {
   schema::ScalerAims aims;
   aims.prefill_batch = 24;
-  std::map<std::string, tilth::WorkerModel> models;
+  std::map<std::string, scheduling::WorkerModel> models;
   schema::Coefficients const fitted{{0.06, 0.00002, 0, 0}, {0.006, 0, 0}, 0};
-  models.emplace("a", tilth::WorkerModel(fitted));
-  models.emplace("b", tilth::WorkerModel(fitted));
+  models.emplace("a", scheduling::WorkerModel(fitted));
+  models.emplace("b", scheduling::WorkerModel(fitted));
   std::map<std::string, std::string> const phases{{"a", "prefill"}, {"b", "decode"}};
-  tilth::SliceWork work;
-  work.prefill = tilth::PhaseWork{100, 100 * 5000.0, 0, 0, 100 * 100.0, 100};
-  work.decode = tilth::PhaseWork{100, 100 * 300.0, 0, 0, 100 * 100.0, 100};
-  double const plain = tilth::throughput(phases, models, work, aims, 24);
-  double const within = tilth::throughput(phases, models, work, aims, 24, 0.8);
-  double const tight = tilth::throughput(phases, models, work, aims, 24, 0.4);
+  scheduling::SliceWork work;
+  work.prefill = scheduling::PhaseWork{100, 100 * 5000.0, 0, 0, 100 * 100.0, 100};
+  work.decode = scheduling::PhaseWork{100, 100 * 300.0, 0, 0, 100 * 100.0, 100};
+  double const plain = scheduling::throughput(phases, models, work, aims, 24);
+  double const within = scheduling::throughput(phases, models, work, aims, 24, 0.8);
+  double const tight = scheduling::throughput(phases, models, work, aims, 24, 0.4);
   EXPECT_LT(within, plain);
   EXPECT_LT(tight, within);
   // One that no load keeps tells nothing: the plain rating counts.
-  EXPECT_EQ(tilth::throughput(phases, models, work, aims, 24, 0.09), plain);
+  EXPECT_EQ(scheduling::throughput(phases, models, work, aims, 24, 0.09), plain);
   // What was seen to take longer than the work explains counts as it was seen.
   work.prefill.prefill_seconds = 100 * 0.5;
-  EXPECT_LT(tilth::throughput(phases, models, work, aims, 24, 0.8), within);
-  EXPECT_EQ(tilth::throughput(phases, models, work, aims, 24), plain);
+  EXPECT_LT(scheduling::throughput(phases, models, work, aims, 24, 0.8), within);
+  EXPECT_EQ(scheduling::throughput(phases, models, work, aims, 24), plain);
 }
 
 TEST(Split, OneSizeOfPromptsDoesNotTellTheCostOfAToken) {
   // Worker "s" saw short prompts only and is a third slower than the others.
-  tilth::Scaler scaler;
+  scheduling::Scaler scaler;
   scaler.aim_at(0.8, 0, 1);
   schema::ScalerAims aims;
   aims.warm_up_ms = 1000;
@@ -406,7 +407,7 @@
       decode.worker = id;
       decode.decode = true;
       decode.running = 1 + index % 9;
-      decode.spread = tilth::spread(aims.experts_share, 1, decode.running);
+      decode.spread = scheduling::spread(aims.experts_share, 1, decode.running);
       decode.seconds = 0.006 + 0.00005 * decode.running;
       report.samples.push_back(prefill);
       report.samples.push_back(decode);
@@ -421,11 +422,11 @@
   rest.phase = "decode";
   rest.uncached = 50 * 300;
   report.figures = {longs, rest};
-  scaler.report(report, aims, loam::seconds(10));
-  tilth::ScalerAction const action =
-      scaler.tick(schema::Split(), 0, {"a", "b", "s"}, aims, schema::WorkerBounds(), loam::seconds(12));
-  ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(action));
-  schema::Split const split = std::get<tilth::WriteSplit>(action).split;
+  scaler.report(report, aims, common::seconds(10));
+  scheduling::ScalerAction const action =
+      scaler.tick(schema::Split(), 0, {"a", "b", "s"}, aims, schema::WorkerBounds(), common::seconds(12));
+  ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(action));
+  schema::Split const split = std::get<scheduling::WriteSplit>(action).split;
   EXPECT_NEAR(split.coefficients.at("a").prefill[1], 0.00002, 0.000002);
   EXPECT_NEAR(split.coefficients.at("s").prefill[1], 0.000026, 0.000004);
 }
@@ -435,11 +436,11 @@
   for (int index = 0; index < 12; ++index) {
     fed.slice(10, 100);
   }
-  schema::Split split = std::get<tilth::WriteSplit>(fed.tick(schema::Split(), 0)).split;
+  schema::Split split = std::get<scheduling::WriteSplit>(fed.tick(schema::Split(), 0)).split;
   std::vector<std::string> const workers{"a", "b", "c", "x", "y", "z"};
-  tilth::ScalerAction const action = fed.scaler.tick(split, 1, workers, fed.aims, fed.bounds, fed.now);
-  ASSERT_TRUE(std::holds_alternative<tilth::WriteSplit>(action));
-  schema::Split const next = std::get<tilth::WriteSplit>(action).split;
+  scheduling::ScalerAction const action = fed.scaler.tick(split, 1, workers, fed.aims, fed.bounds, fed.now);
+  ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(action));
+  schema::Split const next = std::get<scheduling::WriteSplit>(action).split;
   for (std::string const id : {"x", "y", "z"}) {
     EXPECT_EQ(next.phases.count(id), 1u) << id;
   }
@@ -451,18 +452,18 @@
 TEST(Split, OptionsKeepTheSourcesDefaults) {
   schema::Settings settings;
   EXPECT_EQ(settings.scaler, "on");
-  EXPECT_EQ(tilth::report_ms_of(settings), 10000u);
-  schema::ScalerAims const aims = tilth::aims_of(settings, tilth::Pool());
+  EXPECT_EQ(scheduling::report_ms_of(settings), 10000u);
+  schema::ScalerAims const aims = scheduling::aims_of(settings, scheduling::Pool());
   EXPECT_EQ(aims.window_ms, 600000u);
   EXPECT_EQ(aims.slices, 10u);
   EXPECT_EQ(aims.hold_ms, 120000u);
   EXPECT_EQ(aims.refit_ms, 0u);
   settings.scaler_window_ms = 100000;
-  EXPECT_EQ(tilth::report_ms_of(settings), 5000u);  // half a slice
+  EXPECT_EQ(scheduling::report_ms_of(settings), 5000u);  // half a slice
   settings.scaler_window_ms = 10000;
-  EXPECT_EQ(tilth::report_ms_of(settings), 500u);
+  EXPECT_EQ(scheduling::report_ms_of(settings), 500u);
   settings.scaler = "off";
-  EXPECT_EQ(tilth::report_ms_of(settings), 0u);  // nobody reports
+  EXPECT_EQ(scheduling::report_ms_of(settings), 0u);  // nobody reports
 }
 
 }  // namespace
--- a/source/tests/almanac/catch_up_test.cpp
+++ b/source/tests/simulator/catch_up_test.cpp
@@ -2,28 +2,28 @@
 
 #include <cstdio>
 
-#include "almanac/control/control.hpp"
+#include "simulator/control/control.hpp"
 #include "tests/invariant_listener.hpp"
 
 namespace finchlink {
 namespace {
 
-using almanac::ControlOptions;
-using almanac::ControlReport;
+using simulator::ControlOptions;
+using simulator::ControlReport;
 
 /// Changes by the dozen a second, and values that travel in pieces of some
 /// hundred bytes: the marks alone are several kilobytes.
 ControlReport run(std::string const& scenario, std::uint64_t seed, std::function<void(ControlOptions&)> const& change) {
   ControlOptions options;
   options.seed = seed;
-  options.faults = *almanac::control_scenario(scenario);
+  options.faults = *simulator::control_scenario(scenario);
   options.faults.last_fault = false;
-  options.length = loam::seconds(60);
+  options.length = common::seconds(60);
   options.operators = 3;
   options.operators_pause = 0.3;
   options.inline_bytes = 600;
   change(options);
-  return almanac::run_control(options);
+  return simulator::run_control(options);
 }
 
 void expect_good(char const* what, ControlReport const& report, std::uint64_t changes, std::uint64_t returns) {
@@ -44,43 +44,43 @@
   for (std::size_t const disks : {std::size_t{3}, std::size_t{4}}) {  // with one that stands by, its place is taken
     ControlReport const report = run("calm", disks, [disks](ControlOptions& options) {
       options.disk_machines = disks;
-      options.length = loam::seconds(230);
+      options.length = common::seconds(230);
       options.faults.away_from = 20;
       options.faults.away_to = 1020;
     });
     expect_good(disks == 3 ? "away for 1,000 changes, place kept" : "away for 1,000 changes, place taken", report, 1020,
                 1);
-    EXPECT_LE(report.worst_catch_up, loam::seconds(2));
+    EXPECT_LE(report.worst_catch_up, common::seconds(2));
   }
 }
 
 TEST(CatchUp, OneRestartedAfterEveryFiftyChanges) {
   ControlReport const report = run("calm", 5, [](ControlOptions& options) {
-    options.length = loam::seconds(100);
+    options.length = common::seconds(100);
     options.faults.restart_each = 50;
   });
   expect_good("one restarted after every 50 changes", report, 400, 8);
-  EXPECT_LE(report.worst_catch_up, loam::seconds(2));
+  EXPECT_LE(report.worst_catch_up, common::seconds(2));
 }
 
 TEST(CatchUp, AllLoseTheirPowerInTheMiddle) {
   ControlReport const report = run("calm", 6, [](ControlOptions& options) { options.faults.all_lost_at = 200; });
   expect_good("all lost at change 200", report, 300, 6);
-  EXPECT_LE(report.worst_catch_up, loam::seconds(3));
+  EXPECT_LE(report.worst_catch_up, common::seconds(3));
 }
 
 TEST(CatchUp, DisksSlowFullAndStalled) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     ControlReport const report = run("disks", seed, [](ControlOptions& options) { options.faults.restart_each = 50; });
     expect_good("slow, full and stalled disks, one restarted after every 50 changes", report, 50, 1);
-    EXPECT_LE(report.worst_catch_up, loam::seconds(12));
+    EXPECT_LE(report.worst_catch_up, common::seconds(12));
   }
 }
 
 TEST(CatchUp, PiecesUnderEveryMixOfFaults) {
-  for (std::string const& scenario : almanac::control_scenarios()) {
+  for (std::string const& scenario : simulator::control_scenarios()) {
     ControlReport const report = run(scenario, 11, [](ControlOptions& options) {
-      options.length = loam::seconds(25);
+      options.length = common::seconds(25);
       options.operators = 2;
       options.operators_pause = 0.5;
       options.inline_bytes = 200;
@@ -93,7 +93,7 @@
 std::string first_break(std::string const& scenario, std::function<void(ControlOptions&)> const& off) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     ControlReport const report = run(scenario, seed, [&off](ControlOptions& options) {
-      options.length = loam::seconds(20);
+      options.length = common::seconds(20);
       off(options);
     });
     if (!report.violations.empty()) {
@@ -104,20 +104,20 @@
 }
 
 TEST(CatchUp, AWithheldValueTakenForAnEmptyOneIsSeen) {
-  ExpectedViolations const expected({loam::Invariant::revision_has_one_content});
+  ExpectedViolations const expected({common::Invariant::revision_has_one_content});
   EXPECT_NE(first_break("calm", [](ControlOptions& options) { options.guards.values_whole = false; }), "");
 }
 TEST(CatchUp, AWithheldContentTakenForAnEmptyOneIsSeen) {
   // The furrow counts as holding what it doesn't: with nothing fetched it shows
   // by a vouch for a revision whose content never came.
   ControlReport const report = run("calm", 1, [](ControlOptions& options) {
-    options.length = loam::seconds(20);
+    options.length = common::seconds(20);
     options.vouch_guards.contents_whole = false;
   });
   EXPECT_GT(report.empty_adopted, 0u);
 }
 TEST(CatchUp, FurrowsAdoptNothingEmpty) {
-  ControlReport const report = run("calm", 1, [](ControlOptions& options) { options.length = loam::seconds(20); });
+  ControlReport const report = run("calm", 1, [](ControlOptions& options) { options.length = common::seconds(20); });
   EXPECT_EQ(report.empty_adopted, 0u);
 }
 
--- a/source/tests/almanac/decisions_test.cpp
+++ b/source/tests/simulator/decisions_test.cpp
@@ -1,4 +1,4 @@
-#include "almanac/decisions/decisions.hpp"
+#include "simulator/decisions/decisions.hpp"
 
 #include <gtest/gtest.h>
 
@@ -7,28 +7,28 @@
 
 constexpr std::uint64_t seeds = 12;
 
-almanac::DecisionReport play(std::uint64_t seed, tilth::GroveGuards const& guards = {}) {
-  almanac::DecisionOptions options;
+simulator::DecisionReport play(std::uint64_t seed, scheduling::GroveGuards const& guards = {}) {
+  simulator::DecisionOptions options;
   options.seed = seed;
   options.grove = guards;
-  return almanac::play_decisions(options);
+  return simulator::play_decisions(options);
 }
 
 TEST(Decisions, BoundsHoldOnDeploymentsThatNobodyHasSeen) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    almanac::DecisionReport const report = play(seed);
+    simulator::DecisionReport const report = play(seed);
     for (std::string const& violation : report.violations) {
       ADD_FAILURE() << "seed " << seed << ": " << violation;
     }
-    for (almanac::KindReport const& kind : report.kinds) {
+    for (simulator::KindReport const& kind : report.kinds) {
       EXPECT_GT(kind.asked, 0u) << "seed " << seed << " " << kind.name;
     }
   }
 }
 
 TEST(Decisions, TheSameSeedPlaysTheSame) {
-  almanac::DecisionReport const one = play(3);
-  almanac::DecisionReport const other = play(3);
+  simulator::DecisionReport const one = play(3);
+  simulator::DecisionReport const other = play(3);
   ASSERT_EQ(one.kinds.size(), other.kinds.size());
   for (std::size_t index = 0; index < one.kinds.size(); ++index) {
     EXPECT_EQ(one.kinds[index].in_set_point, other.kinds[index].in_set_point);
@@ -39,7 +39,7 @@
 TEST(Decisions, WithoutOwnersSharedPartsAreReadMoreOften) {
   double with = 0;
   double without = 0;
-  tilth::GroveGuards no_owners;
+  scheduling::GroveGuards no_owners;
   no_owners.owners = false;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     with += play(seed).read_again_tokens;
--- a/source/tests/almanac/history_test.cpp
+++ b/source/tests/simulator/history_test.cpp
@@ -1,22 +1,22 @@
 #include <gtest/gtest.h>
 
-#include "almanac/history/history.hpp"
+#include "simulator/history/history.hpp"
 
 namespace finchlink {
 namespace {
 
-using almanac::HistoryEntry;
+using simulator::HistoryEntry;
 using Kind = HistoryEntry::Kind;
 
-HistoryEntry entry(Kind kind, std::uint64_t revision, loam::Moment began, std::optional<loam::Moment> ended,
+HistoryEntry entry(Kind kind, std::uint64_t revision, common::Moment began, std::optional<common::Moment> ended,
                    std::optional<std::uint64_t> expected = std::nullopt) {
   return HistoryEntry{kind, revision, began, ended, expected};
 }
 
 TEST(History, ExplainsWhatIsRight) {
-  EXPECT_EQ(almanac::explain_history({}), "");
+  EXPECT_EQ(simulator::explain_history({}), "");
   // Overlapping asks, a write whose end nobody heard, a race lost.
-  EXPECT_EQ(almanac::explain_history({
+  EXPECT_EQ(simulator::explain_history({
                 entry(Kind::write, 1, 0, 10),
                 entry(Kind::read, 1, 5, 20),
                 entry(Kind::write, 2, 12, std::nullopt, 1),
@@ -49,13 +49,13 @@
        {entry(Kind::write, 1, 0, 10), entry(Kind::refused, 1, 20, 30), entry(Kind::write, 2, 40, 50)}},
   };
   for (std::pair<std::string, std::vector<HistoryEntry>> const& one : wrong) {
-    EXPECT_NE(almanac::explain_history(one.second).find(one.first), std::string::npos)
-        << one.first << ": '" << almanac::explain_history(one.second) << "'";
+    EXPECT_NE(simulator::explain_history(one.second).find(one.first), std::string::npos)
+        << one.first << ": '" << simulator::explain_history(one.second) << "'";
   }
 }
 
-HistoryEntry order(std::uint64_t revision, loam::Moment began, std::optional<loam::Moment> ended,
-                   std::optional<loam::Moment> abandoned) {
+HistoryEntry order(std::uint64_t revision, common::Moment began, std::optional<common::Moment> ended,
+                   std::optional<common::Moment> abandoned) {
   HistoryEntry write = entry(Kind::write, revision, began, ended);
   write.subject = "zone";
   write.abandoned = abandoned;
@@ -67,39 +67,39 @@
   write.change = "c";
   HistoryEntry refusal = entry(Kind::refused, HistoryEntry::no_revision, 500, 510);
   refusal.change = "other";
-  EXPECT_EQ(almanac::explain_history({write, refusal}), "");
+  EXPECT_EQ(simulator::explain_history({write, refusal}), "");
   refusal.change = "c";
-  EXPECT_NE(almanac::explain_history({write, refusal}).find("refused a change that was taken"), std::string::npos);
+  EXPECT_NE(simulator::explain_history({write, refusal}).find("refused a change that was taken"), std::string::npos);
   // Also where it was taken behind the no, by a node that was late.
   write.began = 0;
   write.ended = std::nullopt;
   refusal.ended = 5;
-  EXPECT_NE(almanac::explain_history({refusal, write}), "");
+  EXPECT_NE(simulator::explain_history({refusal, write}), "");
 }
 
 TEST(History, AnAbandonedOrderDoesNotOvertakeAnAcknowledgedOne) {
   // Given up at 10; another one, begun at 20, was acknowledged and came first.
-  EXPECT_NE(almanac::explain_history({order(1, 20, 30, std::nullopt), order(2, 0, std::nullopt, 10)})
+  EXPECT_NE(simulator::explain_history({order(1, 20, 30, std::nullopt), order(2, 0, std::nullopt, 10)})
                 .find("abandoned order about zone"),
             std::string::npos);
   // The operator gave up and turned to the other in one moment.
-  EXPECT_NE(almanac::explain_history({order(1, 10, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_NE(simulator::explain_history({order(1, 10, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
   // It came first; it was not given up before the other began; nobody was told of the other; another subject.
-  EXPECT_EQ(almanac::explain_history({order(2, 20, 30, std::nullopt), order(1, 0, std::nullopt, 10)}), "");
-  EXPECT_EQ(almanac::explain_history({order(1, 5, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
-  EXPECT_EQ(almanac::explain_history({order(1, 20, std::nullopt, 30), order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::explain_history({order(2, 20, 30, std::nullopt), order(1, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::explain_history({order(1, 5, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::explain_history({order(1, 20, std::nullopt, 30), order(2, 0, std::nullopt, 10)}), "");
   HistoryEntry elsewhere = order(1, 20, 30, std::nullopt);
   elsewhere.subject = "other zone";
-  EXPECT_EQ(almanac::explain_history({elsewhere, order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::explain_history({elsewhere, order(2, 0, std::nullopt, 10)}), "");
 }
 
 TEST(History, RegistersAreExplainedOneByOne) {
-  almanac::Histories const good{{"charter", {entry(Kind::write, 1, 0, 10)}},
-                                {"holders", {entry(Kind::read, 0, 0, 10)}}};
-  EXPECT_EQ(almanac::explain_histories(good), "");
-  almanac::Histories bad = good;
+  simulator::Histories const good{{"charter", {entry(Kind::write, 1, 0, 10)}},
+                                  {"holders", {entry(Kind::read, 0, 0, 10)}}};
+  EXPECT_EQ(simulator::explain_histories(good), "");
+  simulator::Histories bad = good;
   bad["holders"] = {entry(Kind::write, 1, 0, 10), entry(Kind::read, 0, 20, 30)};
-  EXPECT_EQ(almanac::explain_histories(bad).find("holders: "), 0u);
+  EXPECT_EQ(simulator::explain_histories(bad).find("holders: "), 0u);
 }
 
 }  // namespace
--- a/source/tests/almanac/membership_model_test.cpp
+++ b/source/tests/simulator/membership_model_test.cpp
@@ -2,15 +2,15 @@
 
 #include <sstream>
 
-#include "almanac/membership_model/actions.hpp"
-#include "almanac/membership_model/closing.hpp"
-#include "almanac/membership_model/scenario.hpp"
+#include "simulator/membership_model/actions.hpp"
+#include "simulator/membership_model/closing.hpp"
+#include "simulator/membership_model/scenario.hpp"
 #include "tests/invariant_listener.hpp"
 
 namespace finchlink {
 namespace {
 
-using namespace almanac::membership_model;
+using namespace simulator::membership_model;
 
 constexpr std::size_t any_depth = 100;
 
@@ -124,9 +124,10 @@
   Bounds no_retries = bounds_of("ballots");
   no_retries.retries = 0;
   {
-    ExpectedViolations const expected({loam::Invariant::promised_ballot_rises, loam::Invariant::accepted_ballot_rises});
+    ExpectedViolations const expected(
+        {common::Invariant::promised_ballot_rises, common::Invariant::accepted_ballot_rises});
     expect_broken(no_retries, "promise_kept", 9, "a majority that can choose lacks an acknowledged value of data");
-    EXPECT_GT(expected.count(loam::Invariant::accepted_ballot_rises), 0u);
+    EXPECT_GT(expected.count(common::Invariant::accepted_ballot_rises), 0u);
   }
   Bounds few_late = bounds_of("ballots");
   few_late.late_requests = 0;
@@ -142,9 +143,9 @@
   Bounds bounds = bounds_of("join");
   expect_broken(bounds, "blank_has_no_vote", 3, "a vote of one that lacks data of the epoch before");
   {
-    ExpectedViolations const expected({loam::Invariant::vote_is_complete});
+    ExpectedViolations const expected({common::Invariant::vote_is_complete});
     expect_broken(bounds, "image_before_vote", 4, "a vote of one that lacks data of the epoch before");
-    EXPECT_GT(expected.count(loam::Invariant::vote_is_complete), 0u);
+    EXPECT_GT(expected.count(common::Invariant::vote_is_complete), 0u);
   }
   Bounds two = bounds_of("three");
   two.lost_disks = two.replaced = two.crashes = two.writes = 0;
--- a/source/tests/almanac/operators_test.cpp
+++ b/source/tests/simulator/operators_test.cpp
@@ -1,29 +1,29 @@
 #include <gtest/gtest.h>
 
-#include "almanac/control/control.hpp"
+#include "simulator/control/control.hpp"
 
 namespace finchlink {
 namespace {
 
-using Change = std::function<void(almanac::ControlOptions&)>;
+using Change = std::function<void(simulator::ControlOptions&)>;
 
-almanac::ControlReport run(std::string const& scenario, std::uint64_t seed, std::size_t operators,
-                           Change const& change = nullptr) {
-  almanac::ControlOptions options;
+simulator::ControlReport run(std::string const& scenario, std::uint64_t seed, std::size_t operators,
+                             Change const& change = nullptr) {
+  simulator::ControlOptions options;
   options.seed = seed;
-  options.length = loam::seconds(15);
-  options.faults = *almanac::control_scenario(scenario);
+  options.length = common::seconds(15);
+  options.faults = *simulator::control_scenario(scenario);
   options.furrows = 1;
   options.operators = 1;
   options.orders.operators = operators;
   if (change) {
     change(options);
   }
-  return almanac::run_control(options);
+  return simulator::run_control(options);
 }
 
 /// Orders that are read by nodes without a majority, given up at once and taken back.
-void split_often(almanac::ControlOptions& options) {
+void split_often(simulator::ControlOptions& options) {
   options.faults.split = 2;
   options.orders.impatient = 1;
   options.orders.close_unheard = 1;
@@ -32,7 +32,7 @@
 /// With a guard off some seed must break, by a word of the checker.
 bool breaks(std::string const& scenario, std::uint64_t seeds, std::string const& word, Change const& off) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    almanac::ControlReport const report = run(scenario, seed, 3, off);
+    simulator::ControlReport const report = run(scenario, seed, 3, off);
     for (std::string const& violation : report.violations) {
       if (violation.find(word) != std::string::npos) {
         return true;
@@ -43,10 +43,10 @@
 }
 
 TEST(Operators, OneOrderExplainsAllThatTheyAreTold) {
-  almanac::OperatorCounts sum;
+  simulator::OperatorCounts sum;
   for (std::string const scenario : {"calm", "kills", "freezes", "splits", "wipes", "storm"}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      almanac::ControlReport const report = run(scenario, seed, 2 * seed);  // two to eight
+      simulator::ControlReport const report = run(scenario, seed, 2 * seed);  // two to eight
       EXPECT_TRUE(report.violations.empty()) << scenario << " seed " << seed << ": " << report.violations.front();
       sum.acknowledged += report.orders.acknowledged;
       sum.acknowledged_again += report.orders.acknowledged_again;
@@ -67,34 +67,34 @@
 
 TEST(Operators, AllGuardsOnHoldWhereEachOfThemIsNeeded) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
-    almanac::ControlReport const report = run("splits", seed, 3, split_often);
+    simulator::ControlReport const report = run("splits", seed, 3, split_often);
     EXPECT_TRUE(report.violations.empty()) << "seed " << seed << ": " << report.violations.front();
   }
 }
 
 TEST(Operators, EvacuationsAreFenced) {
-  EXPECT_TRUE(breaks("splits", 30, "abandoned order about zone", [](almanac::ControlOptions& options) {
+  EXPECT_TRUE(breaks("splits", 30, "abandoned order about zone", [](simulator::ControlOptions& options) {
     split_often(options);
     options.orders.evacuation.fenced = false;
   }));
 }
 TEST(Operators, OrdersThatFindNothingToDoFenceAsWell) {
-  EXPECT_TRUE(breaks("splits", 30, "abandoned order about zone", [](almanac::ControlOptions& options) {
+  EXPECT_TRUE(breaks("splits", 30, "abandoned order about zone", [](simulator::ControlOptions& options) {
     split_often(options);
     options.orders.evacuation.orders_counted = false;
   }));
 }
 TEST(Operators, NothingIsDoneForCallersThatHaveGone) {
   EXPECT_TRUE(breaks("freezes", 30, "abandoned order about zone",
-                     [](almanac::ControlOptions& options) { options.orders.evacuation.caller_watched = false; }));
+                     [](simulator::ControlOptions& options) { options.orders.evacuation.caller_watched = false; }));
 }
 TEST(Operators, TakenChangesAreKnownByTheirMarks) {
   EXPECT_TRUE(breaks("calm", 8, "refused a change that was taken",
-                     [](almanac::ControlOptions& options) { options.orders.marks.found = false; }));
+                     [](simulator::ControlOptions& options) { options.orders.marks.found = false; }));
 }
 TEST(Operators, DroppedMarksAreNoRefusal) {
   EXPECT_TRUE(breaks("calm", 8, "refused a change that was taken",
-                     [](almanac::ControlOptions& options) { options.orders.marks.forgotten_known = false; }));
+                     [](simulator::ControlOptions& options) { options.orders.marks.forgotten_known = false; }));
 }
 
 }  // namespace
--- a/source/tests/almanac/relay_test.cpp
+++ b/source/tests/simulator/relay_test.cpp
@@ -1,25 +1,25 @@
 #include <gtest/gtest.h>
 
-#include "almanac/relay/relay.hpp"
+#include "simulator/relay/relay.hpp"
 
 namespace finchlink {
 namespace {
 
-almanac::RelayOptions options(std::string const& scenario, std::uint64_t seed, std::string const& off = "") {
-  almanac::RelayOptions entry;
+simulator::RelayOptions options(std::string const& scenario, std::uint64_t seed, std::string const& off = "") {
+  simulator::RelayOptions entry;
   entry.seed = seed;
-  entry.length = loam::seconds(12);
-  entry.faults = *almanac::relay_scenario(scenario);
+  entry.length = common::seconds(12);
+  entry.faults = *simulator::relay_scenario(scenario);
   if (!off.empty()) {
-    EXPECT_TRUE(almanac::switch_off_relay(entry, off)) << off;
+    EXPECT_TRUE(simulator::switch_off_relay(entry, off)) << off;
   }
   return entry;
 }
 
 TEST(AlmanacRelay, HoldsUnderEveryMixOfTroubles) {
-  for (std::string const& scenario : almanac::relay_scenarios()) {
+  for (std::string const& scenario : simulator::relay_scenarios()) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      almanac::RelayReport const report = almanac::run_relay(options(scenario, seed));
+      simulator::RelayReport const report = simulator::run_relay(options(scenario, seed));
       EXPECT_TRUE(report.violations.empty()) << scenario << " seed " << seed << ": " << report.violations.front();
       EXPECT_GT(report.good, report.sent / 3) << scenario << " seed " << seed;
       EXPECT_EQ(report.troubles == 0, scenario == "relay-calm") << scenario << " seed " << seed;
@@ -28,8 +28,8 @@
 }
 
 TEST(AlmanacRelay, SameSeedSameTrace) {
-  almanac::RelayReport const first = almanac::run_relay(options("relay-storm", 7));
-  almanac::RelayReport const again = almanac::run_relay(options("relay-storm", 7));
+  simulator::RelayReport const first = simulator::run_relay(options("relay-storm", 7));
+  simulator::RelayReport const again = simulator::run_relay(options("relay-storm", 7));
   EXPECT_EQ(first.trace_hash, again.trace_hash);
   EXPECT_EQ(first.events, again.events);
 }
@@ -56,21 +56,21 @@
                                Needed{"ejection_bound", "relay-plague", " rest"}}) {
     bool broken = false;
     for (std::uint64_t seed = 1; seed <= 8 && !broken; ++seed) {
-      almanac::RelayOptions run = options(needed.scenario, seed, needed.guard);
+      simulator::RelayOptions run = options(needed.scenario, seed, needed.guard);
       run.rate = needed.rate;
       run.cold_rate = needed.cold_rate;
       run.retry_slack = needed.retry_slack;
-      almanac::RelayReport const report = almanac::run_relay(run);
+      simulator::RelayReport const report = simulator::run_relay(run);
       for (std::string const& violation : report.violations) {
         broken = broken || violation.find(needed.violation) != std::string::npos;
       }
     }
     EXPECT_TRUE(broken) << needed.guard;
-    almanac::RelayOptions run = options(needed.scenario, 1);
+    simulator::RelayOptions run = options(needed.scenario, 1);
     run.rate = needed.rate;
     run.cold_rate = needed.cold_rate;
     run.retry_slack = needed.retry_slack;
-    almanac::RelayReport const report = almanac::run_relay(run);
+    simulator::RelayReport const report = simulator::run_relay(run);
     EXPECT_TRUE(report.violations.empty()) << needed.guard << " on: " << report.violations.front();
   }
 }
--- a/tools/scale/scale.py
+++ b/tools/scale/scale.py
@@ -29,7 +29,7 @@
 HALLS = {f"hall-{number:02d}": f"region-{(number - 1) // 3 + 1}" for number in range(1, 19)}
 MANNERS = {
     "own": {},
-    # As source/loam/constants.hpp has them for callers that are served on without a vouch.
+    # As source/common/constants.hpp has them for callers that are served on without a vouch.
     "wide": {"stop_unvouched": False, "ask_hold_ms": 1000, "ask_patience_ms": 700, "ask_deadline_ms": 1700, "confirm_pause_ms": 400, "acknowledge_wait_ms": 0,
              "tell_pause_ms": 600, "session_bound_ms": 2500, "list_pause_ms": 700, "list_rate": 47},
 }
--- a/tools/schema/generate.py
+++ b/tools/schema/generate.py
@@ -45,18 +45,18 @@
         name = {"string": "a string", "boolean": "true or false", "integer": "a whole number",
                 "natural": "a whole number that is not negative", "number": "a number"}[kind]
         out.append(f"if ({check}({node}) == 0) {{")
-        out.append(f"{pad}faults.push_back(loam::Fault{{{path}, \"must be {name}\"}});")
+        out.append(f"{pad}faults.push_back(common::Fault{{{path}, \"must be {name}\"}});")
         if kind == "string":
             out.append("} else {")
             out.append(f"{pad}{target} = {node}->valuestring;")
             if field.get("one_of"):
                 options = field["one_of"]
                 test = " && ".join(f"{target} != {json.dumps(o)}" for o in options)
-                out.append(f"{pad}if ({test}) {{ faults.push_back(loam::Fault{{{path}, \"must be one of {', '.join(options)}\"}}); }}")
+                out.append(f"{pad}if ({test}) {{ faults.push_back(common::Fault{{{path}, \"must be one of {', '.join(options)}\"}}); }}")
             if "most" in field:
-                out.append(f"{pad}if ({target}.size() > {field['most']}) {{ faults.push_back(loam::Fault{{{path}, \"is longer than {field['most']} bytes\"}}); }}")
+                out.append(f"{pad}if ({target}.size() > {field['most']}) {{ faults.push_back(common::Fault{{{path}, \"is longer than {field['most']} bytes\"}}); }}")
             if field.get("filled"):
-                out.append(f"{pad}if ({target}.empty()) {{ faults.push_back(loam::Fault{{{path}, \"must not be empty\"}}); }}")
+                out.append(f"{pad}if ({target}.empty()) {{ faults.push_back(common::Fault{{{path}, \"must not be empty\"}}); }}")
             out.append("}")
         elif kind == "boolean":
             out.append(f"}} else {{ {target} = cJSON_IsTrue({node}) != 0; }}")
@@ -64,13 +64,13 @@
             low = field.get("minimum", 0 if kind == "natural" else None)
             if kind in ("integer", "natural"):
                 out.append(f"}} else if (std::floor({node}->valuedouble) != {node}->valuedouble || std::abs({node}->valuedouble) > 9007199254740992.0) {{")
-                out.append(f"{pad}faults.push_back(loam::Fault{{{path}, \"must be {name}\"}});")
+                out.append(f"{pad}faults.push_back(common::Fault{{{path}, \"must be {name}\"}});")
             if low is not None:
                 out.append(f"}} else if ({node}->valuedouble < {float(low)}) {{")
-                out.append(f"{pad}faults.push_back(loam::Fault{{{path}, \"must be at least {low}\"}});")
+                out.append(f"{pad}faults.push_back(common::Fault{{{path}, \"must be at least {low}\"}});")
             if "maximum" in field:
                 out.append(f"}} else if ({node}->valuedouble > {float(field['maximum'])}) {{")
-                out.append(f"{pad}faults.push_back(loam::Fault{{{path}, \"must be at most {field['maximum']}\"}});")
+                out.append(f"{pad}faults.push_back(common::Fault{{{path}, \"must be at most {field['maximum']}\"}});")
             out.append(f"}} else {{ {target} = static_cast<{BASIC[kind]}>({node}->valuedouble); }}")
         return out
     match = re.fullmatch(r"(list|map|optional)<(.+)>", kind)
@@ -85,15 +85,15 @@
         shape, inner = match.group(1), match.group(2)
         check = "cJSON_IsArray" if shape == "list" else "cJSON_IsObject"
         name = "a list" if shape == "list" else "an object"
-        out.append(f"if ({check}({node}) == 0) {{ faults.push_back(loam::Fault{{{path}, \"must be {name}\"}}); }} else {{")
+        out.append(f"if ({check}({node}) == 0) {{ faults.push_back(common::Fault{{{path}, \"must be {name}\"}}); }} else {{")
         out.append(f"{pad}std::size_t place{depth} = 0;")
         out.append(f"{pad}{target}.clear();")
         out.append(f"{pad}for (cJSON const* item{depth} = {node}->child; item{depth} != nullptr; item{depth} = item{depth}->next, ++place{depth}) {{")
         if shape == "list":
             out.append(f"{pad*2}std::string const path{depth} = {path} + \"/\" + std::to_string(place{depth});")
         else:
-            out.append(f"{pad*2}std::string const path{depth} = {path} + \"/\" + loam::pointer_part(item{depth}->string);")
-            out.append(f"{pad*2}if ({target}.count(item{depth}->string) > 0) {{ faults.push_back(loam::Fault{{path{depth}, \"is given twice\"}}); }}")
+            out.append(f"{pad*2}std::string const path{depth} = {path} + \"/\" + common::pointer_part(item{depth}->string);")
+            out.append(f"{pad*2}if ({target}.count(item{depth}->string) > 0) {{ faults.push_back(common::Fault{{path{depth}, \"is given twice\"}}); }}")
         out.append(f"{pad*2}{cpp(inner)} entry{depth}{{}};")
         out += [pad * 2 + line for line in reader(inner, f"entry{depth}", f"item{depth}", f"path{depth}", {k: v for k, v in field.items() if k in ("one_of", "filled")} if inner in BASIC else {}, depth + 1)]
         if shape == "list":
@@ -102,7 +102,7 @@
             out.append(f"{pad*2}{target}[item{depth}->string] = std::move(entry{depth});")
         out.append(f"{pad}}}")
         if "most" in field and shape == "list":
-            out.append(f"{pad}if ({target}.size() > {field['most']}) {{ faults.push_back(loam::Fault{{{path}, \"has more than {field['most']} entries\"}}); }}")
+            out.append(f"{pad}if ({target}.size() > {field['most']}) {{ faults.push_back(common::Fault{{{path}, \"has more than {field['most']} entries\"}}); }}")
         out.append("}")
         return out
     out.append(f"read({node}, {path}, {target}, faults);")
@@ -137,12 +137,12 @@
     space = schema["namespace"]
     head = ["// Generated from " + source.rsplit("/", 1)[-1] + "; see docs/design.md section 2.", "#pragma once", "",
             "#include <cstdint>", "#include <map>", "#include <optional>", "#include <string>", "#include <variant>", "#include <vector>", "",
-            "#include <cJSON.h>", "", '#include "loam/json/fault.hpp"']
+            "#include <cJSON.h>", "", '#include "common/json/fault.hpp"']
     for other in schema.get("includes", []):
         head.append(f'#include "{other}"')
     head += ["", f"namespace {space} {{", ""]
     code = [f'#include "{header.rsplit("/", 2)[-2]}/{header.rsplit("/", 1)[-1]}"', "", "#include <cmath>", "#include <utility>", "",
-            '#include "loam/json/tree.hpp"', "", f"namespace {space} {{", ""]
+            '#include "common/json/tree.hpp"', "", f"namespace {space} {{", ""]
     for structure in schema["structures"]:
         name, fields = structure["name"], structure["fields"]
         head.append(f"/// {structure.get('about', name)}")
@@ -153,29 +153,29 @@
         head += ["", "  template <class Archive>", "  void serialize(Archive& archive) {", f"    archive({listed});" if fields else "    (void)archive;", "  }",
                  f"  friend bool operator==({name} const&, {name} const&) = default;", "};"]
         if structure.get("json", True):
-            head += [f"void read(cJSON const* node, std::string const& path, {name}& target, std::vector<loam::Fault>& faults);",
+            head += [f"void read(cJSON const* node, std::string const& path, {name}& target, std::vector<common::Fault>& faults);",
                      f"[[nodiscard]] cJSON* write({name} const& source);"]
-            code += [f"void read(cJSON const* node, std::string const& path, {name}& target, std::vector<loam::Fault>& faults) {{",
-                     "  if (cJSON_IsObject(node) == 0) { faults.push_back(loam::Fault{path, \"must be an object\"}); return; }"]
+            code += [f"void read(cJSON const* node, std::string const& path, {name}& target, std::vector<common::Fault>& faults) {{",
+                     "  if (cJSON_IsObject(node) == 0) { faults.push_back(common::Fault{path, \"must be an object\"}); return; }"]
             for field in fields:
                 code.append(f"  bool seen_{field['name']} = false;")
             code.append("  for (cJSON const* member = node->child; member != nullptr; member = member->next) {")
             code.append("    std::string const name = member->string;")
-            code.append("    std::string const here = path + \"/\" + loam::pointer_part(name);")
+            code.append("    std::string const here = path + \"/\" + common::pointer_part(name);")
             keyword = "if"
             for field in fields:
                 json_name = field["name"]
                 code.append(f"    {keyword} (name == {json.dumps(json_name)}) {{")
-                code.append(f"      if (seen_{json_name}) {{ faults.push_back(loam::Fault{{here, \"is given twice\"}}); }}")
+                code.append(f"      if (seen_{json_name}) {{ faults.push_back(common::Fault{{here, \"is given twice\"}}); }}")
                 code.append(f"      seen_{json_name} = true;")
                 code += ["      " + line for line in reader(field["type"], f"target.{json_name}", "member", "here", field)]
                 code.append("    }")
                 keyword = "else if"
-            code.append(f"    {'else ' if fields else ''}{{ faults.push_back(loam::Fault{{here, \"is not a known field\"}}); }}")
+            code.append(f"    {'else ' if fields else ''}{{ faults.push_back(common::Fault{{here, \"is not a known field\"}}); }}")
             code.append("  }")
             for field in fields:
                 if field.get("required"):
-                    code.append(f"  if (!seen_{field['name']}) {{ faults.push_back(loam::Fault{{path + \"/{field['name']}\", \"is missing\"}}); }}")
+                    code.append(f"  if (!seen_{field['name']}) {{ faults.push_back(common::Fault{{path + \"/{field['name']}\", \"is missing\"}}); }}")
                 else:
                     code.append(f"  (void)seen_{field['name']};")
             code += ["}", "", f"cJSON* write({name} const& source) {{", "  cJSON* object = cJSON_CreateObject();"]
