--- a/source/common/constants.hpp
+++ b/source/common/constants.hpp
@@ -20,7 +20,7 @@
 inline constexpr Span ask_deadline = milliseconds(700);
 /// A furrow takes new queries for this long after it *sent* the last ask that
 /// was vouched for. Two failed asks fit in.
-inline constexpr Span vouch_bound = milliseconds(1500);
+inline constexpr Span confirmation_bound = milliseconds(1500);
 /// Wait after a setup is chosen before yes is said: the vouch bound, a tenth
 /// for clocks that run apart, and one step of the furrow's check.
 inline constexpr Span acknowledge_wait = milliseconds(1750);
@@ -70,7 +70,7 @@
 /// Pause between two tellings of sessions to a colleague.
 inline constexpr Span tell_pause = milliseconds(250);
 /// A colleague silent this long is no longer listed.
-inline constexpr Span colleague_bound = seconds(10);
+inline constexpr Span peer_bound = seconds(10);
 
 /// Asks are answered for news of members or of the list no sooner than this
 /// after they came, so that many small changes don't become many answers.
@@ -123,7 +123,7 @@
 /// Largest setup document in bytes; three copies and the ring stay small.
 inline constexpr std::size_t setup_limit = 256u << 10u;
 /// Largest charter in bytes: some five thousand lanes of 350 bytes.
-inline constexpr std::size_t charter_limit = 2u << 20u;
+inline constexpr std::size_t routing_config_limit = 2u << 20u;
 /// Pause between tries to found the register.
 inline constexpr Span founding_pause = milliseconds(200);
 /// A holder that misses this many looks in a row (two to three seconds) is
@@ -167,7 +167,7 @@
 inline constexpr std::size_t inline_register_bytes = 64u << 10u;
 /// Bytes of contents in one answer to a furrow. A furrow that is lost asks three
 /// at once: over such a link that is 0.74 s of its 0.9 s.
-inline constexpr std::size_t inline_news_bytes = 128u << 10u;
+inline constexpr std::size_t inline_update_bytes = 128u << 10u;
 /// Bytes of one piece: 0.2 s at 5 Mbit/s, so that a lost one costs little, and
 /// the ways there and back are a third of the whole time.
 inline constexpr std::size_t transfer_piece_bytes = 128u << 10u;
--- a/source/common/http/http.cpp
+++ b/source/common/http/http.cpp
@@ -125,14 +125,14 @@
   (*stream)->expires_after(duration(std::max<Span>(until - boot_now(), 1000)));
   http::async_write(**stream, ask, yield[error]);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "http", address + ": " + error.message());
+    return make_error(absl::StatusCode::kUnavailable, "http", address + ": " + error.message());
   }
   boost::beast::flat_buffer buffer;
   http::response_parser<http::string_body> parser;
   parser.body_limit(limit);
   http::async_read(**stream, buffer, parser, yield[error]);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "http", address + ": " + error.message());
+    return make_error(absl::StatusCode::kUnavailable, "http", address + ": " + error.message());
   }
   return parser.release();
 }
--- a/source/common/net/net.cpp
+++ b/source/common/net/net.cpp
@@ -24,7 +24,7 @@
 absl::StatusOr<Endpoint> read_endpoint(std::string const& text) {
   std::size_t const colon = text.rfind(':');
   if (colon == std::string::npos) {
-    return defect(absl::StatusCode::kInvalidArgument, "net", "'" + text + "' is not IP:PORT");
+    return make_error(absl::StatusCode::kInvalidArgument, "net", "'" + text + "' is not IP:PORT");
   }
   std::string host = text.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
@@ -35,7 +35,7 @@
   unsigned int port = 0;
   std::from_chars_result const parsed = std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
   if (error || parsed.ec != std::errc() || parsed.ptr != text.data() + text.size() || port > 65535) {
-    return defect(absl::StatusCode::kInvalidArgument, "net", "'" + text + "' is not IP:PORT");
+    return make_error(absl::StatusCode::kInvalidArgument, "net", "'" + text + "' is not IP:PORT");
   }
   return Endpoint(address, static_cast<std::uint16_t>(port));
 }
@@ -48,7 +48,7 @@
   error_code error;
   own_ip = asio::ip::make_address(text, error);
   if (error) {
-    return defect(absl::StatusCode::kInvalidArgument, "net", "'" + text + "' is not an IP");
+    return make_error(absl::StatusCode::kInvalidArgument, "net", "'" + text + "' is not an IP");
   }
   return absl::OkStatus();
 }
@@ -111,7 +111,7 @@
     acceptor->listen(1024, error);
   }
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "net", address + ": " + error.message());
+    return make_error(absl::StatusCode::kUnavailable, "net", address + ": " + error.message());
   }
   std::shared_ptr<std::atomic<std::size_t>> const count = std::make_shared<std::atomic<std::size_t>>(0);
   asio::spawn(
@@ -165,12 +165,12 @@
       own_strand ? boost::asio::any_io_executor(asio::make_strand(context)) : yield.get_executor());
   error_code error = open_own(stream->socket(), *endpoint);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "net", own_ip->to_string() + ": " + error.message());
+    return make_error(absl::StatusCode::kUnavailable, "net", own_ip->to_string() + ": " + error.message());
   }
   stream->expires_after(duration(deadline));
   stream->async_connect(*endpoint, yield[error]);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "net", address + ": " + error.message());
+    return make_error(absl::StatusCode::kUnavailable, "net", address + ": " + error.message());
   }
   stream->socket().set_option(asio::ip::tcp::no_delay(true), error);
   return stream;
@@ -181,12 +181,12 @@
   stream.expires_after(duration(deadline));
   asio::async_write(stream, asio::buffer(bytes), yield[error]);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "net", error.message());
+    return make_error(absl::StatusCode::kUnavailable, "net", error.message());
   }
   std::string header(frame_header, '\0');
   asio::async_read(stream, asio::buffer(header), yield[error]);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "net", error.message());
+    return make_error(absl::StatusCode::kUnavailable, "net", error.message());
   }
   absl::StatusOr<std::size_t> const length = frame_length(header);
   if (!length.ok()) {
@@ -195,7 +195,7 @@
   std::string payload(*length, '\0');
   asio::async_read(stream, asio::buffer(payload), yield[error]);
   if (error) {
-    return defect(absl::StatusCode::kUnavailable, "net", error.message());
+    return make_error(absl::StatusCode::kUnavailable, "net", error.message());
   }
   absl::StatusOr<schema::Message> answer = unframe(header, payload);
   if (answer.ok()) {
@@ -246,7 +246,7 @@
       idle.pop_back();
     }
   }
-  absl::StatusOr<schema::Message> answer = defect(absl::StatusCode::kUnavailable, "net", "no connection");
+  absl::StatusOr<schema::Message> answer = make_error(absl::StatusCode::kUnavailable, "net", "no connection");
   if (kept != nullptr) {
     answer = on_own_strand(*kept, bytes, deadline, yield);
   }
--- a/source/common/process/process.cpp
+++ b/source/common/process/process.cpp
@@ -22,8 +22,8 @@
   std::uint64_t const round = static_cast<std::uint64_t>(constants::wide_round / 1000);
   // A furrow whose trellis went as it asked: the ask fails, the next one is
   // confirmed by a trellis that has read the change by then.
-  std::uint64_t const news = bounds.ask_deadline_ms + static_cast<std::uint64_t>(constants::ask_retry / 1000) +
-                             bounds.confirm_pause_ms + round;
+  std::uint64_t const updates = bounds.ask_deadline_ms + static_cast<std::uint64_t>(constants::ask_retry / 1000) +
+                                bounds.confirm_pause_ms + round;
   std::uint64_t const listed = 2 * bounds.list_pause_ms + bounds.tell_pause_ms + round + bounds.ask_hold_ms;
   // A session that a peer trellis tells of: heard at one ask, told just before
   // the next, and kept until the telling after that.
@@ -35,8 +35,8 @@
     std::uint64_t bound;
   };
   Sum const sums[] = {
-      {"news of a change is later than apply_ms", news, bounds.apply_ms},
-      {"news of an evacuation is later than evacuate_ms", news, bounds.evacuate_ms},
+      {"news of a change is later than apply_ms", updates, bounds.apply_ms},
+      {"news of an evacuation is later than evacuate_ms", updates, bounds.evacuate_ms},
       {"news of a draining worker is later than drain_ms", listed, bounds.drain_ms},
       {"an ask is held longer than it may take", bounds.ask_hold_ms + round, bounds.ask_deadline_ms},
       {"an unconfirmed ask is answered later than it may take", bounds.ask_patience_ms + round, bounds.ask_deadline_ms},
@@ -46,7 +46,7 @@
   };
   for (Sum const& entry : sums) {
     if (entry.sum > entry.bound) {
-      return defect(
+      return make_error(
           absl::StatusCode::kInvalidArgument, "bounds",
           std::string(entry.what) + ": " + std::to_string(entry.sum) + " ms of " + std::to_string(entry.bound) + " ms");
     }
--- a/source/common/prompt_isolation_constants.hpp
+++ b/source/common/prompt_isolation_constants.hpp
@@ -13,20 +13,20 @@
 inline constexpr std::size_t secret_bytes_least = 32;
 /// Bytes of a part's walled id: 128 bits, so that two parts of any tenants
 /// never share one by chance.
-inline constexpr std::size_t wall_id_bytes = 16;
+inline constexpr std::size_t isolation_id_bytes = 16;
 /// Parts of a prompt that get ids of their own; the rest are one part. Prompts
 /// have a handful, and each part costs two keyed hashes and 40 bytes of header.
-inline constexpr std::size_t wall_parts_most = 64;
+inline constexpr std::size_t isolation_parts_most = 64;
 /// Most tokens that a part can tell of, far above any prompt.
-inline constexpr double wall_part_tokens_most = 1e9;
+inline constexpr double isolation_part_tokens_most = 1e9;
 /// A record's entry counts as at least this many tokens, which bounds entries
 /// by the worker's memory also when parts are tiny.
-inline constexpr double wall_entry_tokens = 16;
+inline constexpr double isolation_entry_tokens = 16;
 /// Even parts of a full record above which a holder gives way first. One would
 /// let those who ask no more keep theirs from those who do.
-inline constexpr double wall_shares_most = 2;
+inline constexpr double isolation_shares_most = 2;
 /// Tenants whose reuse is told one by one; what others do is summed up.
-inline constexpr std::size_t wall_tenants_told = 16384;
+inline constexpr std::size_t isolation_tenants_told = 16384;
 /// A refused caller's body is thrown away for this long before the connection
 /// is closed, so that the answer is read.
 inline constexpr Span refused_linger = milliseconds(500);
--- a/source/common/relay_constants.hpp
+++ b/source/common/relay_constants.hpp
@@ -9,13 +9,13 @@
 // --- relay (section 13) ---
 /// Parts of the bounds shared by all furrows that are used: the rest covers
 /// furrows that have just come, gone or restarted, and lists that differ.
-inline constexpr double rights_ratio_part = 0.75;
-inline constexpr double rights_slack_part = 0.6;
+inline constexpr double retry_quota_ratio_part = 0.75;
+inline constexpr double retry_quota_slack_part = 0.6;
 inline constexpr double cold_part = 0.6;
 inline constexpr double connection_part = 0.8;
 /// A furrow that is no member any more counts among those that share a bound
 /// this long: it may be cut off only, and cuts last up to some ten seconds.
-inline constexpr Span census_memory = seconds(20);
+inline constexpr Span proxy_count_memory = seconds(20);
 /// Window over which queries to a cold worker are counted, a little over the
 /// second that the bound names, since they arrive later than they are sent.
 inline constexpr Span cold_window = milliseconds(1300);
@@ -67,7 +67,7 @@
 inline constexpr double queue_factor = 1.25;
 /// Costs in seconds that placement adds: the way to another hall (its bytes are
 /// paid for), to another region, one more running query, a cold worker.
-inline constexpr double other_hall_cost = 0.03;
+inline constexpr double other_zone_cost = 0.03;
 inline constexpr double other_region_cost = 0.25;
 inline constexpr double running_cost = 0.002;
 inline constexpr double running_cost_long = 0.02;
@@ -116,11 +116,11 @@
 /// started: a caller refused meanwhile may have no try left (its first met the
 /// process that ended), and one that waits is served, if late. A trellis that
 /// starts at the same moment has read a majority by then.
-inline constexpr Span charter_hold = milliseconds(1000);
+inline constexpr Span routing_config_hold = milliseconds(1000);
 /// Part of the time its caller has left that it waits at most, so that one refused
 /// can still come back; most furrows have both within the least.
-inline constexpr double charter_hold_part = 0.2;
-inline constexpr Span charter_hold_least = milliseconds(250);
+inline constexpr double routing_config_hold_part = 0.2;
+inline constexpr Span routing_config_hold_least = milliseconds(250);
 /// Up to when a furrow counts as just started: what has not come by then is lost
 /// for longer, and queries are refused at once.
 inline constexpr Span first_span = seconds(10);
--- a/source/common/settings/settings.cpp
+++ b/source/common/settings/settings.cpp
@@ -97,7 +97,7 @@
     options::store(options::command_line_parser(count, values).options(all).positional(positional).run(), found);
     options::notify(found);
   } catch (options::error const& error) {
-    return defect(absl::StatusCode::kInvalidArgument, "flags", error.what());
+    return make_error(absl::StatusCode::kInvalidArgument, "flags", error.what());
   }
   std::stringstream text;
   text << visible;
@@ -119,11 +119,11 @@
     std::stringstream content;
     content << file.rdbuf();
     if (!file) {
-      return defect(absl::StatusCode::kInvalidArgument, "settings", path + " can't be read");
+      return make_error(absl::StatusCode::kInvalidArgument, "settings", path + " can't be read");
     }
     absl::StatusOr<Tree> tree = read_tree(content.str());
     if (!tree.ok() || cJSON_IsObject(tree->get()) == 0) {
-      return defect(absl::StatusCode::kInvalidArgument, "settings", path + " is not a JSON object");
+      return make_error(absl::StatusCode::kInvalidArgument, "settings", path + " is not a JSON object");
     }
     object = std::move(*tree);
   }
@@ -167,7 +167,7 @@
     }
   }
   if (!faults.empty()) {
-    return defect(absl::StatusCode::kInvalidArgument, "settings", describe(faults));
+    return make_error(absl::StatusCode::kInvalidArgument, "settings", describe(faults));
   }
   return invocation;
 }
--- a/source/common/wire/frame.cpp
+++ b/source/common/wire/frame.cpp
@@ -40,7 +40,7 @@
 absl::StatusOr<std::string> expand(std::string_view bytes) {
   std::uint32_t const length = bytes.size() < sizeof(length) ? 0 : word(bytes, 0);
   if (length == 0 || length > constants::frame_limit) {
-    return defect(absl::StatusCode::kDataLoss, "frame", "the length before compression is wrong");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the length before compression is wrong");
   }
   std::string payload(length, '\0');
   uLongf size = length;
@@ -48,7 +48,7 @@
       uncompress(reinterpret_cast<Bytef*>(payload.data()), &size,
                  reinterpret_cast<Bytef const*>(bytes.data() + sizeof(length)), bytes.size() - sizeof(length));
   if (done != Z_OK || size != length) {
-    return defect(absl::StatusCode::kDataLoss, "frame", "what is compressed can't be expanded");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "what is compressed can't be expanded");
   }
   return payload;
 }
@@ -72,11 +72,11 @@
 absl::StatusOr<std::size_t> frame_length(std::string_view header) {
   if (header.size() != frame_header ||
       (word(header, 0) != constants::frame_mark && word(header, 0) != constants::frame_mark_compressed)) {
-    return defect(absl::StatusCode::kDataLoss, "frame", "the mark is wrong");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the mark is wrong");
   }
   std::size_t const length = word(header, 4);
   if (length > constants::frame_limit) {
-    return defect(absl::StatusCode::kResourceExhausted, "frame", "the frame is too large");
+    return make_error(absl::StatusCode::kResourceExhausted, "frame", "the frame is too large");
   }
   return length;
 }
@@ -87,7 +87,7 @@
     return length.status();
   }
   if (*length != payload.size() || word(header, 8) != check_of(payload)) {
-    return defect(absl::StatusCode::kDataLoss, "frame", "the check is wrong");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the check is wrong");
   }
   std::string expanded;
   if (word(header, 0) == constants::frame_mark_compressed) {
--- a/source/config/disposition/disposition.cpp
+++ b/source/config/disposition/disposition.cpp
@@ -2,8 +2,8 @@
 
 namespace finchlink::config {
 
-Course decide(schema::Setup const& setup, std::string const& region, std::string_view method, std::string_view path,
-              HeaderLookup const& header, std::size_t body_bytes) {
+Disposition decide(schema::Setup const& setup, std::string const& region, std::string_view method,
+                   std::string_view path, HeaderLookup const& header, std::size_t body_bytes) {
   std::optional<std::string> const name = find_rule(setup, method, path, header);
   if (!name.has_value()) {
     return TurnAway{404, "no_rule", "no rule matches this query"};
--- a/source/config/disposition/disposition.hpp
+++ b/source/config/disposition/disposition.hpp
@@ -28,9 +28,9 @@
   std::string message;
   friend bool operator==(TurnAway const&, TurnAway const&) = default;
 };
-using Course = std::variant<Serve, GoHome, TurnAway>;
+using Disposition = std::variant<Serve, GoHome, TurnAway>;
 
-[[nodiscard]] Course decide(schema::Setup const& setup, std::string const& region, std::string_view method,
-                            std::string_view path, HeaderLookup const& header, std::size_t body_bytes);
+[[nodiscard]] Disposition decide(schema::Setup const& setup, std::string const& region, std::string_view method,
+                                 std::string_view path, HeaderLookup const& header, std::size_t body_bytes);
 
 }  // namespace finchlink::config
--- a/source/config/routing/proposal.hpp
+++ b/source/config/routing/proposal.hpp
@@ -13,15 +13,15 @@
 namespace finchlink::config {
 
 /// Name of the register that holds the charter (section 13.3).
-inline constexpr char const* charter_register = "charter";
+inline constexpr char const* routing_config_register = "charter";
 
 /// A change of the charter that an operator wants (section 13.3).
-struct WantedCharter {
+struct WantedRoutingConfig {
   std::string content;  ///< a whole charter, or a change of one
   bool patch = false;
   std::optional<std::uint64_t> expected;  ///< number of the charter it builds on; nothing: any
 };
-enum class CharterProposalOutcome {
+enum class RoutingProposalOutcome {
   none,
   done,         ///< taken, now or before
   forgotten,    ///< so old that it may have been taken and its mark dropped: unknown
@@ -31,15 +31,15 @@
   size,
 };
 /// Why a wish was rejected, for the answer to the operator.
-struct CharterProposalReport {
-  CharterProposalOutcome end = CharterProposalOutcome::none;
+struct RoutingProposalReport {
+  RoutingProposalOutcome end = RoutingProposalOutcome::none;
   std::uint64_t number = 0;  ///< of the charter that was found
   std::vector<common::Fault> faults;
   std::string valid_digest;  ///< of the content that was found valid and proposed
 };
 
 /// The very same change has the same id wherever and whenever it is sent.
-[[nodiscard]] std::string id_of(WantedCharter const& wanted);
+[[nodiscard]] std::string id_of(WantedRoutingConfig const& wanted);
 /// Number of the charter in a value: that of its last mark, so that no text
 /// has to be read for it; 0 before the first.
 [[nodiscard]] std::uint64_t number_of(schema::Value const& value);
@@ -48,15 +48,15 @@
 /// been taken. Its mark would carry its own number, and lie behind the mark of
 /// the charter that it builds on: either one at or above the oldest kept mark
 /// makes the answer certain.
-[[nodiscard]] bool kept_if_taken(schema::Value const& value, WantedCharter const& wanted,
+[[nodiscard]] bool kept_if_taken(schema::Value const& value, WantedRoutingConfig const& wanted,
                                  std::optional<std::uint64_t> number);
 
 /// The proposal behind a PUT or PATCH of the charter: a change that was taken
 /// before is done, also when newer ones came after it; one that may have been
 /// taken and forgotten is not judged; then what it builds on must be the one in
 /// force, and its number must rise.
-[[nodiscard]] consensus::ProposalFunction charter_proposal(WantedCharter const& wanted, Notation const& notation,
-                                                           std::shared_ptr<CharterProposalReport> const& note,
+[[nodiscard]] consensus::ProposalFunction routing_proposal(WantedRoutingConfig const& wanted, Notation const& notation,
+                                                           std::shared_ptr<RoutingProposalReport> const& note,
                                                            MarkOptions const& marks = {});
 
 }  // namespace finchlink::config
--- a/source/config/routing/routing_config.cpp
+++ b/source/config/routing/routing_config.cpp
@@ -15,15 +15,15 @@
   return std::string("/") + list + "/" + std::to_string(index) + field;
 }
 
-CharterReading read_own(std::string const& text) {
-  CharterReading reading;
+RoutingConfigReading read_own(std::string const& text) {
+  RoutingConfigReading reading;
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     reading.faults.push_back(common::Fault{"", std::string(tree.status().message())});
     return reading;
   }
-  schema::read(tree->get(), "", reading.charter, reading.faults);
-  std::vector<common::Fault> const more = check(reading.charter);
+  schema::read(tree->get(), "", reading.routing_config, reading.faults);
+  std::vector<common::Fault> const more = check(reading.routing_config);
   reading.faults.insert(reading.faults.end(), more.begin(), more.end());
   return reading;
 }
@@ -35,7 +35,7 @@
       current.empty() ? absl::StatusOr<common::Tree>(common::Tree(cJSON_CreateObject())) : common::read_tree(current);
   absl::StatusOr<common::Tree> const delta = common::read_tree(change);
   if (!target.ok() || !delta.ok() || cJSON_IsObject(target->get()) == 0 || cJSON_IsObject(delta->get()) == 0) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "charter", "not a JSON object");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "charter", "not a JSON object");
   }
   cJSON const* const number = cJSON_GetObjectItemCaseSensitive(delta->get(), number_field.c_str());
   if (number != nullptr) {
@@ -45,18 +45,18 @@
   cJSON const* const upsert = cJSON_GetObjectItemCaseSensitive(delta->get(), "upsert");
   cJSON const* const remove = cJSON_GetObjectItemCaseSensitive(delta->get(), "remove");
   if ((upsert != nullptr && cJSON_IsObject(upsert) == 0) || (remove != nullptr && cJSON_IsObject(remove) == 0)) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "charter", "upsert and remove must be objects");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "charter", "upsert and remove must be objects");
   }
   for (std::string const& list : lists) {
     cJSON const* const items = cJSON_GetObjectItemCaseSensitive(upsert, list.c_str());
     cJSON const* const names = cJSON_GetObjectItemCaseSensitive(remove, list.c_str());
     if ((items != nullptr && cJSON_IsArray(items) == 0) || (names != nullptr && cJSON_IsArray(names) == 0)) {
-      return common::defect(absl::StatusCode::kInvalidArgument, "charter", list + " must be a list");
+      return common::make_error(absl::StatusCode::kInvalidArgument, "charter", list + " must be a list");
     }
     std::set<std::string> gone;
     for (cJSON const* name = names == nullptr ? nullptr : names->child; name != nullptr; name = name->next) {
       if (cJSON_IsString(name) == 0) {
-        return common::defect(absl::StatusCode::kInvalidArgument, "charter", "names to remove must be strings");
+        return common::make_error(absl::StatusCode::kInvalidArgument, "charter", "names to remove must be strings");
       }
       gone.insert(name->valuestring);
     }
@@ -65,7 +65,7 @@
     for (cJSON const* item = items == nullptr ? nullptr : items->child; item != nullptr; item = item->next) {
       cJSON const* const name = cJSON_GetObjectItemCaseSensitive(item, "name");
       if (cJSON_IsString(name) == 0) {
-        return common::defect(absl::StatusCode::kInvalidArgument, "charter", "an item of " + list + " has no name");
+        return common::make_error(absl::StatusCode::kInvalidArgument, "charter", "an item of " + list + " has no name");
       }
       if (given.count(name->valuestring) == 0) {
         order.emplace_back(name->valuestring);
@@ -123,29 +123,29 @@
                   [](std::string const& text) { return number_in(text, "number"); }};
 }
 
-std::vector<common::Fault> check(schema::Charter const& charter) {
+std::vector<common::Fault> check(schema::Charter const& routing_config) {
   std::vector<common::Fault> faults;
-  if (charter.number == 0) {
+  if (routing_config.number == 0) {
     faults.push_back(common::Fault{"/number", "must be above 0"});
   }
   std::set<std::string> services;
-  for (std::size_t index = 0; index < charter.services.size(); ++index) {
-    if (!services.insert(charter.services[index].name).second) {
+  for (std::size_t index = 0; index < routing_config.services.size(); ++index) {
+    if (!services.insert(routing_config.services[index].name).second) {
       faults.push_back(common::Fault{place("services", index, "/name"), "is there twice"});
     }
   }
   std::set<std::string> names;
   std::set<std::pair<std::string, std::string>> places;
-  for (std::size_t index = 0; index < charter.lanes.size(); ++index) {
-    schema::Lane const& lane = charter.lanes[index];
-    if (!names.insert(lane.name).second) {
+  for (std::size_t index = 0; index < routing_config.lanes.size(); ++index) {
+    schema::Lane const& route = routing_config.lanes[index];
+    if (!names.insert(route.name).second) {
       faults.push_back(common::Fault{place("lanes", index, "/name"), "is there twice"});
     }
-    if (!places.insert(std::make_pair(lane.host, lane.prefix)).second) {
+    if (!places.insert(std::make_pair(route.host, route.prefix)).second) {
       faults.push_back(common::Fault{place("lanes", index, "/prefix"), "another lane has this host and prefix"});
     }
     double weights = 0;
-    for (schema::Share const& share : lane.shares) {
+    for (schema::Share const& share : route.shares) {
       weights += share.weight;
       if (services.count(share.service) == 0) {
         faults.push_back(common::Fault{place("lanes", index, "/shares"), "names an unknown service: " + share.service});
@@ -154,11 +154,11 @@
     if (!(weights > 0)) {
       faults.push_back(common::Fault{place("lanes", index, "/shares"), "weights add up to nothing"});
     }
-    if (!(lane.deadline_ms > 0)) {
+    if (!(route.deadline_ms > 0)) {
       faults.push_back(common::Fault{place("lanes", index, "/deadline_ms"), "must be above 0"});
     }
   }
-  check_tenancies(charter, faults);
+  check_tenancies(routing_config, faults);
   return faults;
 }
 
--- a/source/config/routing/routing_config.hpp
+++ b/source/config/routing/routing_config.hpp
@@ -14,8 +14,8 @@
 namespace finchlink::config {
 
 /// A charter as it was read (section 13.1), with every fault by its place.
-struct CharterReading {
-  schema::Charter charter;
+struct RoutingConfigReading {
+  schema::Charter routing_config;
   std::vector<common::Fault> faults;
   [[nodiscard]] bool good() const { return faults.empty(); }
 };
@@ -24,7 +24,7 @@
 /// that it is read back number for number; only reading and merging know the form.
 struct Notation {
   /// A whole charter. Faults of its form and, by `check`, of what it says.
-  std::function<CharterReading(std::string const& text)> read;
+  std::function<RoutingConfigReading(std::string const& text)> read;
   /// A partial change laid over a whole one; gives a whole text.
   std::function<absl::StatusOr<std::string>(std::string const& current, std::string const& change)> merge;
   /// The number that a charter, whole or partial, brings; nothing where it can't be read.
@@ -47,6 +47,6 @@
 
 /// What parts say of each other: unknown services, lanes of one host and
 /// prefix, weights that add up to nothing, names that repeat, no deadline.
-[[nodiscard]] std::vector<common::Fault> check(schema::Charter const& charter);
+[[nodiscard]] std::vector<common::Fault> check(schema::Charter const& routing_config);
 
 }  // namespace finchlink::config
--- a/source/config/routing/tenancy.cpp
+++ b/source/config/routing/tenancy.cpp
@@ -25,8 +25,8 @@
   return names.count(name) > 0;
 }
 
-void check_tenancy(schema::Lane const& lane, std::string const& place, std::vector<common::Fault>& faults) {
-  schema::Tenancy const& tenancy = *lane.tenancy;
+void check_tenancy(schema::Lane const& route, std::string const& place, std::vector<common::Fault>& faults) {
+  schema::Tenancy const& tenancy = *route.tenancy;
   if (tenancy.header.empty() == (tenancy.path_segment == 0)) {
     faults.push_back(common::Fault{place, "must name a header or a path_segment, and not both"});
   }
@@ -38,7 +38,7 @@
   // A prefix begins and ends with a slash: between its slashes stand the
   // parts that are alike in all of the lane's paths.
   std::size_t const alike = static_cast<std::size_t>(
-      std::max<std::ptrdiff_t>(std::count(lane.prefix.begin(), lane.prefix.end(), '/') - 1, 0));
+      std::max<std::ptrdiff_t>(std::count(route.prefix.begin(), route.prefix.end(), '/') - 1, 0));
   if (tenancy.path_segment > 0 && tenancy.path_segment <= alike) {
     faults.push_back(common::Fault{place + "/path_segment",
                                    "stands in the lane's prefix, so that all queries would name one tenant"});
@@ -55,34 +55,34 @@
 }
 }  // namespace
 
-void check_tenancies(schema::Charter const& charter, std::vector<common::Fault>& faults) {
+void check_tenancies(schema::Charter const& routing_config, std::vector<common::Fault>& faults) {
   std::set<std::string> names;
   bool any = false;
-  for (std::size_t index = 0; index < charter.lanes.size(); ++index) {
-    schema::Lane const& lane = charter.lanes[index];
-    if (lane.tenancy.has_value()) {
+  for (std::size_t index = 0; index < routing_config.lanes.size(); ++index) {
+    schema::Lane const& route = routing_config.lanes[index];
+    if (route.tenancy.has_value()) {
       any = true;
-      check_tenancy(lane, "/lanes/" + std::to_string(index) + "/tenancy", faults);
+      check_tenancy(route, "/lanes/" + std::to_string(index) + "/tenancy", faults);
     }
   }
-  if (!charter.tenants.empty() && !any) {
+  if (!routing_config.tenants.empty() && !any) {
     faults.push_back(common::Fault{"/tenants", "no lane says where its tenant is named"});
   }
-  for (std::size_t index = 0; index < charter.tenants.size(); ++index) {
-    schema::Tenant const& tenant = charter.tenants[index];
+  for (std::size_t index = 0; index < routing_config.tenants.size(); ++index) {
+    schema::Tenant const& tenant = routing_config.tenants[index];
     std::string const place = "/tenants/" + std::to_string(index);
     if (!names.insert(tenant.name).second) {
       faults.push_back(common::Fault{place + "/name", "is there twice"});
     }
-    for (schema::Lane const& lane : charter.lanes) {
-      bool const bound = lane.tenancy.has_value() && !lane.home_regions.empty() && !tenant.home_regions.empty();
+    for (schema::Lane const& route : routing_config.lanes) {
+      bool const bound = route.tenancy.has_value() && !route.home_regions.empty() && !tenant.home_regions.empty();
       bool const meets =
           !bound ||
-          std::any_of(tenant.home_regions.begin(), tenant.home_regions.end(), [&lane](std::string const& region) {
-            return std::find(lane.home_regions.begin(), lane.home_regions.end(), region) != lane.home_regions.end();
+          std::any_of(tenant.home_regions.begin(), tenant.home_regions.end(), [&route](std::string const& region) {
+            return std::find(route.home_regions.begin(), route.home_regions.end(), region) != route.home_regions.end();
           });
       if (!meets) {
-        faults.push_back(common::Fault{place + "/home_regions", "leaves no region on lane " + lane.name});
+        faults.push_back(common::Fault{place + "/home_regions", "leaves no region on lane " + route.name});
       }
     }
   }
--- a/source/config/routing/tenancy.hpp
+++ b/source/config/routing/tenancy.hpp
@@ -11,6 +11,6 @@
 /// exactly one place where the tenant is named, that place can name more than
 /// one, public parts are named once, tenants too, and no tenant's homes leave a
 /// lane without any.
-void check_tenancies(schema::Charter const& charter, std::vector<common::Fault>& faults);
+void check_tenancies(schema::Charter const& routing_config, std::vector<common::Fault>& faults);
 
 }  // namespace finchlink::config
--- a/source/consensus/proposer/proposer.cpp
+++ b/source/consensus/proposer/proposer.cpp
@@ -95,8 +95,8 @@
     return actions;
   }
   schema::Value const found = preparing->value;
-  Proposal const wish = propose_(found);
-  Reject const* const reject = std::get_if<Reject>(&wish);
+  Proposal const desired = propose_(found);
+  Reject const* const reject = std::get_if<Reject>(&desired);
   if (reject != nullptr && !guards_.settle_before_reject) {
     state_ = Resting{};
     actions.emplace_back(Rejected{reject->reason, found});
@@ -104,7 +104,7 @@
   }
   // A no is final only once what was found is chosen under this ballot: an
   // earlier try of ours may stand at a minority and would win later (5.2).
-  schema::Value const value = std::holds_alternative<schema::Value>(wish) ? std::get<schema::Value>(wish) : found;
+  schema::Value const value = std::holds_alternative<schema::Value>(desired) ? std::get<schema::Value>(desired) : found;
   state_ = Accepting{
       {}, value, reject == nullptr ? std::optional<std::string>() : std::optional<std::string>(reject->reason)};
   for (Voter const& holder : set_.holders) {
--- a/source/consensus/write_ahead_log/file_device.cpp
+++ b/source/consensus/write_ahead_log/file_device.cpp
@@ -33,36 +33,36 @@
   }
 };
 
-absl::Status system_defect(std::string const& what) {
-  return common::defect(absl::StatusCode::kUnavailable, "files", what + ": " + std::strerror(errno));
+absl::Status make_system_error(std::string const& what) {
+  return common::make_error(absl::StatusCode::kUnavailable, "files", what + ": " + std::strerror(errno));
 }
 }  // namespace
 
 absl::StatusOr<Device> open_files(std::string const& folder, std::size_t files, std::size_t file_bytes) {
   if (mkdir(folder.c_str(), 0750) != 0 && errno != EEXIST) {
-    return system_defect(folder);
+    return make_system_error(folder);
   }
   std::shared_ptr<Descriptors> const descriptors = std::make_shared<Descriptors>();
   descriptors->lock = open((folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0640);
   if (descriptors->lock < 0) {
-    return system_defect(folder + "/lock");
+    return make_system_error(folder + "/lock");
   }
   if (flock(descriptors->lock, LOCK_EX | LOCK_NB) != 0) {
-    return common::defect(absl::StatusCode::kFailedPrecondition, "files", folder + " is in use by another process");
+    return common::make_error(absl::StatusCode::kFailedPrecondition, "files", folder + " is in use by another process");
   }
   for (std::size_t index = 0; index < files; ++index) {
     std::string const path = folder + "/ring-" + std::to_string(index);
     int const file = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0640);
     if (file < 0) {
-      return system_defect(path);
+      return make_system_error(path);
     }
     descriptors->files.push_back(file);
     int const allocated = posix_fallocate(file, 0, static_cast<off_t>(file_bytes));
     if (allocated != 0) {
-      return common::defect(absl::StatusCode::kUnavailable, "files", path + ": " + std::strerror(allocated));
+      return common::make_error(absl::StatusCode::kUnavailable, "files", path + ": " + std::strerror(allocated));
     }
     if (fsync(file) != 0) {
-      return system_defect(path);
+      return make_system_error(path);
     }
   }
   int const directory = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
@@ -84,7 +84,7 @@
         continue;
       }
       if (count < 0) {
-        return system_defect("read");
+        return make_system_error("read");
       }
       if (count == 0) {
         break;
@@ -107,7 +107,7 @@
         continue;
       }
       if (count <= 0) {
-        return system_defect("write");
+        return make_system_error("write");
       }
       done += static_cast<std::size_t>(count);
     }
@@ -115,7 +115,7 @@
   };
   device.sync = [descriptors](std::size_t file) -> absl::Status {
     if (fdatasync(descriptors->files[file]) != 0) {
-      return system_defect("sync");
+      return make_system_error("sync");
     }
     return absl::OkStatus();
   };
--- a/source/consensus/write_ahead_log/write_ahead_log.cpp
+++ b/source/consensus/write_ahead_log/write_ahead_log.cpp
@@ -113,7 +113,7 @@
           newest = std::move(*file);
         }
       } else if (later_record(*file, 1, image.generation, 0)) {
-        return common::defect(absl::StatusCode::kDataLoss, "ring", "the seal of a file is broken");
+        return common::make_error(absl::StatusCode::kDataLoss, "ring", "the seal of a file is broken");
       }
       // Without a seal the file was only being begun: the one before is whole.
     } else {
@@ -127,7 +127,7 @@
     }
   }
   if (suspect > newest_generation) {
-    return common::defect(absl::StatusCode::kDataLoss, "ring", "the image of a file is broken");
+    return common::make_error(absl::StatusCode::kDataLoss, "ring", "the image of a file is broken");
   }
   std::vector<schema::Record> records;
   if (newest_generation == 0) {
@@ -150,7 +150,7 @@
     ++expected;
   }
   if (later_record(newest, offset, newest_generation, expected)) {
-    return common::defect(absl::StatusCode::kDataLoss, "ring", "a record before good ones is broken");
+    return common::make_error(absl::StatusCode::kDataLoss, "ring", "a record before good ones is broken");
   }
   generation_ = newest_generation;
   sequence_ = expected;
@@ -164,7 +164,7 @@
   std::string const first = encode(image, generation, 0);
   std::string const seal = encode({}, generation, seal_sequence);
   if (first.size() + seal.size() > file_bytes_) {
-    return common::defect(absl::StatusCode::kResourceExhausted, "ring", "the image does not fit into a file");
+    return common::make_error(absl::StatusCode::kResourceExhausted, "ring", "the image does not fit into a file");
   }
   absl::Status status = device_.write(file, 0, first);
   if (status.ok()) {
@@ -188,7 +188,7 @@
 absl::Status WriteAheadLog::append(std::vector<schema::Record> const& records,
                                    std::function<std::vector<schema::Record>()> const& image) {
   if (broken_) {
-    return common::defect(absl::StatusCode::kUnavailable, "ring", "the disk failed before");
+    return common::make_error(absl::StatusCode::kUnavailable, "ring", "the disk failed before");
   }
   // After a failed write nothing is known of the file's end: the ring is used
   // no more until it is recovered anew.
--- a/source/control_plane/acceptor/acceptor_service.cpp
+++ b/source/control_plane/acceptor/acceptor_service.cpp
@@ -51,7 +51,7 @@
   absl::StatusOr<consensus::Device> device =
       consensus::open_files(folder_, constants::ring_files, constants::ring_file_bytes);
   if (!device.ok()) {
-    defect_ = std::string(device.status().message());
+    failure_ = std::string(device.status().message());
     return false;
   }
 #ifdef FINCHLINK_FAULTS
@@ -66,7 +66,7 @@
     std::string const blank(constants::ring_file_bytes, '\0');
     for (std::size_t index = 0; index < constants::ring_files; ++index) {
       if (!device->write(index, 0, blank).ok() || !device->sync(index).ok()) {
-        defect_ = "a broken file can't be blanked";
+        failure_ = "a broken file can't be blanked";
         return false;
       }
     }
@@ -74,7 +74,7 @@
     records = std::vector<schema::Record>();
   }
   if (!records.ok()) {
-    defect_ = std::string(records.status().message());
+    failure_ = std::string(records.status().message());
     return false;
   }
   common::Moment const now = common::boot_now();
@@ -86,7 +86,7 @@
     std::vector<schema::Record> const image = holder_->image();
     if (!ring_->append(image, [&image] { return image; }).ok()) {
       holder_.reset();
-      defect_ = "the first record can't be written";
+      failure_ = "the first record can't be written";
       return false;
     }
   } else {
@@ -95,7 +95,7 @@
     absl::Status const renewed = ring_->renew(holder_->image());
     if (!renewed.ok()) {
       holder_.reset();
-      defect_ = std::string(renewed.message());
+      failure_ = std::string(renewed.message());
       return false;
     }
     common::note(common::Event::HolderRecovered, "incarnation " + std::to_string(holder_->incarnation()) + " epoch " +
@@ -118,9 +118,9 @@
         work();
       }
       std::unique_lock<std::mutex> guard(lock_);
-      if (!stopping_ && told != defect_) {
-        told = defect_;
-        common::note(common::Event::HolderSilent, defect_);
+      if (!stopping_ && told != failure_) {
+        told = failure_;
+        common::note(common::Event::HolderSilent, failure_);
       }
       if (wake_.wait_for(guard, common::duration(constants::disk_reopen_pause), [this] { return stopping_; })) {
         return;
@@ -158,7 +158,7 @@
       synced_ballots_.take(holder_->incarnation(), records);
     } else {
       silent_ = true;
-      defect_ = std::string(status.message());
+      failure_ = std::string(status.message());
       jobs.insert(jobs.end(), jobs_.begin(), jobs_.end());
       jobs_.clear();
     }
--- a/source/control_plane/acceptor/acceptor_service.hpp
+++ b/source/control_plane/acceptor/acceptor_service.hpp
@@ -94,7 +94,7 @@
   std::vector<schema::Image> images_;                 ///< of the epoch that is to be enrolled in; of stand_up alone
   std::optional<consensus::ValueReceiver> receiver_;  ///< of stand_up alone
   bool silent_ = true;
-  std::string defect_;  ///< why it is silent
+  std::string failure_;  ///< why it is silent
   bool stopping_ = false;
   std::thread worker_;
 };
--- a/source/control_plane/command/command.cpp
+++ b/source/control_plane/command/command.cpp
@@ -97,11 +97,11 @@
     return true;
   }
   if (first == "charter" && words.size() == 2 && words[1] == "get") {
-    plan.target = paths.charter;
+    plan.target = paths.routing_config;
     return true;
   }
   if (first == "charter" && words.size() == 3 && (words[1] == "put" || words[1] == "patch")) {
-    plan = Plan{words[1] == "put" ? http::verb::put : http::verb::patch, paths.charter, words[2]};
+    plan = Plan{words[1] == "put" ? http::verb::put : http::verb::patch, paths.routing_config, words[2]};
     return true;
   }
   if ((first == "evacuate" || first == "retake") && words.size() == 2) {
--- a/source/control_plane/command/command.hpp
+++ b/source/control_plane/command/command.hpp
@@ -2,10 +2,10 @@
 
 namespace finchlink::control_plane {
 
-/// Exit code of `trellis check` when something is not as it should be.
+/// Exit code of `controller check` when something is not as it should be.
 inline constexpr int exit_degraded = 1;
 
-/// The operators' side: `trellis setup get|put|patch …`, `trellis hall …` and
+/// The operators' side: `controller setup get|put|patch …`, `controller hall …` and
 /// the reading commands (docs/operating/setup.md).
 [[nodiscard]] bool is_command(int count, char const* const* values);
 [[nodiscard]] int run_command(int count, char const* const* values);
--- a/source/control_plane/departure/departure_service.cpp
+++ b/source/control_plane/departure/departure_service.cpp
@@ -10,12 +10,12 @@
 void DepartureService::begin(common::Moment until) {
   bool const voting_disk = acceptor_ != nullptr && !acceptor_->silent();
   departure_.emplace(voting_disk ? acceptor_->incarnation() : 0, until);
-  news_.set_leaving();
+  updates_.set_leaving();
   duties_.release();
   common::start(context_, [this](common::Yield yield) {
     while (true) {
       // Each telling runs by itself: a peer that is silent holds none up.
-      news_.announce(false);
+      updates_.announce(false);
       common::pause(context_, constants::departure_pause, yield);
     }
   });
@@ -25,7 +25,7 @@
   if (!departure_.has_value()) {
     return false;
   }
-  membership::DepartureStep const step = departure_->decide(newest_set(), news_.peers(), common::boot_now());
+  membership::DepartureStep const step = departure_->decide(newest_set(), updates_.peers(), common::boot_now());
   if (step_ != step) {
     step_ = step;
     common::note(common::Event::VoterLeaving, membership::name_of(step));
--- a/source/control_plane/departure/departure_service.hpp
+++ b/source/control_plane/departure/departure_service.hpp
@@ -17,9 +17,9 @@
 class DepartureService {
  public:
   /// `acceptor` is null where this process has no disk.
-  DepartureService(boost::asio::io_context& context, RegisterClient& register_client, News& news, Duties& duties,
-                   AcceptorService* acceptor)
-      : context_(context), register_(register_client), news_(news), duties_(duties), acceptor_(acceptor) {}
+  DepartureService(boost::asio::io_context& context, RegisterClient& register_client, UpdateService& updates,
+                   LeasedTasks& duties, AcceptorService* acceptor)
+      : context_(context), register_(register_client), updates_(updates), duties_(duties), acceptor_(acceptor) {}
 
   /// The process was told to end and is stopped at `until`.
   void begin(common::Moment until);
@@ -31,8 +31,8 @@
 
   boost::asio::io_context& context_;
   RegisterClient& register_;
-  News& news_;
-  Duties& duties_;
+  UpdateService& updates_;
+  LeasedTasks& duties_;
   AcceptorService* acceptor_;
   std::optional<membership::Departure> departure_;
   std::optional<membership::DepartureStep> step_;
--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -16,13 +16,13 @@
 
 namespace constants = common::constants;
 
-Duties::Duties(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client, News& news,
-               AcceptorService* holder, std::uint64_t identity, schema::Settings const& settings,
-               config::Notation notation)
+LeasedTasks::LeasedTasks(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+                         UpdateService& updates, AcceptorService* holder, std::uint64_t identity,
+                         schema::Settings const& settings, config::Notation notation)
     : context_(context),
       caller_(caller),
       register_(register_client),
-      news_(news),
+      updates_(updates),
       holder_(holder),
       identity_(identity),
       settings_(settings),
@@ -30,7 +30,7 @@
       address_(settings.colleague_address),
       wanted_holders_(membership::wanted_holders(settings.tolerated_machines)) {}
 
-void Duties::begin() {
+void LeasedTasks::begin() {
   common::start(context_, [this](common::Yield yield) {
     while (true) {
       spread_set(yield);
@@ -82,7 +82,7 @@
   if (holder_ != nullptr) {
     common::start(context_, [this](common::Yield yield) {
       while (true) {
-        std::uint64_t const seen = news_.departures().count();
+        std::uint64_t const seen = updates_.departures().count();
         join(yield);
         // What surely is missing, a place of one's own or one more, is not
         // waited for as long as what only seems lost.
@@ -91,14 +91,14 @@
         for (schema::Voter const& entry : set.holders) {
           sure = sure || entry.address == address_;
         }
-        news_.departures().wait(seen, sure ? constants::founding_pause : constants::join_pause, yield);
+        updates_.departures().wait(seen, sure ? constants::founding_pause : constants::join_pause, yield);
       }
     });
   }
 }
 
-void Duties::run(std::string const& name, std::function<bool()> const& wanted,
-                 std::function<void(std::function<bool()> const&, common::Yield)> const& step) {
+void LeasedTasks::run(std::string const& name, std::function<bool()> const& wanted,
+                      std::function<void(std::function<bool()> const&, common::Yield)> const& step) {
   std::shared_ptr<lease::LeaseHolder> const tenant = std::make_shared<lease::LeaseHolder>("duty/" + name, identity_);
   std::shared_ptr<std::mutex> const tenant_lock = std::make_shared<std::mutex>();
   {
@@ -159,7 +159,7 @@
   });
 }
 
-schema::Setup Duties::setup() {
+schema::Setup LeasedTasks::setup() {
   schema::Value const value = register_.value(consensus::setup_register);
   std::lock_guard<std::mutex> const guard(lock_);
   if (value.revision != setup_revision_) {
@@ -169,62 +169,63 @@
   return setup_;
 }
 
-schema::Settings Duties::settings() {
+schema::Settings LeasedTasks::settings() {
   std::lock_guard<std::mutex> const guard(lock_);
   return settings_;
 }
 
-void Duties::follow(schema::Settings const& settings) {
+void LeasedTasks::follow(schema::Settings const& settings) {
   std::lock_guard<std::mutex> const guard(lock_);
   settings_ = settings;
 }
 
-bool Duties::on_duty(std::string const& region, std::function<std::string(std::string const&)> const& region_of) {
+bool LeasedTasks::on_duty(std::string const& region, std::function<std::string(std::string const&)> const& region_of) {
   bool any = false;
-  for (schema::TrellisEntry const& trellis : news_.trellises()) {
-    any = any || region_of(trellis.hall) == region;
+  for (schema::TrellisEntry const& controller : updates_.controllers()) {
+    any = any || region_of(controller.hall) == region;
   }
   return !any || region_of(settings().hall) == region;
 }
 
-std::map<std::string, scheduling::Pool> Duties::pools() {
+std::map<std::string, scheduling::Pool> LeasedTasks::pools() {
   schema::Settings const known = settings();
   if (known.scaler != "on") {
     return {};
   }
-  schema::Value charter;
+  schema::Value routing_config;
   schema::Value evacuated;
-  register_.look([&charter, &evacuated, this](std::map<std::string, schema::Value> const& values, common::Moment) {
-    std::map<std::string, schema::Value>::const_iterator const found = values.find(config::charter_register);
-    if (found != values.end() && found->second.revision != charter_revision_) {
-      charter = found->second;
-    }
-    std::map<std::string, schema::Value>::const_iterator const halls = values.find(config::evacuated_register);
-    if (halls != values.end()) {
-      evacuated = halls->second;
-    }
-  });
-  if (charter.revision > 0) {
-    config::CharterReading reading = notation_.read(charter.content);
+  register_.look(
+      [&routing_config, &evacuated, this](std::map<std::string, schema::Value> const& values, common::Moment) {
+        std::map<std::string, schema::Value>::const_iterator const found = values.find(config::routing_config_register);
+        if (found != values.end() && found->second.revision != routing_config_revision_) {
+          routing_config = found->second;
+        }
+        std::map<std::string, schema::Value>::const_iterator const halls = values.find(config::evacuated_register);
+        if (halls != values.end()) {
+          evacuated = halls->second;
+        }
+      });
+  if (routing_config.revision > 0) {
+    config::RoutingConfigReading reading = notation_.read(routing_config.content);
     std::lock_guard<std::mutex> const guard(lock_);
-    charter_revision_ = charter.revision;
-    charter_ = std::move(reading.charter);
+    routing_config_revision_ = routing_config.revision;
+    routing_config_ = std::move(reading.routing_config);
     // Only services and the set points of lanes are asked for here.
-    for (schema::Lane& lane : charter_.lanes) {
-      lane = schema::Lane{.shares = std::move(lane.shares), .set_point_ms = lane.set_point_ms};
+    for (schema::Lane& route : routing_config_.lanes) {
+      route = schema::Lane{.shares = std::move(route.shares), .set_point_ms = route.set_point_ms};
     }
   }
   std::vector<std::string> const halls = config::evacuated_zones(evacuated.content);
-  schema::PlatformList const list = news_.list();
+  schema::PlatformList const list = updates_.list();
   std::lock_guard<std::mutex> const guard(lock_);
-  return scheduling::pools_of(list, charter_, known.regions, std::set<std::string>(halls.begin(), halls.end()));
+  return scheduling::pools_of(list, routing_config_, known.regions, std::set<std::string>(halls.begin(), halls.end()));
 }
 
-void Duties::feed_scalers() {
+void LeasedTasks::feed_scalers() {
   std::map<std::string, scheduling::Pool> const there = pools();
   if (!there.empty()) {
     schema::Settings const known = settings();
-    std::vector<schema::Session> const told = news_.take_reports();
+    std::vector<schema::Session> const told = updates_.take_reports();
     std::lock_guard<std::mutex> const guard(lock_);
     for (schema::Session const& session : told) {
       for (schema::FurrowReport const& report : session.reports) {
@@ -237,7 +238,7 @@
     return;
   }
   schema::Setup const known = setup();
-  std::vector<schema::Session> const sessions = news_.take_reports();
+  std::vector<schema::Session> const sessions = updates_.take_reports();
   std::lock_guard<std::mutex> const guard(lock_);
   for (schema::Session const& session : sessions) {
     std::string const region = config::region_of(known, session.member.hall);
@@ -247,7 +248,7 @@
   }
 }
 
-void Duties::scale(std::string const& region, std::function<bool()> const& held, common::Yield yield) {
+void LeasedTasks::scale(std::string const& region, std::function<bool()> const& held, common::Yield yield) {
   schema::Setup const known = setup();
   std::string const name = consensus::split_register(region);
   schema::Value const value = register_.value(name);
@@ -258,7 +259,7 @@
     schema::read(tree->get(), "", current, faults);
   }
   std::vector<std::string> workers;
-  for (schema::WorkerEntry const& worker : news_.list().workers) {
+  for (schema::WorkerEntry const& worker : updates_.list().workers) {
     std::map<std::string, schema::Hall>::const_iterator const hall = known.halls.find(worker.zone);
     bool const evacuated = hall != known.halls.end() && hall->second.evacuated;
     if (worker.kind == "model" && !worker.draining && !evacuated && config::region_of(known, worker.zone) == region) {
@@ -278,8 +279,8 @@
   }
 }
 
-void Duties::scale_pool(std::string const& name, scheduling::Pool const& pool, std::function<bool()> const& held,
-                        common::Yield yield) {
+void LeasedTasks::scale_pool(std::string const& name, scheduling::Pool const& pool, std::function<bool()> const& held,
+                             common::Yield yield) {
   schema::Value const value = register_.value(consensus::split_register(name));
   absl::StatusOr<schema::Split> const read = scheduling::read_split(value.content);
   schema::Split const current = value.revision > 0 && read.ok() ? *read : schema::Split();
@@ -300,8 +301,8 @@
   }
 }
 
-void Duties::write_split(std::string const& name, std::uint64_t revision, schema::Split const& split,
-                         std::function<bool()> const& held, common::Yield yield) {
+void LeasedTasks::write_split(std::string const& name, std::uint64_t revision, schema::Split const& split,
+                              std::function<bool()> const& held, common::Yield yield) {
   if (!held()) {
     return;
   }
@@ -316,19 +317,19 @@
 }
 
 /// Tells holders that lag, our own first, of a newer holder set.
-void Duties::spread_set(common::Yield yield) {
+void LeasedTasks::spread_set(common::Yield yield) {
   // All seeds may have moved: the own disk and whoever told us of himself
   // know the holder set as well (section 5.5).
   if (holder_ != nullptr) {
     register_.learn(holder_->set());
   }
-  std::vector<std::string> colleagues;
-  for (schema::TrellisEntry const& trellis : news_.trellises()) {
-    if (trellis.disk) {
-      colleagues.push_back(trellis.address);
+  std::vector<std::string> peers;
+  for (schema::TrellisEntry const& controller : updates_.controllers()) {
+    if (controller.disk) {
+      peers.push_back(controller.address);
     }
   }
-  register_.know_colleagues(colleagues);
+  register_.add_known_peers(peers);
   schema::VoterSet const set = register_.set();
   if (holder_ != nullptr && set.epoch > 0 && holder_->set().epoch < set.epoch && holder_->set().epoch > 0) {
     (void)holder_->receive(schema::Adopt{set}, yield);
@@ -368,10 +369,11 @@
   }
 }
 
-void Duties::join(common::Yield yield) {
+void LeasedTasks::join(common::Yield yield) {
   schema::VoterSet const set = register_.set();
   schema::Voter const self{holder_->silent() ? 0 : holder_->incarnation(), address_};
-  if (set.epoch == 0 || self.incarnation == 0 || consensus::names(set.holders, self.incarnation) || news_.leaving()) {
+  if (set.epoch == 0 || self.incarnation == 0 || consensus::names(set.holders, self.incarnation) ||
+      updates_.leaving()) {
     looks_.clear();
     return;
   }
@@ -404,7 +406,7 @@
         return looks_.complete();
       },
       yield);
-  membership::JoiningView const view{looks_.misses(), membership::leaving_voters(news_.peers())};
+  membership::JoiningView const view{looks_.misses(), membership::leaving_voters(updates_.peers())};
   std::optional<schema::VoterSet> const next = membership::plan_joining(set, view, self, wanted_holders_);
   if (!next.has_value()) {
     return;
@@ -420,7 +422,7 @@
   spread_set(yield);
 }
 
-void Duties::release() {
+void LeasedTasks::release() {
   std::vector<Tenant> tenants;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -447,7 +449,7 @@
   });
 }
 
-std::string Duties::describe() {
+std::string LeasedTasks::describe() {
   std::lock_guard<std::mutex> const guard(lock_);
   common::Tree object(cJSON_CreateObject());
   for (std::pair<std::string const, bool> const& duty : held_) {
--- a/source/control_plane/leased_tasks/leased_tasks.hpp
+++ b/source/control_plane/leased_tasks/leased_tasks.hpp
@@ -20,10 +20,11 @@
 /// Duties that one trellis does at a time, each under a lease (section 7.2): the
 /// scaler of each region. And what each trellis with a disk does for itself: it
 /// takes a place in the holder set when one is free or lost (section 5.5).
-class Duties {
+class LeasedTasks {
  public:
-  Duties(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client, News& news,
-         AcceptorService* holder, std::uint64_t identity, schema::Settings const& settings, config::Notation notation);
+  LeasedTasks(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+              UpdateService& updates, AcceptorService* holder, std::uint64_t identity, schema::Settings const& settings,
+              config::Notation notation);
   void begin();
   /// Settings that changed.
   void follow(schema::Settings const& settings);
@@ -58,7 +59,7 @@
   boost::asio::io_context& context_;
   common::Caller& caller_;
   RegisterClient& register_;
-  News& news_;
+  UpdateService& updates_;
   AcceptorService* holder_;
   std::uint64_t identity_;
   schema::Settings settings_;
@@ -77,8 +78,8 @@
   std::map<std::string, scheduling::Scaler> scalers_;
   std::uint64_t setup_revision_ = 0;
   schema::Setup setup_;
-  std::uint64_t charter_revision_ = 0;
-  schema::Charter charter_;
+  std::uint64_t routing_config_revision_ = 0;
+  schema::Charter routing_config_;
   membership::VoterLooks looks_;
 };
 
--- a/source/control_plane/main.cpp
+++ b/source/control_plane/main.cpp
@@ -21,8 +21,8 @@
   std::unique_ptr<common::Caller> caller;
   std::unique_ptr<control_plane::AcceptorService> holder;
   std::unique_ptr<control_plane::RegisterClient> register_client;
-  std::unique_ptr<control_plane::News> news;
-  std::unique_ptr<control_plane::Duties> duties;
+  std::unique_ptr<control_plane::UpdateService> updates;
+  std::unique_ptr<control_plane::LeasedTasks> duties;
   std::unique_ptr<control_plane::DepartureService> departure;
   std::unique_ptr<control_plane::Operator> operators;
 };
@@ -58,30 +58,30 @@
           [&program](std::string const& name, schema::Ballot const& accepted, schema::Value const& value,
                      common::Yield yield) { program.holder->take_accepted(name, accepted, value, yield); }});
     }
-    program.news = std::make_unique<control_plane::News>(
+    program.updates = std::make_unique<control_plane::UpdateService>(
         context, *program.caller, *program.register_client, program.holder.get(), settings, identity,
         platform ? control_plane::ListReader(platform::read_list) : control_plane::ListReader());
-    program.duties = std::make_unique<control_plane::Duties>(context, *program.caller, *program.register_client,
-                                                             *program.news, program.holder.get(), identity, settings,
-                                                             platform ? platform::notation() : config::own_notation());
+    program.duties = std::make_unique<control_plane::LeasedTasks>(
+        context, *program.caller, *program.register_client, *program.updates, program.holder.get(), identity, settings,
+        platform ? platform::notation() : config::own_notation());
     program.departure = std::make_unique<control_plane::DepartureService>(
-        context, *program.register_client, *program.news, *program.duties, program.holder.get());
+        context, *program.register_client, *program.updates, *program.duties, program.holder.get());
     program.operators = std::make_unique<control_plane::Operator>(
-        context, *program.register_client, *program.news, program.holder.get(),
+        context, *program.register_client, *program.updates, program.holder.get(),
         [&program] { return program.duties->describe(); }, platform ? platform::notation() : config::own_notation(),
         platform ? platform::operator_paths() : control_plane::OperatorPaths(), span(bounds.acknowledge_wait_ms));
     absl::Status status = common::serve_frames(
         context, settings.colleague_address, settings.connections,
         [&program](schema::Message const& message, common::Yield yield) -> std::optional<schema::Message> {
           if (schema::NewsAsk const* const ask = std::get_if<schema::NewsAsk>(&message)) {
-            return program.news->ask(*ask, yield);
+            return program.updates->ask(*ask, yield);
           }
           if (schema::Tell const* const tell = std::get_if<schema::Tell>(&message)) {
-            return program.news->tell(*tell);
+            return program.updates->tell(*tell);
           }
           schema::PieceRequest const* const piece = std::get_if<schema::PieceRequest>(&message);
           if (piece != nullptr && piece->key.revision != 0) {
-            return program.news->piece(*piece);
+            return program.updates->piece(*piece);
           }
           if (program.holder == nullptr) {
             return schema::Message(schema::Unknown{"this trellis holds no register"});
@@ -92,7 +92,7 @@
       return status;
     }
     status =
-        common::serve_asks(context, settings.http_address, settings.connections, constants::charter_limit,
+        common::serve_asks(context, settings.http_address, settings.connections, constants::routing_config_limit,
                            [&program](common::Ask const& ask, common::CallerConnection const& caller,
                                       common::Yield yield) { return program.operators->answer(ask, caller, yield); });
     if (!status.ok()) {
@@ -102,7 +102,7 @@
       program.holder->begin();
     }
     program.register_client->begin();
-    program.news->begin();
+    program.updates->begin();
     program.duties->begin();
     return absl::OkStatus();
   };
@@ -110,7 +110,7 @@
   daemon.read_settings = platform::read_settings;
   daemon.changed = [&program](schema::Settings const& settings) {
     program.register_client->follow(settings.seeds, span(settings.bounds.confirm_pause_ms));
-    program.news->follow(settings);
+    program.updates->follow(settings);
     program.duties->follow(settings);
     program.operators->follow(span(settings.bounds.acknowledge_wait_ms));
   };
--- a/source/control_plane/operator/answer_check.cpp
+++ b/source/control_plane/operator/answer_check.cpp
@@ -30,11 +30,11 @@
 
 void AnswerCheck::tell(std::string const& name, schema::Value const& value) {
   Told& told = told_[name];
-  bool const charter = name == config::charter_register;
-  std::uint64_t const number = charter ? config::number_of(value) : value.revision;
+  bool const routing_config = name == config::routing_config_register;
+  std::uint64_t const number = routing_config ? config::number_of(value) : value.revision;
   bool const rises = value.revision == told.revision || (value.revision > told.revision) == (number > told.number);
   bool const same = value.revision != told.revision || number == told.number;
-  common::check(Invariant::charter_number_rises, !charter || (rises && same), [&] {
+  common::check(Invariant::charter_number_rises, !routing_config || (rises && same), [&] {
     return "revision " + std::to_string(value.revision) + " has number " + std::to_string(number) + ", revision " +
            std::to_string(told.revision) + " had " + std::to_string(told.number);
   });
--- a/source/control_plane/operator/health.cpp
+++ b/source/control_plane/operator/health.cpp
@@ -44,13 +44,13 @@
 
 membership::HealthView HealthPages::view() {
   common::Moment const now = common::boot_now();
-  std::vector<membership::Peer> peers = news_.peers();
-  peers.push_back(membership::Peer{news_.trellises().front(), now});
+  std::vector<membership::Peer> peers = updates_.peers();
+  peers.push_back(membership::Peer{updates_.controllers().front(), now});
   membership::HealthView view;
   view.set = register_.set();
   view.voters = membership::voter_statuses(view.set, peers, now);
   view.majority_age = now - register_.confirmed_from();
-  common::Span const list_age = news_.list_age();
+  common::Span const list_age = updates_.list_age();
   if (list_age >= 0) {
     view.list_age = list_age;
   }
--- a/source/control_plane/operator/health.hpp
+++ b/source/control_plane/operator/health.hpp
@@ -14,8 +14,8 @@
 class HealthPages {
  public:
   /// `acceptor` is null where this process has no disk.
-  HealthPages(RegisterClient& register_client, News& news, AcceptorService* acceptor)
-      : register_(register_client), news_(news), acceptor_(acceptor) {}
+  HealthPages(RegisterClient& register_client, UpdateService& updates, AcceptorService* acceptor)
+      : register_(register_client), updates_(updates), acceptor_(acceptor) {}
 
   /// GET /holders: the voter set, and of each voter its vote, epoch, last contact and whether it leaves.
   [[nodiscard]] common::Answer holders();
@@ -28,7 +28,7 @@
   [[nodiscard]] membership::HealthView view();
 
   RegisterClient& register_;
-  News& news_;
+  UpdateService& updates_;
   AcceptorService* acceptor_;
 };
 
--- a/source/control_plane/operator/operator.cpp
+++ b/source/control_plane/operator/operator.cpp
@@ -116,8 +116,8 @@
   for (OperatorPaths const* const paths : {static_cast<OperatorPaths const*>(&paths_), &own}) {
     named = named.has_value() ? named : hall_in(*paths, target);
   }
-  if (target == paths_.charter || target == own.charter) {
-    answer = answer_charter(ask, yield);
+  if (target == paths_.routing_config || target == own.routing_config) {
+    answer = answer_routing_config(ask, yield);
   } else if (named.has_value() && (verb == http::verb::post || verb == http::verb::delete_)) {
     answer = evacuate(*named, verb == http::verb::post, caller, yield);
   } else if (target == "/evacuated" && verb == http::verb::get) {
@@ -135,12 +135,12 @@
   } else if (target.rfind("/halls/", 0) == 0 && verb == http::verb::post) {
     answer = hall(target.substr(7), yield);
   } else if (target == "/members" && verb == http::verb::get) {
-    answer = common::answer_text(http::status::ok, print_list(news_.members()));
+    answer = common::answer_text(http::status::ok, print_list(updates_.members()));
   } else if (target == "/trellises" && verb == http::verb::get) {
-    answer = common::answer_text(http::status::ok, print_list(news_.trellises()));
+    answer = common::answer_text(http::status::ok, print_list(updates_.controllers()));
   } else if (target == "/workers" && verb == http::verb::get) {
-    common::Tree list(schema::write(news_.list()));
-    cJSON_AddNumberToObject(list.get(), "age_ms", static_cast<double>(news_.list_age()) / 1000);
+    common::Tree list(schema::write(updates_.list()));
+    cJSON_AddNumberToObject(list.get(), "age_ms", static_cast<double>(updates_.list_age()) / 1000);
     answer = common::answer_text(http::status::ok, common::print_tree(list.get(), true));
   } else if (target == "/holders" && verb == http::verb::get) {
     answer = health_.holders();
@@ -163,7 +163,7 @@
   } else if (target == "/alive") {
     answer = common::answer_text(http::status::ok, "{\"alive\":true}");
   } else if (target == "/ready") {
-    bool const ready = common::boot_now() - register_.confirmed_from() < constants::vouch_bound;
+    bool const ready = common::boot_now() - register_.confirmed_from() < constants::confirmation_bound;
     answer = ready ? common::answer_text(http::status::ok, "{\"ready\":true}")
                    : common::answer_error(http::status::service_unavailable, "no_majority",
                                           "no majority of holders answered of late");
@@ -211,25 +211,25 @@
 
 void Operator::spread(common::Yield yield) {
   register_.hurry();
-  news_.announce(true);
+  updates_.announce(true);
   // From here every vouch brings this revision; when the bound is over, whoever
   // lacks it has stopped by itself (section 4.1).
   common::pause(context_, acknowledge_wait_, yield);
 }
 
-common::Answer Operator::answer_charter(common::Ask const& ask, common::Yield yield) {
+common::Answer Operator::answer_routing_config(common::Ask const& ask, common::Yield yield) {
   http::verb const verb = ask.method();
   if (verb == http::verb::get) {
-    return get_charter(yield);
+    return get_routing_config(yield);
   }
   if (verb == http::verb::put || verb == http::verb::patch) {
-    return change_charter(ask, verb == http::verb::patch, yield);
+    return change_routing_config(ask, verb == http::verb::patch, yield);
   }
   return common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
 }
 
-common::Answer Operator::get_charter(common::Yield yield) {
-  std::optional<schema::Value> const value = confirmed(paths_.charter, config::charter_register, yield);
+common::Answer Operator::get_routing_config(common::Yield yield) {
+  std::optional<schema::Value> const value = confirmed(paths_.routing_config, config::routing_config_register, yield);
   if (!value.has_value()) {
     return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
@@ -241,8 +241,8 @@
   return answer;
 }
 
-common::Answer Operator::change_charter(common::Ask const& ask, bool patch, common::Yield yield) {
-  config::WantedCharter wanted{ask.body(), patch, std::nullopt};
+common::Answer Operator::change_routing_config(common::Ask const& ask, bool patch, common::Yield yield) {
+  config::WantedRoutingConfig wanted{ask.body(), patch, std::nullopt};
   std::string const match(ask[http::field::if_match]);
   if (!match.empty() && match != "*") {
     wanted.expected = tag_revision(match);
@@ -250,28 +250,29 @@
       return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one number, or *");
     }
   }
-  std::shared_ptr<config::CharterProposalReport> const note = std::make_shared<config::CharterProposalReport>();
-  RegisterClient::Result const result = register_.change(
-      config::charter_register, config::charter_proposal(wanted, notation_, note), constants::change_deadline, yield);
+  std::shared_ptr<config::RoutingProposalReport> const note = std::make_shared<config::RoutingProposalReport>();
+  RegisterClient::Result const result =
+      register_.change(config::routing_config_register, config::routing_proposal(wanted, notation_, note),
+                       constants::change_deadline, yield);
   std::uint64_t number = note->number;
   if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
     number = config::number_of(done->value);
-    note->end = config::CharterProposalOutcome::done;
-    answer_check_.acknowledged(config::charter_register, done->value, note->valid_digest);
+    note->end = config::RoutingProposalOutcome::done;
+    answer_check_.acknowledged(config::routing_config_register, done->value, note->valid_digest);
     ++accepted_;
     common::note(common::Event::CharterChosen, std::to_string(number));
   } else if (std::holds_alternative<RegisterClient::Unknown>(result)) {
     common::note(common::Event::CharterUnknown, config::id_of(wanted));
     return unknown("no majority of holders answered in time; send the same again");
   }
-  if (note->end == config::CharterProposalOutcome::forgotten) {
+  if (note->end == config::RoutingProposalOutcome::forgotten) {
     common::note(common::Event::CharterUnknown, config::id_of(wanted) + " is too old");
     return unknown("too old to tell whether it was taken before; nothing was done now");
   }
   std::string const tag = "\"" + std::to_string(number) + "\"";
-  if (note->end == config::CharterProposalOutcome::done) {
+  if (note->end == config::RoutingProposalOutcome::done) {
     if (wanted.expected.has_value()) {
-      answer_check_.acknowledged_on(config::charter_register, *wanted.expected, config::id_of(wanted));
+      answer_check_.acknowledged_on(config::routing_config_register, *wanted.expected, config::id_of(wanted));
     }
     spread(yield);
     common::Answer answer = common::answer_text(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
@@ -280,16 +281,16 @@
   }
   ++rejected_;
   common::note(common::Event::CharterRejected, common::describe(note->faults));
-  if (note->end == config::CharterProposalOutcome::faults) {
+  if (note->end == config::RoutingProposalOutcome::faults) {
     common::Answer answer = faults_answer(note->faults);
     answer.result(http::status::bad_request);
     return answer;
   }
-  if (note->end == config::CharterProposalOutcome::number) {
+  if (note->end == config::RoutingProposalOutcome::number) {
     return common::answer_error(http::status::bad_request, "number",
                                 "the number must be above the one in place, " + std::to_string(number));
   }
-  if (note->end == config::CharterProposalOutcome::size) {
+  if (note->end == config::RoutingProposalOutcome::size) {
     return common::answer_error(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
   }
   common::Answer answer = common::answer_error(http::status::precondition_failed, "another",
@@ -522,9 +523,9 @@
   text += "trellis_changes_total{outcome=\"unknown\"} " + std::to_string(unknown_) + "\n";
   text += "# TYPE trellis_setup_revision gauge\ntrellis_setup_revision " +
           std::to_string(register_.value(consensus::setup_register).revision) + "\n";
-  text += "# TYPE trellis_members gauge\ntrellis_members " + std::to_string(news_.members().size()) + "\n";
+  text += "# TYPE trellis_members gauge\ntrellis_members " + std::to_string(updates_.members().size()) + "\n";
   text += "# TYPE trellis_list_age_seconds gauge\ntrellis_list_age_seconds " +
-          std::to_string(static_cast<double>(news_.list_age()) / 1e6) + "\n";
+          std::to_string(static_cast<double>(updates_.list_age()) / 1e6) + "\n";
   text += "# TYPE trellis_confirmed_age_seconds gauge\ntrellis_confirmed_age_seconds " +
           std::to_string(static_cast<double>(common::boot_now() - register_.confirmed_from()) / 1e6) + "\n";
   text += common::invariant_metrics();
--- a/source/control_plane/operator/operator.hpp
+++ b/source/control_plane/operator/operator.hpp
@@ -19,14 +19,15 @@
 /// What operators ask over HTTP (docs/operating/setup.md).
 class Operator {
  public:
-  Operator(boost::asio::io_context& context, RegisterClient& register_client, News& news, AcceptorService* holder,
-           std::function<std::string()> duties, config::Notation notation = config::own_notation(),
-           OperatorPaths paths = {}, common::Span acknowledge_wait = common::constants::acknowledge_wait)
+  Operator(boost::asio::io_context& context, RegisterClient& register_client, UpdateService& updates,
+           AcceptorService* holder, std::function<std::string()> duties,
+           config::Notation notation = config::own_notation(), OperatorPaths paths = {},
+           common::Span acknowledge_wait = common::constants::acknowledge_wait)
       : context_(context),
         register_(register_client),
-        news_(news),
+        updates_(updates),
         holder_(holder),
-        health_(register_client, news, holder),
+        health_(register_client, updates, holder),
         duties_(std::move(duties)),
         notation_(std::move(notation)),
         paths_(std::move(paths)),
@@ -38,9 +39,9 @@
   [[nodiscard]] bool busy() const { return open_ > 0; }
 
  private:
-  [[nodiscard]] common::Answer answer_charter(common::Ask const& ask, common::Yield yield);
-  [[nodiscard]] common::Answer get_charter(common::Yield yield);
-  [[nodiscard]] common::Answer change_charter(common::Ask const& ask, bool patch, common::Yield yield);
+  [[nodiscard]] common::Answer answer_routing_config(common::Ask const& ask, common::Yield yield);
+  [[nodiscard]] common::Answer get_routing_config(common::Yield yield);
+  [[nodiscard]] common::Answer change_routing_config(common::Ask const& ask, bool patch, common::Yield yield);
   [[nodiscard]] common::Answer get_evacuated(common::Yield yield);
   [[nodiscard]] common::Answer evacuate(std::string const& zone, bool evacuated, common::CallerConnection const& caller,
                                         common::Yield yield);
@@ -66,7 +67,7 @@
 
   boost::asio::io_context& context_;
   RegisterClient& register_;
-  News& news_;
+  UpdateService& updates_;
   AcceptorService* holder_;
   HealthPages health_;
   std::function<std::string()> duties_;
--- a/source/control_plane/register_client/register_client.cpp
+++ b/source/control_plane/register_client/register_client.cpp
@@ -90,9 +90,9 @@
   }
 }
 
-void RegisterClient::know_colleagues(std::vector<std::string> const& addresses) {
+void RegisterClient::add_known_peers(std::vector<std::string> const& addresses) {
   std::lock_guard<std::mutex> const guard(lock_);
-  colleagues_ = addresses;
+  peers_ = addresses;
 }
 
 std::map<std::string, schema::Value> RegisterClient::values() {
@@ -120,8 +120,8 @@
     for (std::string const& seed : seeds_) {
       calls.emplace_back(seed, schema::Read{0, {}, 0});
     }
-    for (std::string const& colleague : colleagues_) {
-      calls.emplace_back(colleague, schema::Read{0, {}, 0});
+    for (std::string const& peer : peers_) {
+      calls.emplace_back(peer, schema::Read{0, {}, 0});
     }
   }
   common::Gather::run(
--- a/source/control_plane/register_client/register_client.hpp
+++ b/source/control_plane/register_client/register_client.hpp
@@ -50,7 +50,7 @@
   [[nodiscard]] schema::VoterSet set();
   void learn(schema::VoterSet const& set);
   /// Addresses beside the seeds that are asked while no holder set is known.
-  void know_colleagues(std::vector<std::string> const& addresses);
+  void add_known_peers(std::vector<std::string> const& addresses);
   [[nodiscard]] std::map<std::string, schema::Value> values();
   [[nodiscard]] schema::Value value(std::string const& name);
   /// Looks at all values and from when they are confirmed, without a copy.
@@ -101,7 +101,7 @@
   common::Caller& caller_;
   std::uint64_t identity_;
   std::vector<std::string> seeds_;
-  std::vector<std::string> colleagues_;
+  std::vector<std::string> peers_;
   std::mutex lock_;
   schema::VoterSet set_;
   consensus::MajorityReader confirm_;
--- a/source/control_plane/updates/updates.cpp
+++ b/source/control_plane/updates/updates.cpp
@@ -15,8 +15,9 @@
 
 namespace constants = common::constants;
 
-News::News(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
-           AcceptorService* holder, schema::Settings const& settings, std::uint64_t identity, ListReader reader)
+UpdateService::UpdateService(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+                             AcceptorService* holder, schema::Settings const& settings, std::uint64_t identity,
+                             ListReader reader)
     : context_(context),
       caller_(caller),
       register_(register_client),
@@ -26,18 +27,18 @@
       sessions_(self(), common::milliseconds(static_cast<std::int64_t>(settings.bounds.session_bound_ms))),
       reader_(std::move(reader)) {}
 
-void News::follow(schema::Settings const& settings) {
+void UpdateService::follow(schema::Settings const& settings) {
   std::lock_guard<std::mutex> const guard(lock_);
   settings_ = settings;
   sessions_.set_bound(common::milliseconds(static_cast<std::int64_t>(settings.bounds.session_bound_ms)));
 }
 
-common::Span News::bound(std::uint64_t schema::TimeBounds::*field) {
+common::Span UpdateService::bound(std::uint64_t schema::TimeBounds::*field) {
   std::lock_guard<std::mutex> const guard(lock_);
   return common::milliseconds(static_cast<std::int64_t>(settings_.bounds.*field));
 }
 
-schema::TrellisEntry News::self() {
+schema::TrellisEntry UpdateService::self() {
   schema::TrellisEntry entry{settings_.name,
                              identity_,
                              settings_.hall,
@@ -56,7 +57,7 @@
   return entry;
 }
 
-void News::begin() {
+void UpdateService::begin() {
   common::start(context_, [this](common::Yield yield) {
     while (true) {
       // A round of its own: one silent peer must not delay the next round to
@@ -75,11 +76,11 @@
   }
 }
 
-void News::announce(bool confirm) {
-  common::start(context_, [this, confirm](common::Yield yield) { tell_colleagues(confirm, "", yield); });
+void UpdateService::announce(bool confirm) {
+  common::start(context_, [this, confirm](common::Yield yield) { notify_peers(confirm, "", yield); });
 }
 
-void News::keep_list(schema::PlatformList const& list, common::Moment as_of) {
+void UpdateService::keep_list(schema::PlatformList const& list, common::Moment as_of) {
   bool changed = false;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -91,7 +92,7 @@
   }
 }
 
-common::Span News::list_rest() {
+common::Span UpdateService::list_rest() {
   std::lock_guard<std::mutex> const guard(lock_);
   if (!reader_) {
     return 0;
@@ -99,8 +100,8 @@
   // Calls to the platform are priced: the first by name reads, and the others
   // are told; whoever misses that for long enough reads itself (section 13.4).
   common::Span rank = 0;
-  for (schema::TrellisEntry const& trellis : sessions_.trellises()) {
-    rank += trellis.name < settings_.name && !trellis.leaving ? 1 : 0;
+  for (schema::TrellisEntry const& controller : sessions_.controllers()) {
+    rank += controller.name < settings_.name && !controller.leaving ? 1 : 0;
   }
   common::Span const pause = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.list_pause_ms));
   common::Span const tell = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms));
@@ -109,7 +110,7 @@
   return age < 0 ? 0 : std::max<common::Span>(turn - age, 0);
 }
 
-absl::StatusOr<schema::PlatformList> News::read_own_list(std::string const& address, common::Yield yield) {
+absl::StatusOr<schema::PlatformList> UpdateService::read_own_list(std::string const& address, common::Yield yield) {
   common::Ask ask{common::http::verb::get, "/workers", 11};
   absl::StatusOr<common::Answer> const answer =
       common::ask_once(context_, address, ask, constants::list_deadline, constants::list_limit, yield);
@@ -117,7 +118,7 @@
     return answer.status();
   }
   if (answer->result() != common::http::status::ok) {
-    return common::defect(absl::StatusCode::kUnavailable, "list", "status " + std::to_string(answer->result_int()));
+    return common::make_error(absl::StatusCode::kUnavailable, "list", "status " + std::to_string(answer->result_int()));
   }
   absl::StatusOr<common::Tree> const tree = common::read_tree(answer->body());
   if (!tree.ok()) {
@@ -127,12 +128,12 @@
   schema::PlatformList list;
   schema::read(tree->get(), "", list, faults);
   if (!faults.empty()) {
-    return common::defect(absl::StatusCode::kDataLoss, "list", common::describe(faults));
+    return common::make_error(absl::StatusCode::kDataLoss, "list", common::describe(faults));
   }
   return list;
 }
 
-common::Span News::read_platform(common::Yield yield) {
+common::Span UpdateService::read_platform(common::Yield yield) {
   common::Moment const asked = common::boot_now();
   std::string address;
   {
@@ -145,21 +146,21 @@
   if (list.ok()) {
     std::uint64_t const before = list_digest();
     keep_list(*list, asked);
-    list_pause_after_defect_ = 0;
+    list_pause_after_failure_ = 0;
     if (reader_ && list_digest() != before) {
       announce(false);
     }
     return reader_ ? constants::bell_pause : pause;  // with a reader, list_rest() tells the rest
   }
   common::note(common::Event::ListDefect, std::string(list.status().message()));
-  list_pause_after_defect_ = absl::IsResourceExhausted(list.status())
-                                 ? std::min(std::max(pause, list_pause_after_defect_ * 2), constants::list_rest_most)
-                                 : pause;
-  return list_pause_after_defect_;
+  list_pause_after_failure_ = absl::IsResourceExhausted(list.status())
+                                  ? std::min(std::max(pause, list_pause_after_failure_ * 2), constants::list_rest_most)
+                                  : pause;
+  return list_pause_after_failure_;
 }
 
-void News::keep_reports(schema::Member const& member, std::vector<schema::FurrowReport> const& reports,
-                        common::Moment now) {
+void UpdateService::keep_reports(schema::Member const& member, std::vector<schema::FurrowReport> const& reports,
+                                 common::Moment now) {
   for (schema::FurrowReport const& report : reports) {
     std::uint64_t& newest = newest_slice_[member.incarnation];
     if (report.slice <= newest) {
@@ -177,28 +178,28 @@
   }
 }
 
-std::vector<schema::Session> News::take_reports() {
+std::vector<schema::Session> UpdateService::take_reports() {
   std::lock_guard<std::mutex> const guard(lock_);
   std::vector<schema::Session> taken(fresh_reports_.begin(), fresh_reports_.end());
   fresh_reports_.clear();
   return taken;
 }
 
-void News::judge_members() {
+void UpdateService::judge_members() {
   if (sessions_.digest() != members_digest_) {
     members_digest_ = sessions_.digest();
     register_.bell().ring();
   }
 }
 
-bool News::judge_departures() {
+bool UpdateService::judge_departures() {
   std::set<std::uint64_t> const leaving = membership::leaving_voters(sessions_.peers());
   bool const more = !std::includes(leaving_voters_.begin(), leaving_voters_.end(), leaving.begin(), leaving.end());
   leaving_voters_ = leaving;
   return more;
 }
 
-void News::add_reports(schema::Tell& tell, common::Moment now) {
+void UpdateService::add_reports(schema::Tell& tell, common::Moment now) {
   std::map<std::uint64_t, std::size_t> places;
   for (std::size_t place = 0; place < tell.sessions.size(); ++place) {
     places[tell.sessions[place].member.incarnation] = place;
@@ -221,7 +222,7 @@
   }
 }
 
-void News::tell_colleagues(bool confirm, std::string const& only, common::Yield yield) {
+void UpdateService::notify_peers(bool confirm, std::string const& only, common::Yield yield) {
   schema::Tell tell;
   std::vector<std::pair<std::string, schema::Message>> calls;
   common::Span patience = 0;
@@ -235,7 +236,7 @@
     judge_members();
     patience = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms)) * 2;
     tell.from = sessions_.self();
-    tell.others = sessions_.trellises();
+    tell.others = sessions_.controllers();
     tell.list_digest = listing_.wanted();
     tell.list_age = listing_.age(now);
     tell.confirm = confirm;
@@ -276,7 +277,7 @@
             {
               std::lock_guard<std::mutex> const guard(lock_);
               changed = told->list_age >= 0 &&
-                        listing_.take(membership::list_news(*told), sent - told->list_age, common::boot_now());
+                        listing_.take(membership::list_update(*told), sent - told->list_age, common::boot_now());
               sessions_.met(told->from, common::boot_now());
               departing = judge_departures();
               known_there_[calls[index].first] = told->sessions_digest;
@@ -294,7 +295,7 @@
       yield);
 }
 
-schema::Message News::tell(schema::Tell const& tell) {
+schema::Message UpdateService::tell(schema::Tell const& tell) {
   common::Moment const now = common::boot_now();
   schema::Told told;
   bool fetch = false;
@@ -311,16 +312,16 @@
     // A colleague that tells of a newer list is asked for it: what it says of
     // its age counts only from when we asked (section 6.3).
     common::Span const age = listing_.age(now);
-    membership::ListNews news = listing_.since(tell.list_digest);
-    fetch = tell.list_age >= 0 && !news.same && (age < 0 || tell.list_age < age) && !fetching_;
+    membership::ListUpdate updates = listing_.since(tell.list_digest);
+    fetch = tell.list_age >= 0 && !updates.same && (age < 0 || tell.list_age < age) && !fetching_;
     fetching_ = fetching_ || fetch;
     told.from = sessions_.self();
     told.list_age = age;
-    told.list_digest = news.digest;
-    told.list_same = news.same;
-    told.list_from = news.from;
-    told.list = std::move(news.list);
-    told.list_gone = std::move(news.gone);
+    told.list_digest = updates.digest;
+    told.list_same = updates.same;
+    told.list_from = updates.from;
+    told.list = std::move(updates.list);
+    told.list_gone = std::move(updates.gone);
   }
   if (departing) {
     departures_.ring();
@@ -330,7 +331,7 @@
   }
   if (fetch) {  // not under the lock: a coroutine may begin at once
     common::start(context_, [this, address = tell.from.address](common::Yield yield) {
-      tell_colleagues(false, address, yield);
+      notify_peers(false, address, yield);
       std::lock_guard<std::mutex> const done(lock_);
       fetching_ = false;
     });
@@ -338,14 +339,14 @@
   return told;
 }
 
-schema::Message News::ask(schema::NewsAsk const& ask, common::Yield yield) {
+schema::Message UpdateService::ask(schema::NewsAsk const& ask, common::Yield yield) {
   common::Moment const arrival = common::boot_now();
   {
     std::lock_guard<std::mutex> const guard(pieces_lock_);
     sender_.expire(arrival);
   }
-  membership::NewsBounds const bounds{bound(&schema::TimeBounds::ask_hold_ms),
-                                      bound(&schema::TimeBounds::ask_patience_ms)};
+  membership::UpdateBounds const bounds{bound(&schema::TimeBounds::ask_hold_ms),
+                                        bound(&schema::TimeBounds::ask_patience_ms)};
   std::uint64_t list_before = 0;
   std::uint64_t members_before = 0;
   {
@@ -365,15 +366,16 @@
   while (true) {
     std::uint64_t const seen = register_.bell().count();
     common::Moment const now = common::boot_now();
-    bool other_news = false;
+    bool other_updates = false;
     {
       std::lock_guard<std::mutex> const guard(lock_);
-      other_news = listing_.digest() != list_before || (members_before != 0 && members_digest_ != members_before);
+      other_updates = listing_.digest() != list_before || (members_before != 0 && members_digest_ != members_before);
     }
     bool const rested = now - arrival >= constants::bell_pause;
-    membership::NewsDecision verdict;
+    membership::UpdateDecision verdict;
     register_.look([&](std::map<std::string, schema::Value> const& values, common::Moment confirmed_from) {
-      verdict = membership::decide_answer(ask, arrival, confirmed_from, values, other_news && rested, now, {}, bounds);
+      verdict =
+          membership::decide_answer(ask, arrival, confirmed_from, values, other_updates && rested, now, {}, bounds);
     });
     if (verdict.answer.has_value()) {
       answer = *verdict.answer;
@@ -384,17 +386,17 @@
       hurried = true;
     }
     register_.bell().wait(
-        seen, other_news && !rested ? std::min(verdict.wait, constants::bell_pause - (now - arrival)) : verdict.wait,
+        seen, other_updates && !rested ? std::min(verdict.wait, constants::bell_pause - (now - arrival)) : verdict.wait,
         yield);
   }
   std::lock_guard<std::mutex> const guard(lock_);
-  membership::MemberNews members = sessions_.since(ask.members_digest);
+  membership::MemberUpdate members = sessions_.since(ask.members_digest);
   answer.members_digest = members.digest;
   answer.members_same = members.same;
   answer.members_from = members.from;
   answer.members = std::move(members.members);
   answer.members_gone = std::move(members.gone);
-  membership::ListNews list = listing_.since(ask.list_digest);
+  membership::ListUpdate list = listing_.since(ask.list_digest);
   answer.list_digest = list.digest;
   answer.list_same = list.same;
   answer.list_from = list.from;
@@ -405,24 +407,24 @@
   answer.reports_taken = newest_slice_[ask.member.incarnation];
   // Near ones first: bytes between regions and halls are paid for. Those that leave come last.
   constexpr int farthest = 3;
-  std::vector<schema::TrellisEntry> colleagues = sessions_.trellises();
-  std::function<int(schema::TrellisEntry const&)> const far = [this, &ask](schema::TrellisEntry const& trellis) {
-    std::map<std::string, std::string>::const_iterator const theirs = settings_.regions.find(trellis.hall);
+  std::vector<schema::TrellisEntry> peers = sessions_.controllers();
+  std::function<int(schema::TrellisEntry const&)> const far = [this, &ask](schema::TrellisEntry const& controller) {
+    std::map<std::string, std::string>::const_iterator const theirs = settings_.regions.find(controller.hall);
     std::map<std::string, std::string>::const_iterator const own = settings_.regions.find(ask.member.hall);
     bool const known = theirs != settings_.regions.end() && own != settings_.regions.end();
-    int const distance = trellis.hall == ask.member.hall ? 0 : (known && theirs->second == own->second ? 1 : 2);
-    return trellis.leaving ? distance + farthest : distance;
+    int const distance = controller.hall == ask.member.hall ? 0 : (known && theirs->second == own->second ? 1 : 2);
+    return controller.leaving ? distance + farthest : distance;
   };
   std::stable_sort(
-      colleagues.begin(), colleagues.end(),
+      peers.begin(), peers.end(),
       [&far](schema::TrellisEntry const& left, schema::TrellisEntry const& right) { return far(left) < far(right); });
-  for (schema::TrellisEntry const& trellis : colleagues) {
-    answer.colleagues.push_back(trellis.address);
+  for (schema::TrellisEntry const& controller : peers) {
+    answer.peers.push_back(controller.address);
   }
   return answer;
 }
 
-schema::Message News::piece(schema::PieceRequest const& request) {
+schema::Message UpdateService::piece(schema::PieceRequest const& request) {
   consensus::TransferSource const source = [this](schema::TransferKey const& key) -> std::optional<std::string> {
     schema::Value value = register_.value(key.name);
     if (value.revision != key.revision) {
@@ -434,29 +436,29 @@
   return sender_.answer(request, source, common::boot_now());
 }
 
-std::vector<schema::Member> News::members() {
+std::vector<schema::Member> UpdateService::members() {
   std::lock_guard<std::mutex> const guard(lock_);
   (void)sessions_.expire(common::boot_now());
   return sessions_.members();
 }
-std::vector<schema::TrellisEntry> News::trellises() {
+std::vector<schema::TrellisEntry> UpdateService::controllers() {
   std::lock_guard<std::mutex> const guard(lock_);
   sessions_.set_self(self());
-  return sessions_.trellises();
+  return sessions_.controllers();
 }
-std::vector<membership::Peer> News::peers() {
+std::vector<membership::Peer> UpdateService::peers() {
   std::lock_guard<std::mutex> const guard(lock_);
   return sessions_.peers();
 }
-schema::PlatformList News::list() {
+schema::PlatformList UpdateService::list() {
   std::lock_guard<std::mutex> const guard(lock_);
   return listing_.list();
 }
-std::uint64_t News::list_digest() {
+std::uint64_t UpdateService::list_digest() {
   std::lock_guard<std::mutex> const guard(lock_);
   return listing_.digest();
 }
-common::Span News::list_age() {
+common::Span UpdateService::list_age() {
   std::lock_guard<std::mutex> const guard(lock_);
   return listing_.age(common::boot_now());
 }
--- a/source/control_plane/updates/updates.hpp
+++ b/source/control_plane/updates/updates.hpp
@@ -20,10 +20,11 @@
     boost::asio::io_context&, std::string const& address, common::Span deadline, common::Yield)>;
 
 /// What a furrow is told (section 6), members and the platform list.
-class News {
+class UpdateService {
  public:
-  News(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
-       AcceptorService* holder, schema::Settings const& settings, std::uint64_t identity, ListReader reader = {});
+  UpdateService(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+                AcceptorService* holder, schema::Settings const& settings, std::uint64_t identity,
+                ListReader reader = {});
   void begin();
   /// Settings that changed.
   void follow(schema::Settings const& settings);
@@ -35,7 +36,7 @@
   [[nodiscard]] schema::Message piece(schema::PieceRequest const& request);
 
   [[nodiscard]] std::vector<schema::Member> members();
-  [[nodiscard]] std::vector<schema::TrellisEntry> trellises();
+  [[nodiscard]] std::vector<schema::TrellisEntry> controllers();
   /// All other trellises, each with when it was last heard of.
   [[nodiscard]] std::vector<membership::Peer> peers();
   /// From now on all are told that this process leaves.
@@ -58,7 +59,7 @@
   [[nodiscard]] absl::StatusOr<schema::PlatformList> read_own_list(std::string const& address, common::Yield yield);
   /// How long until it is on this trellis to read the list.
   [[nodiscard]] common::Span list_rest();
-  void tell_colleagues(bool confirm, std::string const& only, common::Yield yield);
+  void notify_peers(bool confirm, std::string const& only, common::Yield yield);
   /// Notes whether members are others than before; rings if so. Under the lock.
   void judge_members();
   /// Notes which voters leave; true when another one does. Under the lock.
@@ -94,7 +95,7 @@
   std::map<std::string, std::uint64_t>
       known_there_;        ///< digest of our sessions as a colleague knows them, by its address
   bool fetching_ = false;  ///< a colleague's newer list is on its way
-  common::Span list_pause_after_defect_ = 0;
+  common::Span list_pause_after_failure_ = 0;
   std::mutex pieces_lock_;
   consensus::ValueSender sender_;
 };
--- a/source/data_plane/contents/content_fetcher.cpp
+++ b/source/data_plane/contents/content_fetcher.cpp
@@ -5,11 +5,11 @@
 namespace finchlink::data_plane {
 
 void put_in(schema::NewsAnswer& answer, std::string const& name, std::uint64_t revision, std::string content) {
-  std::erase_if(answer.news, [&name, revision](schema::NamedValue const& news) {
-    return news.name == name && news.revision == revision;
+  std::erase_if(answer.updates, [&name, revision](schema::NamedValue const& update) {
+    return update.name == name && update.revision == revision;
   });
   // First, so that a newer revision that is still withheld comes after it.
-  answer.news.insert(answer.news.begin(), schema::NamedValue{name, revision, std::move(content), 0});
+  answer.updates.insert(answer.updates.begin(), schema::NamedValue{name, revision, std::move(content), 0});
 }
 
 schema::NewsAnswer ContentFetcher::completed(schema::NewsAnswer answer, std::string const& from) {
@@ -20,9 +20,9 @@
     }
     whole_.clear();
   }
-  for (schema::NamedValue const& news : answer.news) {
-    if (news.withheld > 0) {
-      want(schema::TransferKey{news.name, {}, news.revision}, from);
+  for (schema::NamedValue const& update : answer.updates) {
+    if (update.withheld > 0) {
+      want(schema::TransferKey{update.name, {}, update.revision}, from);
     }
   }
   return answer;
--- a/source/data_plane/load_probe/load_probe.cpp
+++ b/source/data_plane/load_probe/load_probe.cpp
@@ -31,20 +31,21 @@
   return !error;  // readable without a question asked: closed
 }
 
-void watch(boost::asio::io_context& context, Field& field, std::string const& pool, std::string const& id,
+void watch(boost::asio::io_context& context, ProxyState& field, std::string const& pool, std::string const& id,
            std::string const& address, common::Yield yield) {
   std::unique_ptr<common::Stream> stream;
   boost::beast::flat_buffer buffer;
   while (true) {
-    bool wished = false;
+    bool is_desired = false;
     std::shared_ptr<Plan const> const plan = field.plan();
-    std::map<std::string, std::vector<scheduling::WorkerWish>>::const_iterator const wishes = plan->wishes.find(pool);
-    if (wishes != plan->wishes.end()) {
-      for (scheduling::WorkerWish const& wish : wishes->second) {
-        wished = wished || (wish.id == id && wish.address == address);
+    std::map<std::string, std::vector<scheduling::DesiredWorker>>::const_iterator const desired_workers =
+        plan->desired_workers.find(pool);
+    if (desired_workers != plan->desired_workers.end()) {
+      for (scheduling::DesiredWorker const& desired : desired_workers->second) {
+        is_desired = is_desired || (desired.id == id && desired.address == address);
       }
     }
-    if (!wished) {
+    if (!is_desired) {
       return;
     }
     std::optional<WorkerLoad> load;
@@ -79,18 +80,18 @@
 }
 }  // namespace
 
-void begin_watch(boost::asio::io_context& context, Field& field) {
+void begin_watch(boost::asio::io_context& context, ProxyState& field) {
   std::shared_ptr<Watched> const watched = std::make_shared<Watched>();
   common::start(context, [&context, &field, watched](common::Yield yield) {
     while (true) {
       std::shared_ptr<Plan const> const plan = field.plan();
-      for (std::pair<std::string const, std::vector<scheduling::WorkerWish>> const& pool : plan->wishes) {
-        for (scheduling::WorkerWish const& wish : pool.second) {
-          std::string const key = pool.first + " " + wish.id + " " + wish.address;
+      for (std::pair<std::string const, std::vector<scheduling::DesiredWorker>> const& pool : plan->desired_workers) {
+        for (scheduling::DesiredWorker const& desired : pool.second) {
+          std::string const key = pool.first + " " + desired.id + " " + desired.address;
           std::lock_guard<std::mutex> const guard(watched->lock);
           if (watched->addresses.insert(key).second) {
-            common::start(context, [&context, &field, watched, key, name = pool.first, id = wish.id,
-                                    address = wish.address](common::Yield inner) {
+            common::start(context, [&context, &field, watched, key, name = pool.first, id = desired.id,
+                                    address = desired.address](common::Yield inner) {
               watch(context, field, name, id, address, inner);
               std::lock_guard<std::mutex> const done(watched->lock);
               watched->addresses.erase(key);
--- a/source/data_plane/main.cpp
+++ b/source/data_plane/main.cpp
@@ -15,8 +15,8 @@
 int main(int count, char** values) {
   using namespace finchlink;
   std::unique_ptr<common::Caller> caller;
-  std::unique_ptr<data_plane::Field> field;
-  std::unique_ptr<data_plane::Station> station;
+  std::unique_ptr<data_plane::ProxyState> field;
+  std::unique_ptr<data_plane::RelayServer> station;
   common::Daemon daemon;
   daemon.program = "furrow";
   daemon.needed = {"name", "hall", "http_address", "seeds"};
@@ -27,28 +27,28 @@
       data_plane::ListReader const reader = [&context](std::string const& address, common::Yield yield) {
         return platform::read_list(context, address, common::constants::list_deadline, yield);
       };
-      station = std::make_unique<data_plane::Station>(context, settings, platform::dialect(), platform::notation(),
-                                                      reader, common::random_identity());
+      station = std::make_unique<data_plane::RelayServer>(context, settings, platform::dialect(), platform::notation(),
+                                                          reader, common::random_identity());
       return station->begin();
     }
     if (settings.relay) {
       if (settings.threads != 1) {
         return absl::InvalidArgumentError("/threads must be 1 for a relay");
       }
-      station =
-          std::make_unique<data_plane::Station>(context, settings, data_plane::own_dialect(), config::own_notation(),
-                                                data_plane::ListReader(), common::random_identity());
+      station = std::make_unique<data_plane::RelayServer>(context, settings, data_plane::own_dialect(),
+                                                          config::own_notation(), data_plane::ListReader(),
+                                                          common::random_identity());
       return station->begin();
     }
     caller = std::make_unique<common::Caller>(context);
-    field = std::make_unique<data_plane::Field>(context, settings, common::random_identity());
+    field = std::make_unique<data_plane::ProxyState>(context, settings, common::random_identity());
     absl::Status const status = common::listen(
         context, settings.http_address, settings.connections,
         [&field](common::Stream& stream, common::Yield yield) { data_plane::serve_caller(*field, stream, yield); });
     if (!status.ok()) {
       return status;
     }
-    data_plane::begin_news(context, *caller, *field, settings.seeds);
+    data_plane::begin_updates(context, *caller, *field, settings.seeds);
     data_plane::begin_watch(context, *field);
     return absl::OkStatus();
   };
--- a/source/data_plane/metrics/metrics.cpp
+++ b/source/data_plane/metrics/metrics.cpp
@@ -4,12 +4,12 @@
 
 namespace finchlink::data_plane {
 
-void Gauges::count(std::string const& name, std::string const& labels, double amount) {
+void Metrics::count(std::string const& name, std::string const& labels, double amount) {
   std::lock_guard<std::mutex> const guard(lock_);
   counters_[name][labels] += amount;
 }
 
-void Gauges::observe(std::string const& name, std::string const& labels, double seconds) {
+void Metrics::observe(std::string const& name, std::string const& labels, double seconds) {
   std::lock_guard<std::mutex> const guard(lock_);
   Histogram& histogram = histograms_[name][labels];
   for (std::size_t index = 0; index < bounds.size(); ++index) {
@@ -19,7 +19,7 @@
   histogram.sum += seconds;
 }
 
-std::string Gauges::print() {
+std::string Metrics::print() {
   std::lock_guard<std::mutex> const guard(lock_);
   std::stringstream text;
   for (std::pair<std::string const, std::map<std::string, double>> const& family : counters_) {
--- a/source/data_plane/metrics/metrics.hpp
+++ b/source/data_plane/metrics/metrics.hpp
@@ -9,7 +9,7 @@
 namespace finchlink::data_plane {
 
 /// Counters and histograms in the text form that scrapers read.
-class Gauges {
+class Metrics {
  public:
   void count(std::string const& name, std::string const& labels, double amount = 1);
   void observe(std::string const& name, std::string const& labels, double seconds);
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -13,45 +13,45 @@
 
 namespace constants = common::constants;
 
-Field::Field(boost::asio::io_context& context, schema::Settings const& settings, std::uint64_t identity)
+ProxyState::ProxyState(boost::asio::io_context& context, schema::Settings const& settings, std::uint64_t identity)
     : context_(context), settings_(settings), identity_(identity), plan_(std::make_shared<Plan const>()) {}
 
-std::shared_ptr<Plan const> Field::plan() {
+std::shared_ptr<Plan const> ProxyState::plan() {
   std::lock_guard<std::mutex> const guard(plan_lock_);
   return plan_;
 }
 
-void Field::take(schema::NewsAnswer const& answer, common::Moment asked) {
+void ProxyState::take(schema::NewsAnswer const& answer, common::Moment asked) {
   bool changed = false;
   {
     std::lock_guard<std::mutex> const guard(plan_lock_);
     std::shared_ptr<Plan> const next = std::make_shared<Plan>(*plan_);
-    for (schema::NamedValue const& news : vouch_.take(answer, asked, common::boot_now())) {
-      if (news.name == consensus::setup_register) {
-        config::SetupReading const reading = config::read_setup(news.content);
-        common::check(common::Invariant::chosen_content_readable, news.content.empty() || reading.good(), [&] {
-          return "setup revision " + std::to_string(news.revision) + ": " + common::describe(reading.faults);
+    for (schema::NamedValue const& update : freshness_.take(answer, asked, common::boot_now())) {
+      if (update.name == consensus::setup_register) {
+        config::SetupReading const reading = config::read_setup(update.content);
+        common::check(common::Invariant::chosen_content_readable, update.content.empty() || reading.good(), [&] {
+          return "setup revision " + std::to_string(update.revision) + ": " + common::describe(reading.faults);
         });
         next->setup = reading.setup;
-        next->has_setup = !news.content.empty();  // an id given up before the first setup leaves none
-        next->decided = news.revision;
-        common::note(common::Event::RevisionAdopted, "setup revision " + std::to_string(news.revision));
-      } else if (news.name.rfind("split/", 0) == 0) {
-        absl::StatusOr<common::Tree> const tree = common::read_tree(news.content);
+        next->has_setup = !update.content.empty();  // an id given up before the first setup leaves none
+        next->decided = update.revision;
+        common::note(common::Event::RevisionAdopted, "setup revision " + std::to_string(update.revision));
+      } else if (update.name.rfind("split/", 0) == 0) {
+        absl::StatusOr<common::Tree> const tree = common::read_tree(update.content);
         std::vector<common::Fault> faults;
         schema::Split split;
         if (tree.ok()) {
           schema::read(tree->get(), "", split, faults);
-          next->splits[news.name.substr(6)] = split;
+          next->splits[update.name.substr(6)] = split;
         }
-        common::note(common::Event::RevisionAdopted, news.name + " revision " + std::to_string(news.revision));
+        common::note(common::Event::RevisionAdopted, update.name + " revision " + std::to_string(update.revision));
       }
     }
-    next->held = vouch_.held();
-    if (answer.vouched) {
+    next->held = freshness_.held();
+    if (answer.confirmed) {
       next->members = answer.members;
     }
-    if (vouch_.list_newer()) {
+    if (freshness_.list_newer()) {
       next->list = answer.list;
     }
     scheduling::derive(*next, settings_.name, settings_.hall);
@@ -67,30 +67,30 @@
   }
 }
 
-bool Field::vouched(common::Moment now) {
+bool ProxyState::confirmed(common::Moment now) {
   std::lock_guard<std::mutex> const guard(plan_lock_);
-  return vouch_.vouched(now) && plan_->has_setup;
+  return freshness_.confirmed(now) && plan_->has_setup;
 }
 
-bool Field::list_fresh(common::Moment now) {
+bool ProxyState::list_fresh(common::Moment now) {
   std::lock_guard<std::mutex> const guard(plan_lock_);
-  return vouch_.list_fresh(now) ||
+  return freshness_.list_fresh(now) ||
          (plan_->has_setup && plan_->setup.stale_list == "keep" && !plan_->list.workers.empty());
 }
 
-bool Field::may_dispatch(std::string const& rule, std::string const& worker, common::Moment now) {
-  if (!vouched(now) || !list_fresh(now)) {
+bool ProxyState::may_dispatch(std::string const& rule, std::string const& worker, common::Moment now) {
+  if (!confirmed(now) || !list_fresh(now)) {
     return false;
   }
   return scheduling::may_go(*plan(), rule, worker);
 }
 
-void Field::reconcile() {
+void ProxyState::reconcile() {
   common::Moment const now = common::boot_now();
-  bool const good = vouched(now);
+  bool const good = confirmed(now);
   bool const fresh = list_fresh(now);
-  if (good != was_vouched_) {
-    was_vouched_ = good;
+  if (good != was_confirmed_) {
+    was_confirmed_ = good;
     common::note(good ? common::Event::VouchRegained : common::Event::VouchLost, "");
   }
   if (fresh != was_fresh_) {
@@ -101,17 +101,18 @@
   }
   std::shared_ptr<Plan const> const current = plan();
   for (std::string const pool : {"model", "plain"}) {
-    std::vector<scheduling::WorkerWish> wishes;
-    std::map<std::string, std::vector<scheduling::WorkerWish>>::const_iterator const found = current->wishes.find(pool);
-    if (found != current->wishes.end()) {
-      wishes = found->second;
+    std::vector<scheduling::DesiredWorker> desired_workers;
+    std::map<std::string, std::vector<scheduling::DesiredWorker>>::const_iterator const found =
+        current->desired_workers.find(pool);
+    if (found != current->desired_workers.end()) {
+      desired_workers = found->second;
     }
-    for (scheduling::WorkerWish& wish : wishes) {
-      wish.usable = wish.usable && good && fresh;
+    for (scheduling::DesiredWorker& desired : desired_workers) {
+      desired.usable = desired.usable && good && fresh;
     }
     with(pool, [&](scheduling::Placement& placement) {
       std::vector<scheduling::PlacementAction> actions =
-          placement.update(wishes, current->setup.workers, current->setup.scaler, current->furrows_here, now);
+          placement.update(desired_workers, current->setup.workers, current->setup.scaler, current->proxies_here, now);
       std::vector<scheduling::PlacementAction> const more = placement.tick(now);
       actions.insert(actions.end(), more.begin(), more.end());
       return actions;
@@ -119,12 +120,12 @@
   }
 }
 
-Field::Shard& Field::shard(std::string const& pool) {
+ProxyState::Shard& ProxyState::shard(std::string const& pool) {
   return pool == "model" ? model_ : plain_;
 }
 
-void Field::with(std::string const& pool,
-                 std::function<std::vector<scheduling::PlacementAction>(scheduling::Placement&)> const& step) {
+void ProxyState::with(std::string const& pool,
+                      std::function<std::vector<scheduling::PlacementAction>(scheduling::Placement&)> const& step) {
   Shard& part = shard(pool);
   std::vector<scheduling::PlacementAction> actions;
   {
@@ -150,33 +151,33 @@
   }
 }
 
-std::uint64_t Field::seat(std::shared_ptr<Seat> const& seat) {
+std::uint64_t ProxyState::seat(std::shared_ptr<Seat> const& seat) {
   std::lock_guard<std::mutex> const guard(seats_lock_);
   seats_[next_ticket_] = seat;
   return next_ticket_++;
 }
 
-void Field::leave(std::uint64_t ticket) {
+void ProxyState::leave(std::uint64_t ticket) {
   std::lock_guard<std::mutex> const guard(seats_lock_);
   seats_.erase(ticket);
 }
 
-bool Field::retry(std::string const& rule, common::Moment now) {
-  std::vector<std::string> furrows;
+bool ProxyState::retry(std::string const& rule, common::Moment now) {
+  std::vector<std::string> proxies;
   for (schema::Member const& member : plan()->members) {
-    furrows.push_back(member.name);
+    proxies.push_back(member.name);
   }
-  bool const keeps = scheduling::keeps_right(rule, settings_.name, furrows);
+  bool const keeps = scheduling::keeps_right(rule, settings_.name, proxies);
   std::lock_guard<std::mutex> const guard(services_lock_);
   return services_[rule].budget.take(now, keeps);
 }
 
-void Field::arrived(std::string const& rule, common::Moment now) {
+void ProxyState::arrived(std::string const& rule, common::Moment now) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   services_[rule].budget.arrived(now);
 }
 
-bool Field::open_query(std::string const& rule, std::uint64_t bound) {
+bool ProxyState::open_query(std::string const& rule, std::uint64_t bound) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   Service& service = services_[rule];
   if (service.open >= bound) {
@@ -187,31 +188,31 @@
   return true;
 }
 
-void Field::close_query(std::string const& rule) {
+void ProxyState::close_query(std::string const& rule) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   --services_[rule].open;
   --open_;
 }
 
-double Field::outputs(std::string const& rule) {
+double ProxyState::outputs(std::string const& rule) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   return services_[rule].outputs;
 }
 
-void Field::learn_outputs(std::string const& rule, double outputs) {
+void ProxyState::learn_outputs(std::string const& rule, double outputs) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   Service& service = services_[rule];
   service.outputs += 0.05 * (outputs - service.outputs);
 }
 
-void Field::add_sample(schema::Sample const& sample) {
+void ProxyState::add_sample(schema::Sample const& sample) {
   std::lock_guard<std::mutex> const guard(report_lock_);
   if (samples_.size() < constants::samples_most) {
     samples_.push_back(sample);
   }
 }
 
-void Field::add_figures(schema::WorkerFigures const& more) {
+void ProxyState::add_figures(schema::WorkerFigures const& more) {
   std::lock_guard<std::mutex> const guard(report_lock_);
   schema::WorkerFigures& sum = figures_[more.worker + " " + more.phase];
   sum.worker = more.worker;
@@ -228,7 +229,7 @@
   sum.running_sum += more.running_sum;
 }
 
-schema::FurrowReport Field::take_report(std::uint64_t slice, double span) {
+schema::FurrowReport ProxyState::take_report(std::uint64_t slice, double span) {
   std::lock_guard<std::mutex> const guard(report_lock_);
   schema::FurrowReport report;
   report.slice = slice;
@@ -242,11 +243,11 @@
   return report;
 }
 
-std::string Field::pass_word() const {
+std::string ProxyState::pass_word() const {
   return settings_.name + " " + std::to_string(identity_);
 }
 
-bool Field::knows_pass(std::string const& word) {
+bool ProxyState::knows_pass(std::string const& word) {
   for (schema::Member const& member : plan()->members) {
     if (member.name != settings_.name && word == member.name + " " + std::to_string(member.incarnation)) {
       return true;
@@ -255,7 +256,7 @@
   return false;
 }
 
-schema::Member Field::self() {
+schema::Member ProxyState::self() {
   schema::Member member;
   member.name = settings_.name;
   member.incarnation = identity_;
--- a/source/data_plane/proxy_state/proxy_state.hpp
+++ b/source/data_plane/proxy_state/proxy_state.hpp
@@ -28,16 +28,16 @@
 
 /// The state of one furrow: the plan, the vouch, and the shards of placement,
 /// each under its own lock (section 3.3).
-class Field {
+class ProxyState {
  public:
-  Field(boost::asio::io_context& context, schema::Settings const& settings, std::uint64_t identity);
+  ProxyState(boost::asio::io_context& context, schema::Settings const& settings, std::uint64_t identity);
 
   [[nodiscard]] std::shared_ptr<Plan const> plan();
   /// Takes what a trellis told; `asked` is when the ask was sent.
   void take(schema::NewsAnswer const& answer, common::Moment asked);
   /// May new queries be taken, and may bytes go to workers? Asked again right
   /// before each use (section 6.2, 6.3).
-  [[nodiscard]] bool vouched(common::Moment now);
+  [[nodiscard]] bool confirmed(common::Moment now);
   [[nodiscard]] bool list_fresh(common::Moment now);
   [[nodiscard]] bool may_dispatch(std::string const& rule, std::string const& worker, common::Moment now);
   /// Compares wishes with what is; runs now and then and after news.
@@ -61,7 +61,7 @@
   [[nodiscard]] bool knows_pass(std::string const& word);
   [[nodiscard]] schema::Member self();
   [[nodiscard]] std::string const& name() const { return settings_.name; }
-  [[nodiscard]] Gauges& gauges() { return gauges_; }
+  [[nodiscard]] Metrics& metrics() { return metrics_; }
   [[nodiscard]] boost::asio::io_context& context() { return context_; }
   [[nodiscard]] bool busy() const { return open_ > 0; }
   void drain() { draining_ = true; }
@@ -79,7 +79,7 @@
     scheduling::Placement placement;
   };
   struct Service {
-    scheduling::Budget budget;
+    scheduling::RetryBudget budget;
     std::uint64_t open = 0;
     double outputs = 64;
   };
@@ -90,8 +90,8 @@
   std::uint64_t identity_;
   std::mutex plan_lock_;
   std::shared_ptr<Plan const> plan_;
-  membership::FreshnessLease vouch_;
-  bool was_vouched_ = false;
+  membership::FreshnessLease freshness_;
+  bool was_confirmed_ = false;
   bool was_fresh_ = false;
   Shard model_;
   Shard plain_;
@@ -105,7 +105,7 @@
   std::vector<schema::Sample> samples_;
   std::atomic<int> open_ = 0;
   std::atomic<bool> draining_ = false;
-  Gauges gauges_;
+  Metrics metrics_;
 };
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -57,7 +57,8 @@
 
 class Query {
  public:
-  Query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller, common::Yield yield)
+  Query(ProxyState& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller,
+        common::Yield yield)
       : field_(field),
         plan_(std::move(plan)),
         facts_(std::move(facts)),
@@ -68,7 +69,7 @@
         serve_(facts_.serve),
         rule_(plan_->setup.rules.at(serve_.rule)),
         deadline_(began_ + common::milliseconds(static_cast<std::int64_t>(rule_.deadline_ms))),
-        chart_(terms(), [this](common::Moment now) { return field_.retry(serve_.rule, now); }) {}
+        state_machine_(terms(), [this](common::Moment now) { return field_.retry(serve_.rule, now); }) {}
 
   bool run(bool pipelined) {
     if (!facts_.passed) {
@@ -92,8 +93,8 @@
     tokens_ = std::max(1.0, static_cast<double>(facts_.body.size()) / bounds.bytes_per_token);
     chain_ = scheduling::block_chain(
         facts_.body, static_cast<std::size_t>(static_cast<double>(bounds.block_tokens) * bounds.bytes_per_token));
-    perform(chart_.begin());
-    while (!chart_.settled()) {
+    perform(state_machine_.begin());
+    while (!state_machine_.settled()) {
       if (interrupt_->gone) {
         feed(scheduling::CallerGone{});
       } else if (interrupt_->late) {
@@ -105,7 +106,7 @@
         place_next_ = false;
         dispatch();
       } else {
-        feed(scheduling::WorkerDefect{"internal"});  // no state of the chart leads here
+        feed(scheduling::WorkerFailure{"internal"});  // no state of the chart leads here
         break;
       }
     }
@@ -113,13 +114,13 @@
     timer->cancel();
     error_code ignored;
     caller_.socket().cancel(ignored);
-    std::string const how = std::holds_alternative<scheduling::Settled>(chart_.state())
-                                ? std::get<scheduling::Settled>(chart_.state()).how
+    std::string const how = std::holds_alternative<scheduling::Settled>(state_machine_.state())
+                                ? std::get<scheduling::Settled>(state_machine_.state()).how
                                 : "open";
-    field_.gauges().count("furrow_queries_total", "rule=\"" + serve_.rule + "\",outcome=\"" + how + "\"");
+    field_.metrics().count("furrow_queries_total", "rule=\"" + serve_.rule + "\",outcome=\"" + how + "\"");
     if (how == "complete") {
-      field_.gauges().observe("furrow_query_seconds", "rule=\"" + serve_.rule + "\"",
-                              static_cast<double>(common::boot_now() - began_) / 1e6);
+      field_.metrics().observe("furrow_query_seconds", "rule=\"" + serve_.rule + "\"",
+                               static_cast<double>(common::boot_now() - began_) / 1e6);
     }
     return keep_;
   }
@@ -153,7 +154,7 @@
     return followed.changed;
   }
 
-  void feed(scheduling::QueryMessage const& message) { perform(chart_.advance(message, common::boot_now())); }
+  void feed(scheduling::QueryMessage const& message) { perform(state_machine_.advance(message, common::boot_now())); }
 
   void perform(std::vector<scheduling::QueryAction> const& actions) {
     for (scheduling::QueryAction const& action : actions) {
@@ -164,7 +165,7 @@
   void act(scheduling::Place const& place) {
     place_next_ = true;
     if (place.again) {
-      field_.gauges().count("furrow_retries_total", "rule=\"" + serve_.rule + "\"");
+      field_.metrics().count("furrow_retries_total", "rule=\"" + serve_.rule + "\"");
     }
   }
   void act(scheduling::PassOn const&) { pass_next_ = true; }
@@ -218,8 +219,8 @@
     error_code error;
     if (!header_sent_) {
       header_sent_ = true;
-      field_.gauges().observe("furrow_first_event_seconds", "rule=\"" + serve_.rule + "\"",
-                              static_cast<double>(common::boot_now() - began_) / 1e6);
+      field_.metrics().observe("furrow_first_event_seconds", "rule=\"" + serve_.rule + "\"",
+                               static_cast<double>(common::boot_now() - began_) / 1e6);
       http::response<http::empty_body> header{http::status::ok, 11};
       header.set(http::field::content_type, "text/event-stream");
       header.set(http::field::cache_control, "no-store");
@@ -276,7 +277,7 @@
     if (!seat->action.has_value()) {
       cancel_ticket(ticket_id);
     }
-    place_next_ = place_next_ || (stale && !chart_.settled());
+    place_next_ = place_next_ || (stale && !state_machine_.settled());
     return seat->action;
   }
 
@@ -317,7 +318,7 @@
 
   void dispatch() {
     (void)follow_plan();
-    if (chart_.settled()) {
+    if (state_machine_.settled()) {
       return;
     }
     if (paired() && kv_.empty()) {
@@ -350,9 +351,9 @@
       return;
     }
     if (!connection.ok() || interrupt_->set()) {
-      finish_ticket(ticket, connection.ok() ? scheduling::Ending::abandoned : scheduling::Ending::defect);
+      finish_ticket(ticket, connection.ok() ? scheduling::Ending::abandoned : scheduling::Ending::failure);
       if (!interrupt_->set()) {
-        feed(scheduling::ConnectDefect{});
+        feed(scheduling::ConnectFailure{});
       }
       return;
     }
@@ -365,7 +366,7 @@
       return std::vector<scheduling::PlacementAction>{};
     });
     feed(scheduling::Connected{});
-    field_.gauges().count("furrow_dispatches_total", "rule=\"" + serve_.rule + "\",worker=\"" + go_.worker + "\"");
+    field_.metrics().count("furrow_dispatches_total", "rule=\"" + serve_.rule + "\",worker=\"" + go_.worker + "\"");
     scheduling::Ending const ending = talk(worker, ticket);
     interrupt_->wake = nullptr;
     finish_ticket(ticket, ending);
@@ -375,8 +376,8 @@
       scheduling::QueryMessage const message = *after_;
       after_.reset();
       if (!interrupt_->set()) {
-        if (scheduling::WorkerDefect const* const defect = std::get_if<scheduling::WorkerDefect>(&message)) {
-          common::note(common::Event::WorkerDefect, go_.worker + " " + defect->what + " " + facts_.id);
+        if (scheduling::WorkerFailure const* const failure = std::get_if<scheduling::WorkerFailure>(&message)) {
+          common::note(common::Event::WorkerDefect, go_.worker + " " + failure->what + " " + facts_.id);
         }
         (void)follow_plan();  // whether it may run again is asked of the rule in force
         feed(message);
@@ -390,10 +391,10 @@
     LegCall call;
     call.query = facts_.id;
     call.rule = serve_.rule;
-    call.dispatch = chart_.dispatches();
+    call.dispatch = state_machine_.dispatches();
     call.leg = leg_;
     call.kv = leg_ == Leg::decode ? kv_ : "";
-    call.last_event = rule_.stream ? chart_.last_event() : 0;
+    call.last_event = rule_.stream ? state_machine_.last_event() : 0;
     call.method = facts_.method;
     call.target = facts_.target;
     call.content_type = facts_.content_type;
@@ -411,16 +412,16 @@
     worker.expires_after(common::duration(std::max<common::Span>(deadline_ - common::boot_now(), 1000)));
     http::async_read_header(worker, buffer, parser, yield_[error]);
     if (error) {
-      after_ = scheduling::WorkerDefect{"no_answer"};
-      return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::defect;
+      after_ = scheduling::WorkerFailure{"no_answer"};
+      return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::failure;
     }
     if (says_not_run(parser.get().result_int())) {
       after_ = scheduling::WorkerRefused{};
       return scheduling::Ending::refused;
     }
     if (parser.get()[query_header] != facts_.id) {
-      after_ = scheduling::WorkerDefect{"wrong_query"};
-      return scheduling::Ending::defect;
+      after_ = scheduling::WorkerFailure{"wrong_query"};
+      return scheduling::Ending::failure;
     }
     unsigned int const status = parser.get().result_int();
     bool const events = parser.get()[http::field::content_type].starts_with("text/event-stream");
@@ -461,8 +462,8 @@
     while (!parser.is_done()) {
       if (!delimited || !read_some(worker, buffer, parser, bytes) ||
           body.size() + bytes.size() > constants::answer_limit) {
-        after_ = scheduling::WorkerDefect{"cut_answer"};
-        return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::defect;
+        after_ = scheduling::WorkerFailure{"cut_answer"};
+        return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::failure;
       }
       body += bytes;
     }
@@ -473,16 +474,16 @@
     if (leg_ == Leg::prefill) {
       kv_ = std::string(parser.get()[kv_header]);
       if (status != 200 || kv_.empty()) {
-        after_ = scheduling::WorkerDefect{"no_kv"};
-        return scheduling::Ending::defect;
+        after_ = scheduling::WorkerFailure{"no_kv"};
+        return scheduling::Ending::failure;
       }
       note_prefill();
       after_ = scheduling::LegDone{};
       return scheduling::Ending::good;
     }
     if (rule_.kind == "model" && status == 200) {
-      after_ = scheduling::WorkerDefect{"no_stream"};
-      return scheduling::Ending::defect;
+      after_ = scheduling::WorkerFailure{"no_stream"};
+      return scheduling::Ending::failure;
     }
     whole_ = common::answer_text(static_cast<http::status>(status), std::move(body),
                                  std::string(parser.get()[http::field::content_type]));
@@ -495,7 +496,7 @@
     EventReader reader(plan_->setup.workers.bytes_per_token);
     std::string bytes;
     std::string text;
-    std::uint64_t expected = rule_.stream ? chart_.last_event() + 1 : 1;
+    std::uint64_t expected = rule_.stream ? state_machine_.last_event() + 1 : 1;
     bool first = true;
     common::Moment first_at = 0;
     double outputs = 0;
@@ -505,15 +506,15 @@
     double running_sum = 0;
     while (true) {
       if (!read_some(worker, buffer, parser, bytes) || (bytes.empty() && parser.is_done())) {
-        after_ = scheduling::WorkerDefect{"cut_stream"};
-        return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::defect;
+        after_ = scheduling::WorkerFailure{"cut_stream"};
+        return interrupt_->set() ? scheduling::Ending::abandoned : scheduling::Ending::failure;
       }
       std::vector<StreamEvent> events;
       bool const well = reader.feed(bytes, events);
       for (StreamEvent const& event : events) {
         if (event.number != expected || (event.last && event.query != facts_.id)) {
-          after_ = scheduling::WorkerDefect{event.number != expected ? "numbering" : "wrong_query"};
-          return scheduling::Ending::defect;
+          after_ = scheduling::WorkerFailure{event.number != expected ? "numbering" : "wrong_query"};
+          return scheduling::Ending::failure;
         }
         ++expected;
         if (first) {
@@ -527,8 +528,8 @@
             note_prefill();
           }
           if (!rule_.stream) {
-            field_.gauges().observe("furrow_first_event_seconds", "rule=\"" + serve_.rule + "\"",
-                                    static_cast<double>(first_at - began_) / 1e6);
+            field_.metrics().observe("furrow_first_event_seconds", "rule=\"" + serve_.rule + "\"",
+                                     static_cast<double>(first_at - began_) / 1e6);
           }
         } else {
           iterations += 1;
@@ -553,13 +554,13 @@
           }
           return scheduling::Ending::good;
         }
-        if (interrupt_->set() || chart_.settled()) {
+        if (interrupt_->set() || state_machine_.settled()) {
           return scheduling::Ending::abandoned;
         }
       }
       if (!well) {
-        after_ = scheduling::WorkerDefect{"malformed_stream"};
-        return scheduling::Ending::defect;
+        after_ = scheduling::WorkerFailure{"malformed_stream"};
+        return scheduling::Ending::failure;
       }
     }
   }
@@ -627,11 +628,11 @@
   /// Section 9.4: at most one pass, only to a region that reports room.
   void pass_on() {
     (void)follow_plan();
-    if (chart_.settled()) {
+    if (state_machine_.settled()) {
       return;
     }
     std::vector<schema::Member> const targets = scheduling::pass_targets(*plan_, field_.name(), pool(), serve_.bound);
-    if (targets.empty() || !field_.vouched(common::boot_now())) {
+    if (targets.empty() || !field_.confirmed(common::boot_now())) {
       feed(scheduling::NoRoom{});
       return;
     }
@@ -639,13 +640,13 @@
     feed(scheduling::Placed{go_.worker});
     absl::StatusOr<std::unique_ptr<common::Stream>> const connection =
         common::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
-    if (!connection.ok() || interrupt_->set() || follow_plan() || !field_.vouched(common::boot_now())) {
+    if (!connection.ok() || interrupt_->set() || follow_plan() || !field_.confirmed(common::boot_now())) {
       if (!interrupt_->set()) {
         feed(scheduling::NoRoom{});
       }
       return;
     }
-    field_.gauges().count("furrow_passes_total", "rule=\"" + serve_.rule + "\"");
+    field_.metrics().count("furrow_passes_total", "rule=\"" + serve_.rule + "\"");
     common::Stream& stream = **connection;
     interrupt_->wake = [&stream] { stream.cancel(); };
     feed(scheduling::Connected{});
@@ -678,7 +679,7 @@
     stream.expires_after(common::duration(std::max<common::Span>(deadline_ - common::boot_now(), 1000)));
     http::async_read_header(stream, buffer, parser, yield_[error]);
     if (error) {
-      after_ = scheduling::WorkerDefect{"pass_cut"};
+      after_ = scheduling::WorkerFailure{"pass_cut"};
       return;
     }
     if (parser.get()[ran_header] == "no" || parser.get().result_int() == 307) {
@@ -686,7 +687,7 @@
       return;
     }
     if (parser.get()[query_header] != facts_.id) {
-      after_ = scheduling::WorkerDefect{"wrong_query"};
+      after_ = scheduling::WorkerFailure{"wrong_query"};
       return;
     }
     if (parser.get()[http::field::content_type].starts_with("text/event-stream")) {
@@ -696,13 +697,13 @@
         std::vector<StreamEvent> events;
         if (!read_some(stream, buffer, parser, bytes) || (bytes.empty() && parser.is_done()) ||
             !reader.feed(bytes, events)) {
-          after_ = scheduling::WorkerDefect{"pass_cut"};
+          after_ = scheduling::WorkerFailure{"pass_cut"};
           return;
         }
         for (StreamEvent const& event : events) {
           event_ = event;
           feed(scheduling::Event{event.number, event.last});
-          if (event.last || interrupt_->set() || chart_.settled()) {
+          if (event.last || interrupt_->set() || state_machine_.settled()) {
             return;
           }
         }
@@ -718,7 +719,7 @@
     unsigned int const status = parser.get().result_int();
     while (!parser.is_done()) {
       if (!read_some(stream, buffer, parser, bytes) || body.size() + bytes.size() > constants::answer_limit) {
-        after_ = scheduling::WorkerDefect{"pass_cut"};
+        after_ = scheduling::WorkerFailure{"pass_cut"};
         return false;
       }
       body += bytes;
@@ -733,7 +734,7 @@
     return true;
   }
 
-  Field& field_;
+  ProxyState& field_;
   std::shared_ptr<Plan const> plan_;
   QueryFacts facts_;
   common::Stream& caller_;
@@ -744,7 +745,7 @@
   schema::Rule rule_;
   std::string home_;  ///< another region, once it is decided so
   common::Moment deadline_;
-  scheduling::Chart chart_;
+  scheduling::QueryStateMachine state_machine_;
   double tokens_ = 0;
   std::vector<std::uint64_t> chain_;
   bool place_next_ = false;
@@ -765,8 +766,8 @@
 
 }  // namespace
 
-bool run_query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller, bool pipelined,
-               common::Yield yield) {
+bool run_query(ProxyState& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller,
+               bool pipelined, common::Yield yield) {
   Query query(field, std::move(plan), std::move(facts), caller, yield);
   return query.run(pipelined);
 }
--- a/source/data_plane/query/query.hpp
+++ b/source/data_plane/query/query.hpp
@@ -20,7 +20,7 @@
 
 /// Runs one query through its chart; false when the caller's connection can't
 /// be used again.
-[[nodiscard]] bool run_query(Field& field, std::shared_ptr<Plan const> plan, QueryFacts facts, common::Stream& caller,
-                             bool pipelined, common::Yield yield);
+[[nodiscard]] bool run_query(ProxyState& field, std::shared_ptr<Plan const> plan, QueryFacts facts,
+                             common::Stream& caller, bool pipelined, common::Yield yield);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/query/session.cpp
+++ b/source/data_plane/query/session.cpp
@@ -22,20 +22,20 @@
 using Parser = http::request_parser<http::string_body>;
 
 namespace {
-common::Answer own_answer(Field& field, std::string const& target) {
+common::Answer own_answer(ProxyState& field, std::string const& target) {
   common::Moment const now = common::boot_now();
   if (target == "/-/alive") {
     return common::answer_text(http::status::ok, "{\"alive\":true}");
   }
   if (target == "/-/metrics") {
-    return common::answer_text(http::status::ok, field.gauges().print() + common::invariant_metrics(),
+    return common::answer_text(http::status::ok, field.metrics().print() + common::invariant_metrics(),
                                "text/plain; version=0.0.4");
   }
   std::shared_ptr<Plan const> const plan = field.plan();
   if (target == "/-/ready") {
     std::map<std::string, schema::Hall>::const_iterator const hall = plan->setup.halls.find(field.self().hall);
     bool const evacuated = hall != plan->setup.halls.end() && hall->second.evacuated;
-    bool const ready = field.vouched(now) && field.list_fresh(now) && !field.draining() && !evacuated;
+    bool const ready = field.confirmed(now) && field.list_fresh(now) && !field.draining() && !evacuated;
     return ready ? common::answer_text(http::status::ok, "{\"ready\":true}")
                  : common::answer_error(http::status::service_unavailable, "not_ready",
                                         evacuated ? "hall evacuated" : "not vouched for, or draining");
@@ -45,7 +45,7 @@
     shown.incarnation = 0;  // it is the word that makes a pass
     common::Tree object(schema::write(shown));
     cJSON_AddStringToObject(object.get(), "region", plan->region.c_str());
-    cJSON_AddBoolToObject(object.get(), "vouched", field.vouched(now) ? 1 : 0);
+    cJSON_AddBoolToObject(object.get(), "vouched", field.confirmed(now) ? 1 : 0);
     cJSON_AddBoolToObject(object.get(), "list_fresh", field.list_fresh(now) ? 1 : 0);
     for (std::string const pool : {"model", "plain"}) {
       field.with(pool, [&](scheduling::Placement& placement) {
@@ -78,32 +78,32 @@
   config::Serve serve;
 };
 
-Verdict judge_header(Field& field, Plan const& plan, http::request_header<> const& header, std::size_t body_bytes,
+Verdict judge_header(ProxyState& field, Plan const& plan, http::request_header<> const& header, std::size_t body_bytes,
                      std::string const& query) {
   Verdict verdict;
   std::string const target(header.target());
   std::string const path = target.substr(0, target.find('?'));
   common::Moment const now = common::boot_now();
-  if (field.draining() || !field.vouched(now)) {
+  if (field.draining() || !field.confirmed(now)) {
     verdict.answer = refusal(query, field.draining() ? "draining" : "not_vouched");
     return verdict;
   }
   config::HeaderLookup const lookup = [&header](std::string const& name) { return std::string(header[name]); };
-  config::Course const course =
+  config::Disposition const disposition =
       config::decide(plan.setup, plan.region, std::string(header.method_string()), path, lookup, body_bytes);
-  if (config::Serve const* const serve = std::get_if<config::Serve>(&course)) {
+  if (config::Serve const* const serve = std::get_if<config::Serve>(&disposition)) {
     verdict.serve = *serve;
-  } else if (config::GoHome const* const home = std::get_if<config::GoHome>(&course)) {
+  } else if (config::GoHome const* const home = std::get_if<config::GoHome>(&disposition)) {
     verdict.answer = send_home(plan, home->region, query, target);
   } else {
-    config::TurnAway const& away = std::get<config::TurnAway>(course);
+    config::TurnAway const& away = std::get<config::TurnAway>(disposition);
     verdict.answer = common::answer_error(static_cast<http::status>(away.status), away.error, away.message);
   }
   return verdict;
 }
 }  // namespace
 
-void serve_caller(Field& field, common::Stream& stream, common::Yield yield) {
+void serve_caller(ProxyState& field, common::Stream& stream, common::Yield yield) {
   boost::beast::flat_buffer buffer;
   error_code error;
   while (true) {
@@ -165,8 +165,8 @@
       }
     }
     if (verdict.answer.has_value()) {
-      field.gauges().count("furrow_queries_total", "rule=\"" + verdict.serve.rule + "\",outcome=\"" +
-                                                       std::to_string(verdict.answer->result_int()) + "\"");
+      field.metrics().count("furrow_queries_total", "rule=\"" + verdict.serve.rule + "\",outcome=\"" +
+                                                        std::to_string(verdict.answer->result_int()) + "\"");
       bool const again = send(stream, *verdict.answer, keep && !has_body, yield);
       if (!again) {
         if (has_body) {
--- a/source/data_plane/query/session.hpp
+++ b/source/data_plane/query/session.hpp
@@ -6,6 +6,6 @@
 namespace finchlink::data_plane {
 
 /// Serves the queries of one caller's connection, one after the other (section 9).
-void serve_caller(Field& field, common::Stream& stream, common::Yield yield);
+void serve_caller(ProxyState& field, common::Stream& stream, common::Yield yield);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/adopted_checks.cpp
+++ b/source/data_plane/relay/adopted_checks.cpp
@@ -7,7 +7,7 @@
 
 using common::Invariant;
 
-void check_charter(schema::NamedValue const& chosen, config::CharterReading const& reading) {
+void check_routing_config(schema::NamedValue const& chosen, config::RoutingConfigReading const& reading) {
   common::check(Invariant::chosen_content_readable, reading.good(), [&] {
     return "charter revision " + std::to_string(chosen.revision) + ": " + common::describe(reading.faults);
   });
@@ -20,8 +20,8 @@
                 [&] { return "evacuations revision " + std::to_string(chosen.revision) + " are no list"; });
 }
 
-void check_routes(std::uint64_t revision, scheduling::LaneBook const& book) {
-  schema::Lane const* const unreachable = book.unreachable();
+void check_routes(std::uint64_t revision, scheduling::RouteTable const& route_table) {
+  schema::Lane const* const unreachable = route_table.unreachable();
   common::check(Invariant::routes_complete, unreachable == nullptr, [&] {
     return "charter revision " + std::to_string(revision) + ": " + unreachable->host + " " + unreachable->prefix +
            " does not lead to " + unreachable->name;
--- a/source/data_plane/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -13,11 +13,11 @@
 using boost::system::error_code;
 
 bool Relay::may_spend(bool spend) {
-  scheduling::Rights& rights = station_.rights(service_);
+  scheduling::RetryQuota& retry_quota = station_.retry_quota(service_);
   if (!spend) {
-    return rights.available();
+    return retry_quota.available();
   }
-  bool const good = reserved_ || rights.take();
+  bool const good = reserved_ || retry_quota.take();
   reserved_ = false;
   station_.tally().retries += good ? 1 : 0;
   return good;
@@ -25,30 +25,31 @@
 
 bool Relay::find_place() {
   common::Span const hold =
-      lane_.set_point_ms > 0
-          ? common::milliseconds(static_cast<std::int64_t>(lane_.set_point_ms * constants::hold_part))
+      route_.set_point_ms > 0
+          ? common::milliseconds(static_cast<std::int64_t>(route_.set_point_ms * constants::hold_part))
           : constants::hold_plain;
-  common::Span const again = began_ ? common::milliseconds(static_cast<std::int64_t>(lane_.gap_set_point_ms / 2))
-                             : chart_.dispatches() > 0 ? constants::place_pause
-                                                       : 0;
+  common::Span const again = began_ ? common::milliseconds(static_cast<std::int64_t>(route_.gap_set_point_ms / 2))
+                             : state_machine_.dispatches() > 0 ? constants::place_pause
+                                                               : 0;
   common::Moment const until = std::max(query_.arrived + hold, common::boot_now() + again);
   while (true) {
     follow();
-    if (chart_.settled() || gone_ || back_) {
+    if (state_machine_.settled() || gone_ || back_) {
       return false;
     }
-    wanted_.shares = lane_.shares;
+    wanted_.shares = route_.shares;
     wanted_.homes = homes_;
     wanted_.once = !repeatable();
     wanted_.draw = draw();
     common::Moment const now = common::boot_now();
-    std::variant<scheduling::Spot, scheduling::NoSpot> const found = station_.grove().choose(wanted_, now);
-    if (scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found)) {
-      spot_ = *spot;
-      trail_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + spot->worker + " predicted " +
-                std::to_string(static_cast<int>(spot->predicted_seconds * 1000)) + "/" +
-                std::to_string(static_cast<int>(spot->price * 1000)) + " uncached " +
-                std::to_string(static_cast<int>(spot->uncached));
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
+        station_.balancer().choose(wanted_, now);
+    if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found)) {
+      assignment_ = *assignment;
+      trail_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + assignment->worker + " predicted " +
+                std::to_string(static_cast<int>(assignment->predicted_seconds * 1000)) + "/" +
+                std::to_string(static_cast<int>(assignment->price * 1000)) + " uncached " +
+                std::to_string(static_cast<int>(assignment->uncached));
       return true;
     }
     if (now >= until || now >= deadline_) {
@@ -68,31 +69,32 @@
     return;
   }
   if (service_.empty()) {
-    schema::Lane const& lane = lane_;
-    service_ = lane.shares.front().service;
-    station_.rights(service_).arrived();
+    schema::Lane const& route = route_;
+    service_ = route.shares.front().service;
+    station_.retry_quota(service_).arrived();
   }
-  feed(scheduling::Placed{spot_.worker});
+  feed(scheduling::Placed{assignment_.worker});
   first_seen_ = false;
   scheduling::Outcome outcome = scheduling::Outcome::unreachable;
   if (!reach()) {
     // Nothing reached it: another place is no retry, but not without end.
-    station_.grove().ended(spot_, false, gone_ ? scheduling::Outcome::abandoned : outcome, common::boot_now());
-    wanted_.avoid.push_back(spot_.worker);
+    station_.balancer().ended(assignment_, false, gone_ ? scheduling::Outcome::abandoned : outcome, common::boot_now());
+    wanted_.avoid.push_back(assignment_.worker);
     if (!gone_) {
       ++connects_;
       if (connects_ < constants::connects_most) {
         feed(scheduling::Withdrawn{});
       } else {
-        feed_or_return(scheduling::ConnectDefect{});
+        feed_or_return(scheduling::ConnectFailure{});
       }
     }
     return;
   }
-  std::shared_ptr<scheduling::LaneBook const> const before = book_;
+  std::shared_ptr<scheduling::RouteTable const> const before = route_table_;
   follow();
-  if (chart_.settled() || back_ || !station_.grove().usable(spot_.worker) || (book_ != before && !still_named())) {
-    station_.grove().ended(spot_, false, scheduling::Outcome::abandoned, common::boot_now());
+  if (state_machine_.settled() || back_ || !station_.balancer().usable(assignment_.worker) ||
+      (route_table_ != before && !still_named())) {
+    station_.balancer().ended(assignment_, false, scheduling::Outcome::abandoned, common::boot_now());
     keep_worker(constants::worker_idle);
     if (!back_) {
       feed(scheduling::Withdrawn{});
@@ -103,8 +105,8 @@
   ++station_.tally().dispatches;
   reading_ = std::make_shared<Reading>();
   outcome = talk();
-  station_.grove().ended(spot_, first_seen_, gone_ || slow_ ? scheduling::Outcome::abandoned : outcome,
-                         common::boot_now());
+  station_.balancer().ended(assignment_, first_seen_, gone_ || slow_ ? scheduling::Outcome::abandoned : outcome,
+                            common::boot_now());
   after_talk();
 }
 
@@ -113,20 +115,20 @@
   setting_aside_ = false;
   if (set_aside) {
     aside_ = reading_;
-    aside_->spot = spot_;
-    aside_->walled = walled_;
+    aside_->assignment = assignment_;
+    aside_->isolated = isolated_;
     aside_->socket = std::move(worker_);
   }
   drop_worker();
   reading_.reset();
   slow_ = false;
-  wanted_.avoid.push_back(spot_.worker);
+  wanted_.avoid.push_back(assignment_.worker);
   if (after_.has_value()) {
     scheduling::QueryMessage const message = *after_;
     after_.reset();
-    if (scheduling::WorkerDefect const* const defect = std::get_if<scheduling::WorkerDefect>(&message)) {
+    if (scheduling::WorkerFailure const* const failure = std::get_if<scheduling::WorkerFailure>(&message)) {
       if (!gone_) {
-        common::note(common::Event::WorkerDefect, spot_.worker + " " + defect->what + " " + id_);
+        common::note(common::Event::WorkerDefect, assignment_.worker + " " + failure->what + " " + id_);
       }
       if (common::boot_now() >= deadline_ && whole_.empty()) {
         feed(scheduling::DeadlinePassed{});
@@ -148,13 +150,13 @@
   reading_ = std::move(aside_);
   aside_.reset();
   worker_ = std::move(reading_->socket);
-  spot_ = reading_->spot;
-  walled_ = reading_->walled;
+  assignment_ = reading_->assignment;
+  isolated_ = reading_->isolated;
   whole_.clear();
   whole_body_.clear();
   place_next_ = false;
   reserved_ = false;
-  feed(scheduling::Returned{spot_.worker});
+  feed(scheduling::Returned{assignment_.worker});
   if (later_.has_value()) {
     feed(*later_);
     later_.reset();
@@ -165,9 +167,9 @@
 }
 
 bool Relay::still_named() const {
-  for (schema::Share const& share : lane_.shares) {
-    if (share.weight > 0 && station_.grove().serves(spot_.worker, share.service)) {
-      return homes_.empty() || station_.grove().stands_in(spot_.worker, homes_);
+  for (schema::Share const& share : route_.shares) {
+    if (share.weight > 0 && station_.balancer().serves(assignment_.worker, share.service)) {
+      return homes_.empty() || station_.balancer().stands_in(assignment_.worker, homes_);
     }
   }
   return false;
@@ -175,7 +177,7 @@
 
 void Relay::keep_worker(common::Span longest) {
   if (worker_ != nullptr && worker_->is_open()) {
-    station_.keep(spot_.worker, std::move(worker_), longest);
+    station_.keep(assignment_.worker, std::move(worker_), longest);
   }
   worker_.reset();
 }
@@ -192,20 +194,20 @@
 bool Relay::reach() {
   // Without an id a surplus answer could not be told from its own.
   if (repeatable() && !id_.empty()) {
-    worker_ = station_.kept(spot_.worker);
+    worker_ = station_.kept(assignment_.worker);
     if (worker_ != nullptr) {
       return true;
     }
   }
-  absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(spot_.address);
+  absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(assignment_.address);
   if (!endpoint.ok()) {
     return false;
   }
   worker_ = std::make_unique<Socket>(station_.context());
   ++station_.tally().connects;
   connecting_ = true;
-  alarm_->set(std::min(deadline_, common::boot_now() + (spot_.near ? constants::relay_connect_near
-                                                                   : constants::relay_connect_deadline)));
+  alarm_->set(std::min(deadline_, common::boot_now() + (assignment_.near ? constants::relay_connect_near
+                                                                         : constants::relay_connect_deadline)));
   error_code error = common::open_own(*worker_, *endpoint);
   if (!error) {
     worker_->async_connect(*endpoint, yield_[error]);
@@ -221,12 +223,12 @@
 
 void Relay::expect_bytes(double set_point_ms, common::Moment now) {
   drop_probe();
-  scheduling::SilenceTerms const terms{set_point_ms, spot_.predicted_seconds, wanted_.tokens, spot_.near};
+  scheduling::StallTerms const terms{set_point_ms, assignment_.predicted_seconds, wanted_.tokens, assignment_.near};
   alarm_->set(std::min(deadline_, silence_.begin(terms, now).due));
 }
 
 double Relay::pause_set_point_ms() const {
-  return lane_.gap_set_point_ms > 0 ? lane_.gap_set_point_ms : 2 * lane_.set_point_ms;
+  return route_.gap_set_point_ms > 0 ? route_.gap_set_point_ms : 2 * route_.set_point_ms;
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/caller_answer.cpp
+++ b/source/data_plane/relay/caller_answer.cpp
@@ -14,7 +14,7 @@
 void Relay::act(scheduling::Refuse const& reason) {
   if (!tenant_fault_.empty()) {
     answer("400 Bad Request", tenant_fault_, false);
-  } else if (withdrawn_lane_ && station_.charter_confirmed()) {
+  } else if (withdrawn_route_ && station_.routing_config_confirmed()) {
     answer("404 Not Found", "unknown_rule", false);
   } else {
     (void)reason;
@@ -40,7 +40,7 @@
   std::string text = "HTTP/1.1 " + status + "\r\n" + station_.dialect().query + ": " + id_ +
                      "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
   if (come_back) {
-    double const point = lane_.set_point_ms > 0 ? lane_.set_point_ms / 1000 : 1.0;
+    double const point = route_.set_point_ms > 0 ? route_.set_point_ms / 1000 : 1.0;
     text += "Retry-After: " + std::to_string(point * (0.15 + 0.15 * draw())) + "\r\n";
   }
   (void)write(text + closing_line() + "\r\n" + (bare_ ? "" : body));
--- a/source/data_plane/relay/caller_monitor.cpp
+++ b/source/data_plane/relay/caller_monitor.cpp
@@ -70,7 +70,7 @@
     cut();
     return;
   }
-  perform(silence_.rang(station_.grove().heard_at(spot_.worker), now));
+  perform(silence_.rang(station_.balancer().heard_at(assignment_.worker), now));
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-void serve_caller(Station& station, std::shared_ptr<Socket> const& socket, common::Yield yield) {
+void serve_caller(RelayServer& station, std::shared_ptr<Socket> const& socket, common::Yield yield) {
   ReadAhead ahead;
   boost::beast::flat_buffer& buffer = ahead.buffer;
   std::shared_ptr<Patience> const patience = std::make_shared<Patience>();
@@ -65,8 +65,8 @@
   schema::CallerLimits limits;
   bool again = true;
   while (again) {
-    if (station.book() != nullptr) {
-      limits = station.book()->charter().limits;
+    if (station.route_table() != nullptr) {
+      limits = station.route_table()->routing_config().limits;
     }
     error_code error;
     if (buffer.size() == 0) {  // an idle connection may wait, a begun header may not
@@ -77,8 +77,8 @@
         break;
       }
       buffer.commit(count);
-      if (station.book() != nullptr) {
-        limits = station.book()->charter().limits;  // they may have changed while the connection rested
+      if (station.route_table() != nullptr) {
+        limits = station.route_table()->routing_config().limits;  // they may have changed while the connection rested
       }
     }
     patience->close = false;
@@ -115,12 +115,12 @@
     std::string const named =
         station.dialect().query + ": " + std::string(view(parser.get()[station.dialect().query])) + "\r\n";
     bool const bare = parser.get().method() == http::verb::head;
-    if (station.book() != nullptr && station.book()->walled()) {
+    if (station.route_table() != nullptr && station.route_table()->isolated()) {
       // Refused before a body byte is read (section 14.1).
-      schema::Lane const* const lane =
-          station.book()->find(view(parser.get()[http::field::host]), view(parser.get().target()));
-      if (lane != nullptr && lane->tenancy.has_value()) {
-        scheduling::TenantReading const reading = tenant_of(*lane->tenancy, parser.get());
+      schema::Lane const* const route =
+          station.route_table()->find(view(parser.get()[http::field::host]), view(parser.get().target()));
+      if (route != nullptr && route->tenancy.has_value()) {
+        scheduling::TenantReading const reading = tenant_of(*route->tenancy, parser.get());
         if (reading.end == scheduling::TenantEnd::refused) {
           refuse_unread(*socket, *alarm, *patience, "400 Bad Request", named, reading.fault, bare, yield);
           station.closed();
@@ -165,26 +165,27 @@
                      : std::optional<common::Span>(common::milliseconds(
                            static_cast<std::int64_t>(std::min<std::uint64_t>(natural(left, 86400000), 86400000))));
     common::Span const hold =
-        scheduling::first_hold(station.charter_hold, query.arrived - station.begun_at(), bearable);
+        scheduling::first_hold(station.routing_config_hold, query.arrived - station.begun_at(), bearable);
     while (!station.begun() && common::boot_now() - query.arrived < hold) {
       common::pause(station.context(), constants::place_pause, yield);
     }
-    std::shared_ptr<scheduling::LaneBook const> const book = station.book();
+    std::shared_ptr<scheduling::RouteTable const> const route_table = station.route_table();
     bool const keep = query.keep && !station.draining();
-    if (book == nullptr) {
+    if (route_table == nullptr) {
       again = write_small(*socket, "503 Service Unavailable", named + "Retry-After: 0.5\r\n", "no_setup", keep, bare,
                           yield);
     } else {
-      schema::Lane const* const lane = book->find(view(query.header[http::field::host]), view(query.header.target()));
-      if (lane == nullptr && !station.charter_confirmed()) {
+      schema::Lane const* const route =
+          route_table->find(view(query.header[http::field::host]), view(query.header.target()));
+      if (route == nullptr && !station.routing_config_confirmed()) {
         // A newer charter may have the route; this furrow can't know (section 13.15).
         again = write_small(*socket, "503 Service Unavailable", named + "Retry-After: 0.5\r\n", "charter_unconfirmed",
                             keep, bare, yield);
-      } else if (lane == nullptr) {
+      } else if (route == nullptr) {
         again = write_small(*socket, "404 Not Found", named, "unknown_rule", keep, bare, yield);
       } else {
         std::unique_ptr<Relay> const relay =
-            std::make_unique<Relay>(station, query, *lane, *socket, ahead, book, yield);
+            std::make_unique<Relay>(station, query, *route, *socket, ahead, route_table, yield);
         again = relay->run();
       }
     }
--- a/source/data_plane/relay/prompt_isolation.cpp
+++ b/source/data_plane/relay/prompt_isolation.cpp
@@ -52,12 +52,12 @@
   std::stringstream content;
   content << file.rdbuf();
   if (!file) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", path + " can't be read");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", path + " can't be read");
   }
   return scheduling::read_secrets(content.str());
 }
 
-void Station::follow_secrets(common::Yield yield) {
+void RelayServer::follow_secrets(common::Yield yield) {
   std::pair<std::filesystem::file_time_type, std::uintmax_t> seen;
   bool first = true;
   while (true) {
@@ -71,7 +71,7 @@
       absl::StatusOr<scheduling::Secrets> secrets = load_secrets(settings_.secrets_file);
       if (secrets.ok()) {
         common::note(common::Event::SecretsRead, std::to_string(secrets->moved) + " of 100");
-        walls_.take(std::move(*secrets));
+        isolation_.take(std::move(*secrets));
       } else {
         common::note(common::Event::SecretsBroken, std::string(secrets.status().message()));
       }
@@ -81,9 +81,9 @@
 }
 
 namespace {
-scheduling::TenantTally sum_of(scheduling::Walls const& walls) {
-  scheduling::TenantTally sum = walls.others();
-  for (std::pair<std::string, scheduling::TenantTally> const& entry : walls.tallies()) {
+scheduling::TenantTally sum_of(scheduling::PromptIsolation const& isolation) {
+  scheduling::TenantTally sum = isolation.others();
+  for (std::pair<std::string, scheduling::TenantTally> const& entry : isolation.tallies()) {
     sum.queries += entry.second.queries;
     sum.cold += entry.second.cold;
     sum.tokens += entry.second.tokens;
@@ -103,26 +103,26 @@
 }
 }  // namespace
 
-std::string print_wall_metrics(scheduling::Walls const& walls) {
-  scheduling::TenantTally const sum = sum_of(walls);
+std::string print_isolation_metrics(scheduling::PromptIsolation const& isolation) {
+  scheduling::TenantTally const sum = sum_of(isolation);
   std::stringstream text;
-  text << "# TYPE relay_wall_crossings_total counter\nrelay_wall_crossings_total " << walls.crossings()
+  text << "# TYPE relay_wall_crossings_total counter\nrelay_wall_crossings_total " << isolation.crossings()
        << "\nrelay_wall_queries_total " << sum.queries << "\nrelay_wall_cold_total " << sum.cold
        << "\nrelay_wall_tokens_total " << static_cast<std::uint64_t>(sum.tokens) << "\nrelay_wall_reused_tokens_total "
-       << static_cast<std::uint64_t>(sum.reused) << "\nrelay_wall_other_weights_total " << walls.other_weights()
-       << "\nrelay_wall_keyed " << (walls.keyed() ? 1 : 0) << "\n";
+       << static_cast<std::uint64_t>(sum.reused) << "\nrelay_wall_other_weights_total " << isolation.other_weights()
+       << "\nrelay_wall_keyed " << (isolation.keyed() ? 1 : 0) << "\n";
   return text.str();
 }
 
-std::string print_tenants(scheduling::Walls const& walls) {
+std::string print_tenants(scheduling::PromptIsolation const& isolation) {
   common::Tree object(cJSON_CreateObject());
   cJSON* const list = cJSON_AddArrayToObject(object.get(), "tenants");
-  for (std::pair<std::string, scheduling::TenantTally> const& entry : walls.tallies()) {
+  for (std::pair<std::string, scheduling::TenantTally> const& entry : isolation.tallies()) {
     add(list, entry.first, entry.second);
   }
   cJSON* const others = cJSON_AddArrayToObject(object.get(), "others");
-  add(others, "", walls.others());
-  cJSON_AddNumberToObject(object.get(), "crossings", static_cast<double>(walls.crossings()));
+  add(others, "", isolation.others());
+  cJSON_AddNumberToObject(object.get(), "crossings", static_cast<double>(isolation.crossings()));
   return common::print_tree(object.get());
 }
 
--- a/source/data_plane/relay/prompt_isolation.hpp
+++ b/source/data_plane/relay/prompt_isolation.hpp
@@ -24,8 +24,8 @@
 /// Numbers that nobody can foretell and that were never drawn before.
 [[nodiscard]] std::array<std::uint64_t, 2> draw_once();
 [[nodiscard]] absl::StatusOr<scheduling::Secrets> load_secrets(std::string const& path);
-[[nodiscard]] std::string print_wall_metrics(scheduling::Walls const& walls);
+[[nodiscard]] std::string print_isolation_metrics(scheduling::PromptIsolation const& isolation);
 /// Each tenant's reuse, in JSON.
-[[nodiscard]] std::string print_tenants(scheduling::Walls const& walls);
+[[nodiscard]] std::string print_tenants(scheduling::PromptIsolation const& isolation);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -13,19 +13,19 @@
 namespace constants = common::constants;
 using boost::system::error_code;
 
-Relay::Relay(Station& station, Query& query, schema::Lane const& lane, Socket& caller, ReadAhead& ahead,
-             std::shared_ptr<scheduling::LaneBook const> book, common::Yield yield)
+Relay::Relay(RelayServer& station, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
+             std::shared_ptr<scheduling::RouteTable const> route_table, common::Yield yield)
     : station_(station),
       query_(query),
-      book_(std::move(book)),
-      lane_(lane),
+      route_table_(std::move(route_table)),
+      route_(route),
       caller_(caller),
       ahead_(ahead),
       yield_(yield),
       bare_(query.header.method() == http::verb::head),
       id_(view(query.header[station.dialect().query])),
-      deadline_(query.arrived + common::milliseconds(static_cast<std::int64_t>(lane.deadline_ms))),
-      chart_(terms(lane), [this](common::Moment) { return may_spend(true); }),
+      deadline_(query.arrived + common::milliseconds(static_cast<std::int64_t>(route.deadline_ms))),
+      state_machine_(terms(route), [this](common::Moment) { return may_spend(true); }),
       silence_(station.mechanisms().silence) {
   std::string_view const left = view(query.header[station.dialect().left]);
   if (!left.empty()) {
@@ -38,7 +38,7 @@
   wanted_.tokens = static_cast<double>(natural(tokens, 0));
   std::size_t const comma = tokens.find(',');
   wanted_.outputs = comma == std::string_view::npos ? 0 : static_cast<double>(natural(tokens.substr(comma + 1), 0));
-  enter_wall();
+  enter_isolation();
 }
 
 bool Relay::run() {
@@ -55,8 +55,8 @@
   if (look_at_caller()) {  // it may have left while its request waited for its turn
     watch_caller();
   }
-  perform(chart_.begin());
-  while (!chart_.settled()) {
+  perform(state_machine_.begin());
+  while (!state_machine_.settled()) {
     if (gone_) {
       feed(scheduling::CallerGone{});
     } else if (common::boot_now() >= deadline_) {
@@ -68,7 +68,7 @@
       place_next_ = false;
       dispatch();
     } else {
-      feed(scheduling::WorkerDefect{"internal"});
+      feed(scheduling::WorkerFailure{"internal"});
       break;
     }
   }
@@ -77,30 +77,30 @@
   error_code ignored;
   drop_probe();
   caller_.cancel(ignored);
-  scheduling::Settled const* const settled = std::get_if<scheduling::Settled>(&chart_.state());
+  scheduling::Settled const* const settled = std::get_if<scheduling::Settled>(&state_machine_.state());
   tell_late(settled == nullptr ? "open" : settled->how);
   ++station_.tally().outcomes[settled == nullptr ? "open" : settled->how];
   return keep_;
 }
 
-scheduling::QueryTerms Relay::terms(schema::Lane const& lane) {
+scheduling::QueryTerms Relay::terms(schema::Lane const& route) {
   scheduling::QueryTerms terms;
-  terms.resumable = lane.stream && lane.resumable;
-  terms.repeatable = lane.repeatable || terms.resumable;
-  terms.stream = lane.stream;
-  terms.dispatches_most = static_cast<int>(lane.dispatches);
+  terms.resumable = route.stream && route.resumable;
+  terms.repeatable = route.repeatable || terms.resumable;
+  terms.stream = route.stream;
+  terms.dispatches_most = static_cast<int>(route.dispatches);
   return terms;
 }
 
 void Relay::tell_late(std::string const& how) const {
   common::Span const first = (first_at_ == 0 ? common::boot_now() : first_at_) - query_.arrived;
-  if (lane_.set_point_ms <= 0 || static_cast<double>(first) / 1000 < lane_.set_point_ms) {
+  if (route_.set_point_ms <= 0 || static_cast<double>(first) / 1000 < route_.set_point_ms) {
     return;
   }
-  common::note(common::Event::QueryLate, id_ + " " + lane_.name + " " + how + " first " + std::to_string(first / 1000) +
-                                             " ms of " + std::to_string((common::boot_now() - query_.arrived) / 1000) +
-                                             " tokens " + std::to_string(static_cast<std::uint64_t>(wanted_.tokens)) +
-                                             trail_);
+  common::note(common::Event::QueryLate, id_ + " " + route_.name + " " + how + " first " +
+                                             std::to_string(first / 1000) + " ms of " +
+                                             std::to_string((common::boot_now() - query_.arrived) / 1000) + " tokens " +
+                                             std::to_string(static_cast<std::uint64_t>(wanted_.tokens)) + trail_);
 }
 
 void Relay::perform(std::vector<scheduling::QueryAction> const& actions) {
@@ -110,29 +110,29 @@
 }
 
 void Relay::follow() {
-  if (station_.book() == book_ || station_.book() == nullptr) {
+  if (station_.route_table() == route_table_ || station_.route_table() == nullptr) {
     return;
   }
-  std::shared_ptr<scheduling::LaneBook const> const current = station_.book();
+  std::shared_ptr<scheduling::RouteTable const> const current = station_.route_table();
   std::string_view const target = view(query_.header.target());
   schema::Lane const* const found = current->find(view(query_.header[http::field::host]), target);
-  book_ = current;
+  route_table_ = current;
   scheduling::Decided decided;
   if (found == nullptr) {
-    withdrawn_lane_ = true;
+    withdrawn_route_ = true;
     decided.standing = scheduling::Standing::none;
   } else {
-    lane_ = *found;
-    enter_wall();
+    route_ = *found;
+    enter_isolation();
     if (!tenant_fault_.empty()) {
       decided.standing = scheduling::Standing::none;
     }
-    scheduling::QueryTerms const next = terms(lane_);
+    scheduling::QueryTerms const next = terms(route_);
     decided.repeatable = next.repeatable;
     decided.resumable = next.resumable;
     decided.stream = next.stream;
     deadline_ =
-        std::min(deadline_, query_.arrived + common::milliseconds(static_cast<std::int64_t>(lane_.deadline_ms)));
+        std::min(deadline_, query_.arrived + common::milliseconds(static_cast<std::int64_t>(route_.deadline_ms)));
   }
   if (aside_ != nullptr &&
       (decided.standing != scheduling::Standing::serve || !decided.repeatable || !decided.resumable)) {
--- a/source/data_plane/relay/relay.hpp
+++ b/source/data_plane/relay/relay.hpp
@@ -48,8 +48,8 @@
 /// - tenant_prompt.cpp: whose prompt it is (section 14)
 class Relay {
  public:
-  Relay(Station& station, Query& query, schema::Lane const& lane, Socket& caller, ReadAhead& ahead,
-        std::shared_ptr<scheduling::LaneBook const> book, common::Yield yield);
+  Relay(RelayServer& station, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
+        std::shared_ptr<scheduling::RouteTable const> route_table, common::Yield yield);
   /// False: the caller's connection is of no more use.
   bool run();
 
@@ -77,18 +77,18 @@
     common::Moment sent = 0;
     bool first = true;
     bool resumed = false;
-    scheduling::Spot spot;
-    scheduling::Walled walled;
+    scheduling::Assignment assignment;
+    scheduling::IsolatedPrompt isolated;
     std::unique_ptr<Socket> socket;
   };
   using WorkerHeader = Parser::value_type;
 
-  static scheduling::QueryTerms terms(schema::Lane const& lane);
-  [[nodiscard]] bool repeatable() const { return chart_.may_repeat(); }
+  static scheduling::QueryTerms terms(schema::Lane const& route);
+  [[nodiscard]] bool repeatable() const { return state_machine_.may_repeat(); }
   /// Whose prompt it is, by the newest word on its lane (section 14.1).
-  void enter_wall();
+  void enter_isolation();
   /// What the worker tells of versions and reuse (section 14.3).
-  void hear_wall(WorkerHeader const& got, bool ran);
+  void hear_isolation(WorkerHeader const& got, bool ran);
   /// What the worker keeps of the prompt from now on; ids used once it won't need.
   [[nodiscard]] std::vector<scheduling::Part> kept_parts() const;
   bool may_spend(bool spend);
@@ -105,10 +105,10 @@
   /// Silence: another worker is asked if the request may be repeated, a right is there, and another has a place; else
   /// this one may take its time.
   void act(scheduling::GiveUp const&);
-  void perform(scheduling::SilenceAction const& action);
+  void perform(scheduling::StallAction const& action);
   [[nodiscard]] bool may_ask_another(common::Moment now);
   void drop_probe();
-  void feed(scheduling::QueryMessage const& message) { perform(chart_.advance(message, common::boot_now())); }
+  void feed(scheduling::QueryMessage const& message) { perform(state_machine_.advance(message, common::boot_now())); }
   void perform(std::vector<scheduling::QueryAction> const& actions);
   void act(scheduling::Place const&) { place_next_ = true; }
   void act(scheduling::PassOn const&) { feed(scheduling::NoRoom{}); }
@@ -168,10 +168,10 @@
   scheduling::Outcome talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status);
   scheduling::Outcome talk_events(Reading& reading);
   scheduling::Outcome read_events(Reading& reading);
-  Station& station_;
+  RelayServer& station_;
   Query& query_;
-  std::shared_ptr<scheduling::LaneBook const> book_;
-  schema::Lane lane_;
+  std::shared_ptr<scheduling::RouteTable const> route_table_;
+  schema::Lane route_;
   Socket& caller_;
   ReadAhead& ahead_;
   common::Yield yield_;
@@ -179,11 +179,11 @@
   std::shared_ptr<Guard> const guard_ = std::make_shared<Guard>();
   std::string id_;
   common::Moment deadline_;
-  scheduling::Chart chart_;
+  scheduling::QueryStateMachine state_machine_;
   scheduling::Wanted wanted_;
-  scheduling::Spot spot_;
+  scheduling::Assignment assignment_;
   std::optional<scheduling::Prompt> prompt_;  ///< where its lane has tenants
-  scheduling::Walled walled_;                 ///< as it went to the last worker
+  scheduling::IsolatedPrompt isolated_;       ///< as it went to the last worker
   std::string tenant_fault_;
   std::vector<std::string> homes_;
   std::string service_;
@@ -197,7 +197,7 @@
   std::string whole_;
   std::string whole_body_;
   Numbering numbering_;  ///< of the events that the caller has
-  scheduling::SilenceWatch silence_;
+  scheduling::StallDetector silence_;
   std::shared_ptr<Socket> probe_;  ///< connects to a worker that says nothing, to tell a busy one from a lost one
   int connects_ = 0;
   common::Moment first_at_ = 0;
@@ -213,7 +213,7 @@
   bool gone_ = false;
   bool keep_ = false;
   bool place_next_ = false;
-  bool withdrawn_lane_ = false;
+  bool withdrawn_route_ = false;
 };
 
 }  // namespace finchlink::data_plane
