--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -80,8 +80,8 @@
   return text.str();
 }
 
-Station::Station(asio::io_context& context, schema::Settings const& settings, Dialect dialect,
-                 config::Notation notation, ListReader list_reader, std::uint64_t identity)
+RelayServer::RelayServer(asio::io_context& context, schema::Settings const& settings, Dialect dialect,
+                         config::Notation notation, ListReader list_reader, std::uint64_t identity)
     : context_(context),
       settings_(settings),
       dialect_(std::move(dialect)),
@@ -90,16 +90,16 @@
       identity_(identity),
       caller_(context),
       contents_(context, caller_),
-      trellises_(settings.seeds) {}
+      controllers_(settings.seeds) {}
 
-absl::Status Station::begin() {
+absl::Status RelayServer::begin() {
   begun_at_ = common::boot_now();
   absl::StatusOr<scheduling::Mechanisms> const mechanisms = scheduling::mechanisms_without(settings_.without);
   if (!mechanisms.ok()) {
     return mechanisms.status();
   }
   mechanisms_ = *mechanisms;
-  grove_ = scheduling::Grove(mechanisms_.grove);
+  balancer_ = scheduling::LoadBalancer(mechanisms_.balancer);
   absl::Status status = listen(
       settings_.http_address,
       [this](std::shared_ptr<Socket> const& socket, common::Yield yield) { serve_caller(*this, socket, yield); });
@@ -112,7 +112,7 @@
   if (!status.ok()) {
     return status;
   }
-  start_small(context_, [this](common::Yield yield) { ask_news(yield); });
+  start_small(context_, [this](common::Yield yield) { ask_for_updates(yield); });
   start_small(context_, [this](common::Yield yield) { read_own_list(yield); });
   if (!settings_.secrets_file.empty()) {
     start_small(context_, [this](common::Yield yield) { follow_secrets(yield); });
@@ -120,8 +120,8 @@
   return absl::OkStatus();
 }
 
-absl::Status Station::listen(std::string const& address,
-                             std::function<void(std::shared_ptr<Socket>, common::Yield)> session) {
+absl::Status RelayServer::listen(std::string const& address,
+                                 std::function<void(std::shared_ptr<Socket>, common::Yield)> session) {
   absl::StatusOr<common::Endpoint> endpoint = common::read_endpoint(address);
   if (!endpoint.ok()) {
     return endpoint.status();
@@ -146,10 +146,10 @@
   start_small(context_, [this, held, session](common::Yield yield) {
     while (held->acceptor.is_open()) {
       std::shared_ptr<Socket> const socket = std::make_shared<Socket>(context_);
-      error_code defect;
-      held->acceptor.async_accept(*socket, yield[defect]);
-      if (defect) {
-        if (!held->acceptor.is_open() || defect == asio::error::operation_aborted) {
+      error_code failure;
+      held->acceptor.async_accept(*socket, yield[failure]);
+      if (failure) {
+        if (!held->acceptor.is_open() || failure == asio::error::operation_aborted) {
           return;
         }
         common::pause(context_, common::milliseconds(20), yield);
@@ -167,14 +167,14 @@
   return absl::OkStatus();
 }
 
-scheduling::Rights& Station::rights(std::string const& service) {
-  scheduling::Rights& rights = rights_[service];
-  rights.bound(settings_.bounds.retry_ratio, settings_.bounds.retry_slack,
-               static_cast<double>(std::max<std::size_t>(1, census_.furrows(common::boot_now()).size())));
-  return rights;
+scheduling::RetryQuota& RelayServer::retry_quota(std::string const& service) {
+  scheduling::RetryQuota& retry_quota = retry_quota_[service];
+  retry_quota.bound(settings_.bounds.retry_ratio, settings_.bounds.retry_slack,
+                    static_cast<double>(std::max<std::size_t>(1, proxy_count_.proxies(common::boot_now()).size())));
+  return retry_quota;
 }
 
-std::unique_ptr<Socket> Station::kept(std::string const& worker) {
+std::unique_ptr<Socket> RelayServer::kept(std::string const& worker) {
   std::map<std::string, std::deque<Kept>>::iterator const found = kept_.find(worker);
   if (found == kept_.end()) {
     return nullptr;
@@ -195,7 +195,7 @@
   return nullptr;
 }
 
-void Station::keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest) {
+void RelayServer::keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest) {
   std::deque<Kept>& idle = kept_[worker];
   common::Moment const now = common::boot_now();
   while (!idle.empty() && (idle.size() >= constants::worker_idle_most || now >= idle.front().until)) {
@@ -204,13 +204,13 @@
   idle.push_back(Kept{std::move(socket), now + std::min(longest, constants::worker_idle)});
 }
 
-void Station::drain() {
+void RelayServer::drain() {
   draining_ = true;
   leaving_since_ = common::boot_now();
   start_small(context_, [this](common::Yield yield) {
     schema::NewsAsk const asked = ask({});
     // A copy: news that come meanwhile replace the list that is walked here.
-    std::vector<std::string> const told = trellises_;
+    std::vector<std::string> const told = controllers_;
     for (std::size_t index = 0; index < std::min(constants::lost_asks, told.size()); ++index) {
       if (caller_
               .call(told[index], asked,
@@ -222,7 +222,7 @@
   });
 }
 
-bool Station::busy() const {
+bool RelayServer::busy() const {
   common::Moment const now = common::boot_now();
   common::Span const grace = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.grace_ms));
   if (now - leaving_since_ < std::min(constants::leave_linger, grace / 2)) {
@@ -235,23 +235,23 @@
   return open_ > 0 && now - leaving_since_ < grace - constants::leave_reserve;
 }
 
-schema::Member Station::self() const {
+schema::Member RelayServer::self() const {
   schema::Member member;
   member.name = settings_.name;
   member.incarnation = identity_;
   member.hall = settings_.hall;
   member.address = settings_.http_address;
-  member.held = vouch_.held();
+  member.held = freshness_.held();
   member.ready = ready();
   return member;
 }
 
-schema::NewsAsk Station::ask(std::vector<schema::FurrowReport> reports) const {
+schema::NewsAsk RelayServer::ask(std::vector<schema::FurrowReport> reports) const {
   return schema::NewsAsk{self(), 0, list_.digest(), members_.digest(), std::move(reports)};
 }
 
-void Station::ask_news(common::Yield yield) {
-  std::size_t turn = common::random_number() % std::max<std::size_t>(1, trellises_.size());
+void RelayServer::ask_for_updates(common::Yield yield) {
+  std::size_t turn = common::random_number() % std::max<std::size_t>(1, controllers_.size());
   while (true) {
     common::Moment const asked = common::boot_now();
     bool const was_ready = ready();
@@ -262,39 +262,39 @@
       // Some may be down, and say nothing: a few are asked, the first who is sure
       // counts. More would each send the whole charter to a furrow without one.
       std::vector<std::pair<std::string, schema::Message>> calls;
-      for (std::size_t index = 0; index < std::min(constants::lost_asks, trellises_.size()); ++index) {
-        calls.emplace_back(trellises_[(turn + index) % trellises_.size()], query);
+      for (std::size_t index = 0; index < std::min(constants::lost_asks, controllers_.size()); ++index) {
+        calls.emplace_back(controllers_[(turn + index) % controllers_.size()], query);
       }
       turn += 1;
       common::Gather::run(
           context_, caller_, calls, std::min(patience, lost_patience),
           [&](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
-            schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
-            if (news == nullptr) {
+            schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
+            if (update == nullptr) {
               return false;
             }
-            take(contents_.completed(*news, calls[index].first), asked);
-            if (!news->vouched) {
-              know_more_trellises(news->colleagues);
+            take(contents_.completed(*update, calls[index].first), asked);
+            if (!update->confirmed) {
+              know_more_controllers(update->peers);
               return false;
             }
             from = calls[index].first;
-            heard_from(*news);
+            heard_from(*update);
             return true;
           },
           yield, constants::ask_retry);
     } else {
-      std::string const address = trellises_[turn % trellises_.size()];
+      std::string const address = controllers_[turn % controllers_.size()];
       absl::StatusOr<schema::Message> const answer = caller_.call(address, query, patience, yield);
-      schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
-      if (news != nullptr) {
-        take(contents_.completed(*news, address), asked);
+      schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
+      if (update != nullptr) {
+        take(contents_.completed(*update, address), asked);
       }
-      if (news != nullptr && news->vouched) {
+      if (update != nullptr && update->confirmed) {
         from = address;
-        heard_from(*news);
-      } else if (news != nullptr) {
-        know_more_trellises(news->colleagues);
+        heard_from(*update);
+      } else if (update != nullptr) {
+        know_more_controllers(update->peers);
       }
     }
     lost_ = from.empty();
@@ -306,20 +306,20 @@
       }
       continue;
     }
-    turn = static_cast<std::size_t>(std::find(trellises_.begin(), trellises_.end(), from) - trellises_.begin());
+    turn = static_cast<std::size_t>(std::find(controllers_.begin(), controllers_.end(), from) - controllers_.begin());
     if (ready() == was_ready && spent < constants::ask_least) {
       common::pause(context_, constants::ask_least - spent, yield);
     }
   }
 }
 
-void Station::heard_from(schema::NewsAnswer const& news) {
+void RelayServer::heard_from(schema::NewsAnswer const& update) {
   heard_ = true;
   heard_at_ = common::boot_now();
-  know_trellises(news.colleagues);
+  know_controllers(update.peers);
 }
 
-void Station::know_trellises(std::vector<std::string> const& told) {
+void RelayServer::know_controllers(std::vector<std::string> const& told) {
   std::vector<std::string> known;
   for (std::vector<std::string> const* const addresses :
        std::initializer_list<std::vector<std::string> const*>{&told, &settings_.seeds}) {
@@ -329,30 +329,30 @@
       }
     }
   }
-  trellises_ = std::move(known);
+  controllers_ = std::move(known);
 }
 
-void Station::know_more_trellises(std::vector<std::string> const& told) {
+void RelayServer::know_more_controllers(std::vector<std::string> const& told) {
   for (std::string const& address : told) {
-    if (!address.empty() && std::find(trellises_.begin(), trellises_.end(), address) == trellises_.end()) {
-      trellises_.push_back(address);
+    if (!address.empty() && std::find(controllers_.begin(), controllers_.end(), address) == controllers_.end()) {
+      controllers_.push_back(address);
     }
   }
 }
 
-void Station::renew(schema::Settings const& settings) {
+void RelayServer::renew(schema::Settings const& settings) {
   // In touch, the order as told stays; out of touch the new seeds come first.
-  std::vector<std::string> known = lost_ ? settings.seeds : trellises_;
-  known.insert(known.end(), trellises_.begin(), trellises_.end());
+  std::vector<std::string> known = lost_ ? settings.seeds : controllers_;
+  known.insert(known.end(), controllers_.begin(), controllers_.end());
   settings_ = settings;
-  know_trellises(known);
+  know_controllers(known);
 }
 
-void Station::read_own_list(common::Yield yield) {
+void RelayServer::read_own_list(common::Yield yield) {
   while (true) {
     common::pause(context_, constants::own_list_after / 4, yield);
     common::Moment const now = common::boot_now();
-    if (list_reader_ == nullptr || book_ == nullptr ||
+    if (list_reader_ == nullptr || route_table_ == nullptr ||
         now - std::max(list_.as_of(), heard_at_) < constants::own_list_after) {
       continue;
     }
@@ -374,24 +374,24 @@
   }
 }
 
-void Station::take(schema::NewsAnswer const& answer, common::Moment asked) {
+void RelayServer::take(schema::NewsAnswer const& answer, common::Moment asked) {
   report_ms_ = answer.report_ms;
   while (!reports_.empty() && reports_.front().slice <= answer.reports_taken) {
     reports_.pop_front();
   }
   bool changed = false;
-  for (schema::NamedValue const& news : vouch_.take(answer, asked, common::boot_now())) {
+  for (schema::NamedValue const& update : freshness_.take(answer, asked, common::boot_now())) {
     changed = true;
-    if (news.name == config::charter_register) {
-      take_charter(news);
-      common::note(common::Event::RevisionAdopted, "charter revision " + std::to_string(news.revision));
-    } else if (news.name == config::evacuated_register) {
-      check_evacuations(news);
-      std::vector<std::string> const zones = config::evacuated_zones(news.content);
+    if (update.name == config::routing_config_register) {
+      take_routing_config(update);
+      common::note(common::Event::RevisionAdopted, "charter revision " + std::to_string(update.revision));
+    } else if (update.name == config::evacuated_register) {
+      check_evacuations(update);
+      std::vector<std::string> const zones = config::evacuated_zones(update.content);
       evacuated_ = decltype(evacuated_)(zones.begin(), zones.end());
-      common::note(common::Event::RevisionAdopted, "evacuated " + news.content);
-    } else if (news.name.rfind(consensus::split_prefix, 0) == 0) {
-      take_split(news);
+      common::note(common::Event::RevisionAdopted, "evacuated " + update.content);
+    } else if (update.name.rfind(consensus::split_prefix, 0) == 0) {
+      take_split(update);
     }
   }
   if (members_.take(answer)) {
@@ -399,10 +399,10 @@
     for (schema::Member const& member : members_.members()) {
       names.push_back(member.name);
     }
-    census_.told(names, common::boot_now());
+    proxy_count_.told(names, common::boot_now());
     changed = true;
   }
-  if (list_.take(membership::list_news(answer), answer.list_age, asked)) {
+  if (list_.take(membership::list_update(answer), answer.list_age, asked)) {
     take_list();
     changed = true;
   }
@@ -411,22 +411,22 @@
   }
 }
 
-void Station::take_charter(schema::NamedValue const& news) {
-  config::CharterReading reading = notation_.read(news.content);
-  check_charter(news, reading);
+void RelayServer::take_routing_config(schema::NamedValue const& update) {
+  config::RoutingConfigReading reading = notation_.read(update.content);
+  check_routing_config(update, reading);
   if (!reading.good()) {
     return;  // the one before stays
   }
-  book_ = std::make_shared<scheduling::LaneBook const>(std::move(reading.charter));
-  check_routes(news.revision, *book_);
+  route_table_ = std::make_shared<scheduling::RouteTable const>(std::move(reading.routing_config));
+  check_routes(update.revision, *route_table_);
 }
 
-void Station::take_split(schema::NamedValue const& news) {
-  absl::StatusOr<schema::Split> split = scheduling::read_split(news.content);
+void RelayServer::take_split(schema::NamedValue const& update) {
+  absl::StatusOr<schema::Split> split = scheduling::read_split(update.content);
   if (!split.ok()) {
     return;  // the one before stays: it is whole
   }
-  splits_[news.name.substr(std::strlen(consensus::split_prefix))] = std::move(*split);
+  splits_[update.name.substr(std::strlen(consensus::split_prefix))] = std::move(*split);
   std::set<std::string> frozen;
   for (std::pair<std::string const, schema::Split> const& entry : splits_) {
     if (entry.second.frozen) {
@@ -434,10 +434,10 @@
     }
   }
   observer_.freeze(std::move(frozen));
-  common::note(common::Event::RevisionAdopted, news.name + " revision " + std::to_string(news.revision));
+  common::note(common::Event::RevisionAdopted, update.name + " revision " + std::to_string(update.revision));
 }
 
-std::string Station::phase_of(schema::WorkerEntry const& entry, std::string const& region) const {
+std::string RelayServer::phase_of(schema::WorkerEntry const& entry, std::string const& region) const {
   if (!entry.phase.empty()) {
     return entry.phase;
   }
@@ -450,7 +450,7 @@
   return phase == split->second.phases.end() ? "both" : phase->second;
 }
 
-std::vector<schema::FurrowReport> Station::reports(common::Moment now) {
+std::vector<schema::FurrowReport> RelayServer::reports(common::Moment now) {
   if (report_ms_ == 0) {
     reports_.clear();
     return {};
@@ -468,27 +468,29 @@
   return {reports_.begin(), reports_.end()};
 }
 
-void Station::saw(scheduling::Sighting sighting, scheduling::Spot const& spot, scheduling::Wanted const& wanted) {
+void RelayServer::saw(scheduling::Sighting sighting, scheduling::Assignment const& assignment,
+                      scheduling::Wanted const& wanted) {
   if (report_ms_ == 0) {
     return;
   }
   common::Moment const now = common::boot_now();
-  sighting.worker = spot.worker;
-  sighting.pool = grove_.pool_of(spot.worker);
+  sighting.worker = assignment.worker;
+  sighting.pool = balancer_.pool_of(assignment.worker);
   sighting.long_prompt = wanted.tokens >= constants::owned_tokens;
-  sighting.alone = spot.alone;
-  sighting.sure = spot.sure;
-  sighting.uncached = spot.uncached;
-  sighting.cached = std::max(0.0, wanted.tokens - spot.uncached);
-  sighting.running = (spot.running + 1 + grove_.running_on(spot.worker, now)) / 2;
+  sighting.alone = assignment.alone;
+  sighting.sure = assignment.sure;
+  sighting.uncached = assignment.uncached;
+  sighting.cached = std::max(0.0, wanted.tokens - assignment.uncached);
+  sighting.running = (assignment.running + 1 + balancer_.running_on(assignment.worker, now)) / 2;
   std::size_t const slash = sighting.pool.find('/');
-  schema::Service const* const service =
-      book_ == nullptr || slash == std::string::npos ? nullptr : book_->service(sighting.pool.substr(slash + 1));
+  schema::Service const* const service = route_table_ == nullptr || slash == std::string::npos
+                                             ? nullptr
+                                             : route_table_->service(sighting.pool.substr(slash + 1));
   observer_.saw(sighting, service == nullptr ? 1 : static_cast<double>(service->stride),
                 schema::ScalerAims().experts_share);
 }
 
-void Station::take_list() {
+void RelayServer::take_list() {
   std::map<std::string, common::Moment> cold;
   for (schema::WorkerEntry const& entry : list_.list().workers) {
     if (entry.cold_ms > 0) {
@@ -498,58 +500,58 @@
   cold_until_.swap(cold);
 }
 
-void Station::settle() {
-  if (book_ == nullptr) {
+void RelayServer::settle() {
+  if (route_table_ == nullptr) {
     return;
   }
-  std::vector<scheduling::Stand> stands;
+  std::vector<scheduling::WorkerSpec> specs;
   std::set<std::string> listed;
   for (schema::WorkerEntry const& entry : list_.list().workers) {
-    schema::Service const* const service = book_->service(entry.service);
+    schema::Service const* const service = route_table_->service(entry.service);
     if (service == nullptr) {
       continue;
     }
     listed.insert(entry.id);
-    scheduling::Stand stand;
-    stand.id = entry.id;
-    stand.address = entry.address;
-    stand.service = entry.service;
-    stand.hall = entry.zone;
+    scheduling::WorkerSpec spec;
+    spec.id = entry.id;
+    spec.address = entry.address;
+    spec.service = entry.service;
+    spec.hall = entry.zone;
     std::map<std::string, std::string>::const_iterator const region = settings_.regions.find(entry.zone);
-    stand.region = region == settings_.regions.end() ? "" : region->second;
-    stand.model = service->model;
-    stand.phase = stand.model ? phase_of(entry, stand.region) : "";
-    stand.draining = entry.draining;
-    stand.evacuated = evacuated_.count(entry.zone) > 0;
-    stand.capacity = std::max<std::uint64_t>(1, entry.capacity);
-    stand.connections = service->connections;
-    stand.cold_rate = service->cold_rate;
-    stand.kept_tokens = static_cast<double>(service->kept_tokens);
+    spec.region = region == settings_.regions.end() ? "" : region->second;
+    spec.model = service->model;
+    spec.phase = spec.model ? phase_of(entry, spec.region) : "";
+    spec.draining = entry.draining;
+    spec.evacuated = evacuated_.count(entry.zone) > 0;
+    spec.capacity = std::max<std::uint64_t>(1, entry.capacity);
+    spec.connections = service->connections;
+    spec.cold_rate = service->cold_rate;
+    spec.kept_tokens = static_cast<double>(service->kept_tokens);
     std::map<std::string, common::Moment>::const_iterator const cold = cold_until_.find(entry.id);
-    stand.cold_until = cold == cold_until_.end() ? 0 : cold->second;
-    stands.push_back(std::move(stand));
+    spec.cold_until = cold == cold_until_.end() ? 0 : cold->second;
+    specs.push_back(std::move(spec));
   }
-  scheduling::GroveTerms terms;
+  scheduling::LoadBalancerContext terms;
   terms.hall = settings_.hall;
   terms.region = settings_.region;
   terms.self = settings_.name;
   terms.cold_overshoot = settings_.bounds.cold_overshoot;
   terms.cold_slack = settings_.bounds.cold_slack;
-  terms.claims = book_->claims();
+  terms.claims = route_table_->claims();
   terms.keep_long_apart = constants::keep_long_apart;
-  terms.furrows = census_.furrows(common::boot_now());
-  if (terms.furrows.empty()) {
-    terms.furrows.push_back(settings_.name);
+  terms.proxies = proxy_count_.proxies(common::boot_now());
+  if (terms.proxies.empty()) {
+    terms.proxies.push_back(settings_.name);
   }
-  grove_.update(stands, terms, common::boot_now());
-  walls_.keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
+  balancer_.update(specs, terms, common::boot_now());
+  isolation_.keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
   std::erase_if(kept_, [&listed](std::pair<std::string const, std::deque<Kept>> const& entry) {
     return listed.count(entry.first) == 0;
   });
 }
 
-std::string Station::directory(std::string const& hall, std::string const& region) {
-  std::vector<std::string> same_hall;
+std::string RelayServer::directory(std::string const& hall, std::string const& region) {
+  std::vector<std::string> same_zone;
   std::vector<std::string> same_region;
   std::vector<std::string> others;
   bool self_there = false;
@@ -561,15 +563,15 @@
     }
     std::map<std::string, std::string>::const_iterator const found = settings_.regions.find(member.hall);
     bool const here = found != settings_.regions.end() && found->second == region;
-    (member.hall == hall ? same_hall : here ? same_region : others).push_back(member.address);
+    (member.hall == hall ? same_zone : here ? same_region : others).push_back(member.address);
   }
   if (!self_there && ready()) {
-    (settings_.hall == hall       ? same_hall
+    (settings_.hall == hall       ? same_zone
      : settings_.region == region ? same_region
                                   : others)
         .push_back(settings_.http_address);
   }
-  std::vector<std::string> addresses = same_hall;
+  std::vector<std::string> addresses = same_zone;
   if (addresses.size() < constants::directory_least) {
     addresses.insert(addresses.end(), same_region.begin(), same_region.end());
   }
@@ -582,7 +584,7 @@
   return dialect_.print_directory(addresses, static_cast<double>(settings_.bounds.directory_ttl_ms) / 1000);
 }
 
-void Station::serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield) {
+void RelayServer::serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield) {
   boost::beast::flat_buffer buffer;
   std::shared_ptr<Alarm> const alarm = std::make_shared<Alarm>(context_, [socket] {
     error_code ignored;
@@ -616,10 +618,10 @@
       body = directory(query["zone"], query["region"]);
     } else if (path == "/-/metrics") {
       status = "200 OK";
-      body = tally_.print() + print_wall_metrics(walls_) + common::invariant_metrics();
+      body = tally_.print() + print_isolation_metrics(isolation_) + common::invariant_metrics();
     } else if (path == "/-/tenants") {
       status = "200 OK";
-      body = print_tenants(walls_);
+      body = print_tenants(isolation_);
     }
     bool const again = parser.get().keep_alive() && !draining_;
     std::string const text = "HTTP/1.1 " + status +
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -69,10 +69,10 @@
 
 /// The state of one relaying furrow, on one thread: the newest charter that it
 /// knows, its workers, colleagues and kept connections.
-class Station {
+class RelayServer {
  public:
-  Station(boost::asio::io_context& context, schema::Settings const& settings, Dialect dialect,
-          config::Notation notation, ListReader list_reader, std::uint64_t identity);
+  RelayServer(boost::asio::io_context& context, schema::Settings const& settings, Dialect dialect,
+              config::Notation notation, ListReader list_reader, std::uint64_t identity);
 
   [[nodiscard]] absl::Status begin();
   void drain();
@@ -83,31 +83,31 @@
   [[nodiscard]] boost::asio::io_context& context() { return context_; }
   [[nodiscard]] schema::Settings const& settings() const { return settings_; }
   [[nodiscard]] Dialect const& dialect() const { return dialect_; }
-  [[nodiscard]] std::shared_ptr<scheduling::LaneBook const> const& book() const { return book_; }
-  [[nodiscard]] scheduling::Grove& grove() { return grove_; }
+  [[nodiscard]] std::shared_ptr<scheduling::RouteTable const> const& route_table() const { return route_table_; }
+  [[nodiscard]] scheduling::LoadBalancer& balancer() { return balancer_; }
   [[nodiscard]] scheduling::Mechanisms const& mechanisms() const { return mechanisms_; }
-  [[nodiscard]] scheduling::Rights& rights(std::string const& service);
+  [[nodiscard]] scheduling::RetryQuota& retry_quota(std::string const& service);
   [[nodiscard]] Tally& tally() { return tally_; }
-  [[nodiscard]] scheduling::Walls& walls() { return walls_; }
+  [[nodiscard]] scheduling::PromptIsolation& isolation() { return isolation_; }
   [[nodiscard]] bool draining() const { return draining_; }
   [[nodiscard]] common::Moment begun_at() const { return begun_at_; }
   /// It has had a charter and a list of workers, even an empty one, since it started.
-  [[nodiscard]] bool begun() const { return book_ != nullptr && list_.as_of() > 0; }
+  [[nodiscard]] bool begun() const { return route_table_ != nullptr && list_.as_of() > 0; }
   /// A majority stood behind the charter of late, so a route that it lacks may be refused for good (section 13.15).
-  [[nodiscard]] bool charter_confirmed() const {
-    return vouch_.confirmed_within(common::constants::charter_confirmed_bound, common::boot_now());
+  [[nodiscard]] bool routing_config_confirmed() const {
+    return freshness_.confirmed_within(common::constants::routing_config_confirmed_bound, common::boot_now());
   }
-  [[nodiscard]] bool ready() const { return book_ != nullptr && heard_ && !draining_ && grove_.size() > 0; }
+  [[nodiscard]] bool ready() const { return route_table_ != nullptr && heard_ && !draining_ && balancer_.size() > 0; }
 
   /// A kept connection to the worker that seems whole, or none.
   [[nodiscard]] std::unique_ptr<Socket> kept(std::string const& worker);
   void keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest);
 
   /// A stream ended whole; what it shows goes into the next report.
-  void saw(scheduling::Sighting sighting, scheduling::Spot const& spot, scheduling::Wanted const& wanted);
+  void saw(scheduling::Sighting sighting, scheduling::Assignment const& assignment, scheduling::Wanted const& wanted);
 
   /// How long a query waits for the first charter.
-  common::Span charter_hold = common::constants::charter_hold;
+  common::Span routing_config_hold = common::constants::routing_config_hold;
   common::Span lost_patience = common::constants::lost_patience;
   void opened() { ++open_; }
   void closed() { --open_; }
@@ -124,14 +124,14 @@
   [[nodiscard]] absl::Status listen(std::string const& address,
                                     std::function<void(std::shared_ptr<Socket>, common::Yield)> session);
   void serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield);
-  void ask_news(common::Yield yield);
-  void heard_from(schema::NewsAnswer const& news);
+  void ask_for_updates(common::Yield yield);
+  void heard_from(schema::NewsAnswer const& update);
   /// Trellises to ask, near ones first as told; seeds stay in for the day that
   /// all others are gone.
-  void know_trellises(std::vector<std::string> const& told);
+  void know_controllers(std::vector<std::string> const& told);
   /// Trellises that one without a majority names are asked as well, behind those known: all seeds may be cut off
   /// from the majority (section 13.15).
-  void know_more_trellises(std::vector<std::string> const& told);
+  void know_more_controllers(std::vector<std::string> const& told);
   void read_own_list(common::Yield yield);
   void follow_secrets(common::Yield yield);
   void take(schema::NewsAnswer const& answer, common::Moment asked);
@@ -140,8 +140,8 @@
   [[nodiscard]] schema::NewsAsk ask(std::vector<schema::FurrowReport> reports) const;
   void settle();
   [[nodiscard]] schema::Member self() const;
-  void take_charter(schema::NamedValue const& news);
-  void take_split(schema::NamedValue const& news);
+  void take_routing_config(schema::NamedValue const& update);
+  void take_split(schema::NamedValue const& update);
   [[nodiscard]] std::string phase_of(schema::WorkerEntry const& entry, std::string const& region) const;
   /// The reports that go with an ask now.
   [[nodiscard]] std::vector<schema::FurrowReport> reports(common::Moment now);
@@ -155,28 +155,28 @@
   std::uint64_t identity_;
   common::Caller caller_;
   ContentFetcher contents_;
-  membership::FreshnessLease vouch_;
-  std::shared_ptr<scheduling::LaneBook const> book_;
+  membership::FreshnessLease freshness_;
+  std::shared_ptr<scheduling::RouteTable const> route_table_;
   std::set<std::string> evacuated_;
-  membership::ListCopy list_;
-  membership::MemberCopy members_;
+  membership::ListReplica list_;
+  membership::MemberReplica members_;
   common::Moment begun_at_ = 0;
-  scheduling::Census census_;
+  scheduling::ProxyCount proxy_count_;
   std::map<std::string, common::Moment> cold_until_;
-  std::vector<std::string> trellises_;
+  std::vector<std::string> controllers_;
   common::Moment heard_at_ = 0;
   bool heard_ = false;
   bool lost_ = true;  ///< no trellis answered the last ask
   scheduling::Mechanisms mechanisms_;
-  scheduling::Grove grove_;
+  scheduling::LoadBalancer balancer_;
   scheduling::Observer observer_;
   std::map<std::string, schema::Split> splits_;  ///< by pool
   std::deque<schema::FurrowReport> reports_;     ///< not taken by a trellis yet
   std::uint64_t report_ms_ = 0;                  ///< how often they are wanted; 0: not
   std::uint64_t report_slice_ = 0;
   common::Moment reported_at_ = 0;
-  scheduling::Walls walls_;
-  std::map<std::string, scheduling::Rights> rights_;
+  scheduling::PromptIsolation isolation_;
+  std::map<std::string, scheduling::RetryQuota> retry_quota_;
   std::map<std::string, std::deque<Kept>> kept_;
   std::vector<std::shared_ptr<Acceptor>> acceptors_;
   std::uint64_t open_ = 0;
@@ -186,6 +186,6 @@
 };
 
 /// Serves one caller's connection (relay.cpp).
-void serve_caller(Station& station, std::shared_ptr<Socket> const& socket, common::Yield yield);
+void serve_caller(RelayServer& station, std::shared_ptr<Socket> const& socket, common::Yield yield);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/request_head.cpp
+++ b/source/data_plane/relay/request_head.cpp
@@ -16,7 +16,7 @@
       .append(view(query_.header.target()))
       .append(" HTTP/1.1\r\n");
   std::vector<std::string_view> replaced{dialect.left, dialect.target};
-  bool const resuming = chart_.last_event() > 0 && numbering_.last().has_value();
+  bool const resuming = state_machine_.last_event() > 0 && numbering_.last().has_value();
   if (resuming) {
     replaced.push_back(dialect.last_event);
   }
@@ -28,20 +28,20 @@
       .append(": ")
       .append(std::to_string(std::max<common::Span>(1, (deadline_ - common::boot_now()) / 1000)))
       .append("\r\n");
-  text.append(dialect.target).append(": ").append(spot_.worker).append("\r\n");
+  text.append(dialect.target).append(": ").append(assignment_.worker).append("\r\n");
   if (resuming) {
     text.append(dialect.last_event).append(": ").append(std::to_string(*numbering_.last())).append("\r\n");
   }
-  if (prompt_.has_value() && !walled_.header.empty()) {
-    text.append(dialect.parts).append(": ").append(walled_.header).append("\r\n");
+  if (prompt_.has_value() && !isolated_.header.empty()) {
+    text.append(dialect.parts).append(": ").append(isolated_.header).append("\r\n");
   }
-  if (prompt_.has_value() && !walled_.version.empty()) {
-    text.append(dialect.expected).append(": ").append(walled_.version).append("\r\n");
+  if (prompt_.has_value() && !isolated_.version.empty()) {
+    text.append(dialect.expected).append(": ").append(isolated_.version).append("\r\n");
   }
-  if (!dialect.urgency.empty() && lane_.stream && query_.header[dialect.urgency].empty()) {
+  if (!dialect.urgency.empty() && route_.stream && query_.header[dialect.urgency].empty()) {
     text.append(dialect.urgency)
         .append(": ")
-        .append(std::to_string(std::clamp<std::int64_t>(lane_.priority, 0, 9)))
+        .append(std::to_string(std::clamp<std::int64_t>(route_.priority, 0, 9)))
         .append("\r\n");
   }
   if (!query_.body->empty() || query_.had_length) {
--- a/source/data_plane/relay/stall.cpp
+++ b/source/data_plane/relay/stall.cpp
@@ -8,7 +8,7 @@
 namespace constants = common::constants;
 using boost::system::error_code;
 
-void Relay::perform(scheduling::SilenceAction const& action) {
+void Relay::perform(scheduling::StallAction const& action) {
   std::visit([this](auto const& entry) { act(entry); }, action);
 }
 
@@ -22,7 +22,7 @@
     return;
   }
   alarm_->set(std::min(deadline_, probe.due));
-  absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(spot_.address);
+  absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(assignment_.address);
   probe_ = std::make_shared<Socket>(station_.context());
   if (!endpoint.ok() || common::open_own(*probe_, *endpoint)) {
     return;  // its moment ends it
@@ -46,9 +46,9 @@
 }
 
 bool Relay::may_ask_another(common::Moment now) {
-  wanted_.avoid.push_back(spot_.worker);
-  bool const other = repeatable() && chart_.dispatches() < static_cast<int>(lane_.dispatches) && may_spend(false) &&
-                     station_.grove().alternative(wanted_, now);
+  wanted_.avoid.push_back(assignment_.worker);
+  bool const other = repeatable() && state_machine_.dispatches() < static_cast<int>(route_.dispatches) &&
+                     may_spend(false) && station_.balancer().alternative(wanted_, now);
   wanted_.avoid.pop_back();
   return other;
 }
@@ -60,11 +60,11 @@
     return;
   }
   // The right is taken now: others whose worker fell silent at the same moment must not count on the same one.
-  reserved_ = station_.rights(service_).take();
+  reserved_ = station_.retry_quota(service_).take();
   // Slow, not dark, if anything came from it since: no reason for it to rest.
-  slow_ = station_.grove().heard_at(spot_.worker) >= silence_.since();
+  slow_ = station_.balancer().heard_at(assignment_.worker) >= silence_.since();
   if (station_.mechanisms().set_aside && worker_ != nullptr &&
-      std::holds_alternative<scheduling::Streaming>(chart_.state()) && reading_->sending->whole()) {
+      std::holds_alternative<scheduling::Streaming>(state_machine_.state()) && reading_->sending->whole()) {
     // Part of its stream is with the caller: it is only set aside until another one goes on, since that may refuse.
     setting_aside_ = true;
     error_code ignored;
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -81,14 +81,14 @@
 scheduling::Outcome Relay::talk() {
   Dialect const& dialect = station_.dialect();
   common::Moment const sent = common::boot_now();
-  expect_bytes(lane_.set_point_ms, sent);
+  expect_bytes(route_.set_point_ms, sent);
   if (prompt_.has_value()) {
-    walled_ = station_.walls().send(*prompt_, spot_.worker, draw_once());
+    isolated_ = station_.isolation().send(*prompt_, assignment_.worker, draw_once());
   }
   begin_sending();
   if (!read_head(*reading_)) {
-    after_ = scheduling::WorkerDefect{"no_answer"};
-    return scheduling::Outcome::defect;
+    after_ = scheduling::WorkerFailure{"no_answer"};
+    return scheduling::Outcome::failure;
   }
   boost::beast::flat_buffer& buffer = reading_->buffer;
   Parser& parser = *reading_->parser;
@@ -97,8 +97,8 @@
   hear_load(view(got[dialect.load]));
   if (is_refusal(got)) {
     after_ = scheduling::WorkerRefused{};
-    std::string const expected = walled_.version;
-    hear_wall(got, false);
+    std::string const expected = isolated_.version;
+    hear_isolation(got, false);
     bool const other_weights =
         prompt_.has_value() && !got[dialect.weights].empty() && view(got[dialect.weights]) != expected;
     if (status == 421 && !other_weights) {
@@ -108,16 +108,16 @@
     return scheduling::Outcome::refused;
   }
   if (view(got[dialect.query]) != id_) {
-    after_ = scheduling::WorkerDefect{"wrong_query"};
-    return scheduling::Outcome::defect;
+    after_ = scheduling::WorkerFailure{"wrong_query"};
+    return scheduling::Outcome::failure;
   }
   bool const success = status >= 200 && status < 300;
   if ((success && got[dialect.seal].empty()) || !got[dialect.not_run].empty() || status < 200 || status == 429 ||
       status == 503 || status == 408) {
-    after_ = scheduling::WorkerDefect{"no_answer_of_ours"};
-    return scheduling::Outcome::defect;
+    after_ = scheduling::WorkerFailure{"no_answer_of_ours"};
+    return scheduling::Outcome::failure;
   }
-  hear_wall(got, success);
+  hear_isolation(got, success);
   if (success && !bare_ && got[http::field::content_type].starts_with("text/event-stream")) {
     reading_->sent = sent;
     return talk_events(*reading_);
@@ -135,7 +135,7 @@
     figure = static_cast<double>(natural(word.substr(std::min(word.size(), word.find_first_not_of(' '))), 0));
     text.remove_prefix(std::min(text.size(), word.size() + 1));
   }
-  station_.grove().told(spot_.worker, figures[0], figures[1], figures[2], common::boot_now());
+  station_.balancer().told(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
 }
 
 void Relay::after_answer(boost::beast::flat_buffer const& buffer, Parser const& parser) {
@@ -174,18 +174,18 @@
   bool const bare = bare_ || status == 204 || status == 304;
   while (!parser.is_done()) {
     if (!read_some(buffer, parser, bytes) || body.size() + bytes.size() > constants::answer_limit) {
-      after_ = scheduling::WorkerDefect{"cut_answer"};
-      return scheduling::Outcome::defect;
+      after_ = scheduling::WorkerFailure{"cut_answer"};
+      return scheduling::Outcome::failure;
     }
     body += bytes;
   }
   if (!bare && !ended_whole(parser)) {
-    after_ = scheduling::WorkerDefect{"cut_answer"};
-    return scheduling::Outcome::defect;
+    after_ = scheduling::WorkerFailure{"cut_answer"};
+    return scheduling::Outcome::failure;
   }
   first_seen_ = true;
   if (prompt_.has_value()) {
-    station_.grove().first_token(spot_, status < 300 ? kept_parts() : std::vector<scheduling::Part>(), 0);
+    station_.balancer().first_token(assignment_, status < 300 ? kept_parts() : std::vector<scheduling::Part>(), 0);
   }
   first_at_ = common::boot_now();
   // An answer to HEAD tells the length that the body would have.
@@ -196,11 +196,11 @@
   whole_body_ = std::move(body);
   after_answer(buffer, parser);
   if (status >= 500 && repeatable()) {
-    after_ = scheduling::WorkerDefect{"worker_error"};
-    return scheduling::Outcome::defect;
+    after_ = scheduling::WorkerFailure{"worker_error"};
+    return scheduling::Outcome::failure;
   }
   after_ = scheduling::Whole{};
-  return status >= 500 ? scheduling::Outcome::defect : scheduling::Outcome::good;
+  return status >= 500 ? scheduling::Outcome::failure : scheduling::Outcome::good;
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/updates/updates.cpp
+++ b/source/data_plane/updates/updates.cpp
@@ -11,10 +11,10 @@
 
 namespace constants = common::constants;
 
-void begin_news(boost::asio::io_context& context, common::Caller& caller, Field& field,
-                std::vector<std::string> seeds) {
+void begin_updates(boost::asio::io_context& context, common::Caller& caller, ProxyState& field,
+                   std::vector<std::string> seeds) {
   common::start(context, [&context, &caller, &field, seeds](common::Yield yield) {
-    std::vector<std::string> trellises = seeds;
+    std::vector<std::string> controllers = seeds;
     std::size_t turn = common::random_number() % std::max<std::size_t>(1, seeds.size());
     ContentFetcher contents(context, caller);
     std::deque<schema::FurrowReport> reports;
@@ -32,29 +32,30 @@
       schema::NewsAsk ask{field.self(), 0, 0, 0, {reports.begin(), reports.end()}};
       common::Moment const asked = common::boot_now();
       absl::StatusOr<schema::Message> const answer =
-          caller.call(trellises[turn % trellises.size()], ask, constants::ask_deadline, yield);
-      schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
-      if (news != nullptr) {
-        while (!reports.empty() && reports.front().slice <= news->reports_taken) {
+          caller.call(controllers[turn % controllers.size()], ask, constants::ask_deadline, yield);
+      schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
+      if (update != nullptr) {
+        while (!reports.empty() && reports.front().slice <= update->reports_taken) {
           reports.pop_front();
         }
-        field.take(contents.completed(*news, trellises[turn % trellises.size()]), asked);
+        field.take(contents.completed(*update, controllers[turn % controllers.size()]), asked);
       }
-      if (news == nullptr || !news->vouched) {
+      if (update == nullptr || !update->confirmed) {
         ++turn;
         if (common::boot_now() - asked < constants::ask_retry) {
           common::pause(context, constants::ask_retry, yield);
         }
       } else {
         // Seeds stay in, for the day that all the others are gone.
-        std::string const current = trellises[turn % trellises.size()];
-        trellises = seeds;
-        for (std::string const& colleague : news->colleagues) {
-          if (!colleague.empty() && std::find(trellises.begin(), trellises.end(), colleague) == trellises.end()) {
-            trellises.push_back(colleague);
+        std::string const current = controllers[turn % controllers.size()];
+        controllers = seeds;
+        for (std::string const& peer : update->peers) {
+          if (!peer.empty() && std::find(controllers.begin(), controllers.end(), peer) == controllers.end()) {
+            controllers.push_back(peer);
           }
         }
-        turn = static_cast<std::size_t>(std::find(trellises.begin(), trellises.end(), current) - trellises.begin());
+        turn =
+            static_cast<std::size_t>(std::find(controllers.begin(), controllers.end(), current) - controllers.begin());
         if (contents.busy()) {  // what is withheld counts as news, so asks are answered at once
           common::pause(context, constants::ask_retry, yield);
         }
--- a/source/data_plane/updates/updates.hpp
+++ b/source/data_plane/updates/updates.hpp
@@ -6,8 +6,9 @@
 
 /// Starts the loops that ask trellises for news (section 6), make reports and
 /// reconcile.
-void begin_news(boost::asio::io_context& context, common::Caller& caller, Field& field, std::vector<std::string> seeds);
+void begin_updates(boost::asio::io_context& context, common::Caller& caller, ProxyState& field,
+                   std::vector<std::string> seeds);
 /// Starts the loops that look at each wished worker's load (section 8.5).
-void begin_watch(boost::asio::io_context& context, Field& field);
+void begin_watch(boost::asio::io_context& context, ProxyState& field);
 
 }  // namespace finchlink::data_plane
--- a/source/fake_workers/ledger/ledger.cpp
+++ b/source/fake_workers/ledger/ledger.cpp
@@ -110,7 +110,7 @@
   return common::print_tree(object.get(), true);
 }
 
-void RegisterClient::walls(std::string const& tenant, CacheReading const& reading) {
+void RegisterClient::isolation(std::string const& tenant, CacheReading const& reading) {
   std::lock_guard<std::mutex> const guard(lock_);
   TenantReuse& entry = by_tenant_[tenant];
   ++entry.prompts;
@@ -127,7 +127,7 @@
   }
 }
 
-std::string RegisterClient::print_walls() {
+std::string RegisterClient::print_isolation() {
   std::lock_guard<std::mutex> const guard(lock_);
   common::Tree object(cJSON_CreateObject());
   cJSON* const tenants = cJSON_AddObjectToObject(object.get(), "tenants");
--- a/source/fake_workers/ledger/ledger.hpp
+++ b/source/fake_workers/ledger/ledger.hpp
@@ -34,8 +34,8 @@
   /// From now on queries of the rule may reach workers of this region only; empty: of any.
   void only(std::string const& rule, std::string const& region);
   /// What a relayed prompt found at a worker, by its true tenant.
-  void walls(std::string const& tenant, CacheReading const& reading);
-  [[nodiscard]] std::string print_walls();
+  void isolation(std::string const& tenant, CacheReading const& reading);
+  [[nodiscard]] std::string print_isolation();
   [[nodiscard]] std::string print();
   [[nodiscard]] std::string ran_nonces();
 
--- a/source/fake_workers/main.cpp
+++ b/source/fake_workers/main.cpp
@@ -130,7 +130,7 @@
           return common::answer_text(http::status::ok, ledger.print());
         }
         if (target == "/ledger/walls") {
-          return common::answer_text(http::status::ok, ledger.print_walls());
+          return common::answer_text(http::status::ok, ledger.print_isolation());
         }
         if (target == "/ledger/ran") {
           return common::answer_text(http::status::ok, ledger.ran_nonces(), "text/plain");
--- a/source/fake_workers/worker/worker.cpp
+++ b/source/fake_workers/worker/worker.cpp
@@ -175,7 +175,7 @@
         CacheReading reading;
         if (prefill->relayed) {
           reading = part_cache_.read(prefill->tenant, prefill->weights, prefill->parts);
-          register_.walls(prefill->tenant, reading);
+          register_.isolation(prefill->tenant, reading);
           prefill->reused = reading.reused;
           prefill->read = true;
         }
--- a/source/hollow_nodes/hollow_nodes.cpp
+++ b/source/hollow_nodes/hollow_nodes.cpp
@@ -63,18 +63,18 @@
 
 void Hollow::take(schema::NewsAnswer const& answer, common::Moment asked) {
   common::Moment const now = common::boot_now();
-  bool const lapsed = was_vouched_ && !vouch_.vouched(now);
+  bool const lapsed = was_confirmed_ && !freshness_.confirmed(now);
   tally_.lapses += lapsed ? 1 : 0;
-  for (schema::NamedValue const& news : vouch_.take(answer, asked, now)) {
-    if (news.name == consensus::setup_register) {
-      setup_ = news.content;
-      tally_.adopted[news.revision].push_back(now);
+  for (schema::NamedValue const& update : freshness_.take(answer, asked, now)) {
+    if (update.name == consensus::setup_register) {
+      setup_ = update.content;
+      tally_.adopted[update.revision].push_back(now);
     }
   }
-  was_vouched_ = vouch_.vouched(now);
-  member_.held = vouch_.held();
+  was_confirmed_ = freshness_.confirmed(now);
+  member_.held = freshness_.held();
   (void)members_.take(answer);
-  if (list_.take(membership::list_news(answer), answer.list_age, asked)) {
+  if (list_.take(membership::list_update(answer), answer.list_age, asked)) {
     member_.warm.clear();
     for (schema::WorkerEntry const& worker : list_.list().workers) {
       std::map<std::string, std::string>::const_iterator const hall = gourd_.halls.find(worker.zone);
@@ -86,8 +86,8 @@
 }
 
 void Hollow::converse(common::Yield yield) {
-  std::vector<std::string> const& trellises = gourd_.seeds;
-  std::size_t turn = number_ % trellises.size();
+  std::vector<std::string> const& controllers = gourd_.seeds;
+  std::size_t turn = number_ % controllers.size();
   std::deque<schema::FurrowReport> reports;
   std::uint64_t slice = 0;
   common::Moment reported = common::boot_now();
@@ -109,17 +109,17 @@
     ask.reports.assign(reports.begin(), reports.end());
     ++tally_.asks;
     absl::StatusOr<schema::Message> const answer = caller_.call(
-        trellises[turn], ask, common::milliseconds(static_cast<std::int64_t>(gourd_.ask_deadline_ms)), yield);
-    schema::NewsAnswer const* const news = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
-    if (news != nullptr) {
-      while (!reports.empty() && reports.front().slice <= news->reports_taken) {
+        controllers[turn], ask, common::milliseconds(static_cast<std::int64_t>(gourd_.ask_deadline_ms)), yield);
+    schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
+    if (update != nullptr) {
+      while (!reports.empty() && reports.front().slice <= update->reports_taken) {
         reports.pop_front();
       }
-      take(contents_.completed(*news, trellises[turn]), asked);
+      take(contents_.completed(*update, controllers[turn]), asked);
     }
-    if (news == nullptr || !news->vouched) {
-      ++(news == nullptr ? tally_.unanswered : tally_.unvouched);
-      turn = (turn + 1) % trellises.size();
+    if (update == nullptr || !update->confirmed) {
+      ++(update == nullptr ? tally_.unanswered : tally_.unconfirmed);
+      turn = (turn + 1) % controllers.size();
       if (common::boot_now() - asked < constants::ask_retry) {
         common::pause(context_, constants::ask_retry, yield);
       }
--- a/source/hollow_nodes/hollow_nodes.hpp
+++ b/source/hollow_nodes/hollow_nodes.hpp
@@ -17,7 +17,7 @@
 struct Tally {
   std::uint64_t asks = 0;
   std::uint64_t unanswered = 0;
-  std::uint64_t unvouched = 0;
+  std::uint64_t unconfirmed = 0;
   std::uint64_t lapses = 0;                                      ///< vouches that ended before the next one came
   std::map<std::uint64_t, std::vector<common::Moment>> adopted;  ///< setup revision to when each furrow held it
 };
@@ -43,11 +43,11 @@
   std::uint64_t number_;
   std::string region_;
   schema::Member member_;
-  membership::FreshnessLease vouch_;
-  bool was_vouched_ = false;
+  membership::FreshnessLease freshness_;
+  bool was_confirmed_ = false;
   std::string setup_;
-  membership::MemberCopy members_;
-  membership::ListCopy list_;
+  membership::MemberReplica members_;
+  membership::ListReplica list_;
   common::Moment stirred_ = 0;
 };
 
--- a/source/hollow_nodes/main.cpp
+++ b/source/hollow_nodes/main.cpp
@@ -15,9 +15,9 @@
 namespace {
 using namespace finchlink;
 
-void print(hollow_nodes::Tally const& tally, std::uint64_t furrows) {
-  std::cout << "{\"furrows\": " << furrows << ", \"asks\": " << tally.asks << ", \"unanswered\": " << tally.unanswered
-            << ", \"unvouched\": " << tally.unvouched << ", \"lapses\": " << tally.lapses << ", \"adopted\": {";
+void print(hollow_nodes::Tally const& tally, std::uint64_t proxies) {
+  std::cout << "{\"furrows\": " << proxies << ", \"asks\": " << tally.asks << ", \"unanswered\": " << tally.unanswered
+            << ", \"unvouched\": " << tally.unconfirmed << ", \"lapses\": " << tally.lapses << ", \"adopted\": {";
   char const* separator = "";
   for (std::pair<std::uint64_t const, std::vector<common::Moment>> const& revision : tally.adopted) {
     std::cout << separator << "\"" << revision.first << "\": [";
--- a/source/membership/freshness/freshness_lease.cpp
+++ b/source/membership/freshness/freshness_lease.cpp
@@ -10,10 +10,10 @@
   if (!first_answered_ask_.has_value()) {
     first_answered_ask_ = asked;
   }
-  if (answer.vouched || confirmed_ask_.has_value() || !guards_.wait_for_vouch) {
+  if (answer.confirmed || confirmed_ask_.has_value() || !guards_.wait_for_confirmation) {
     return true;
   }
-  return asked - *first_answered_ask_ >= bounds_.unvouched_wait;
+  return asked - *first_answered_ask_ >= bounds_.unconfirmed_wait;
 }
 
 std::vector<schema::NamedValue> FreshnessLease::take(schema::NewsAnswer const& answer, common::Moment asked,
@@ -21,24 +21,24 @@
   std::vector<schema::NamedValue> adopted;
   std::vector<schema::NamedValue> const nothing;
   bool whole = true;
-  for (schema::NamedValue const& news : may_adopt(answer, asked) ? answer.news : nothing) {
-    if (guards_.contents_whole && news.withheld > 0) {
-      std::map<std::string, std::uint64_t>::const_iterator const known = held_.find(news.name);
-      whole = whole && known != held_.end() && known->second >= news.revision;
+  for (schema::NamedValue const& update : may_adopt(answer, asked) ? answer.updates : nothing) {
+    if (guards_.contents_whole && update.withheld > 0) {
+      std::map<std::string, std::uint64_t>::const_iterator const known = held_.find(update.name);
+      whole = whole && known != held_.end() && known->second >= update.revision;
       continue;
     }
-    std::uint64_t& held = held_[news.name];
-    if (news.revision > held || (!guards_.never_back && news.revision != held)) {
-      common::check(common::Invariant::adopted_revision_rises, news.revision > held, [&] {
-        return news.name + " falls from revision " + std::to_string(held) + " to " + std::to_string(news.revision);
+    std::uint64_t& held = held_[update.name];
+    if (update.revision > held || (!guards_.never_back && update.revision != held)) {
+      common::check(common::Invariant::adopted_revision_rises, update.revision > held, [&] {
+        return update.name + " falls from revision " + std::to_string(held) + " to " + std::to_string(update.revision);
       });
-      held = news.revision;
-      adopted.push_back(news);
+      held = update.revision;
+      adopted.push_back(update);
     }
   }
-  if (answer.vouched && whole) {
+  if (answer.confirmed && whole) {
     confirmed_ask_ = std::max(confirmed_ask_.value_or(asked), asked);
-    vouched_until_ = std::max(vouched_until_, (guards_.count_from_ask ? asked : now) + bounds_.vouch);
+    confirmed_until_ = std::max(confirmed_until_, (guards_.count_from_ask ? asked : now) + bounds_.freshness);
   }
   list_newer_ = answer.list_age >= 0 && asked - answer.list_age > list_as_of_;
   if (list_newer_) {
@@ -47,8 +47,8 @@
   return adopted;
 }
 
-bool FreshnessLease::vouched(common::Moment now) const {
-  return now < vouched_until_ || (!guards_.stop_unvouched && vouched_until_ > 0);
+bool FreshnessLease::confirmed(common::Moment now) const {
+  return now < confirmed_until_ || (!guards_.stop_unvouched && confirmed_until_ > 0);
 }
 
 bool FreshnessLease::confirmed_within(common::Span span, common::Moment now) const {
--- a/source/membership/listing/listing.cpp
+++ b/source/membership/listing/listing.cpp
@@ -68,27 +68,27 @@
 }
 
 std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, common::Span passed,
-                                           ListNews const& news) {
+                                           ListUpdate const& update) {
   schema::PlatformList list = held;
   count_down(list, passed);
-  list.revision = news.list.revision;
-  list.workers = lead_on(list.workers, news.list.workers, news.gone, &schema::WorkerEntry::id);
-  if (digest_of(list) != news.digest) {
+  list.revision = update.list.revision;
+  list.workers = apply_changes(list.workers, update.list.workers, update.gone, &schema::WorkerEntry::id);
+  if (digest_of(list) != update.digest) {
     return std::nullopt;
   }
   return list;
 }
 
-bool Listing::take(ListNews const& news, common::Moment as_of, common::Moment now) {
+bool Listing::take(ListUpdate const& update, common::Moment as_of, common::Moment now) {
   std::uint64_t const before = digest();
-  if (news.same) {
-    if (news.digest == before) {
+  if (update.same) {
+    if (update.digest == before) {
       renew(as_of);
     }
-  } else if (news.from == 0) {
-    (void)keep(news.list, as_of, now);
-  } else if (news.from == before && as_of > as_of_) {
-    std::optional<schema::PlatformList> const next = led_on(list_, as_of - as_of_, news);
+  } else if (update.from == 0) {
+    (void)keep(update.list, as_of, now);
+  } else if (update.from == before && as_of > as_of_) {
+    std::optional<schema::PlatformList> const next = led_on(list_, as_of - as_of_, update);
     astray_ = !next.has_value();
     if (next.has_value()) {
       (void)keep(*next, as_of, now);
@@ -97,21 +97,21 @@
   return digest() != before;
 }
 
-ListNews Listing::since(std::uint64_t digest) const {
-  ListNews news;
-  news.digest = source_.digest();
+ListUpdate Listing::since(std::uint64_t digest) const {
+  ListUpdate update;
+  update.digest = source_.digest();
   std::optional<common::Delta> const delta = source_.since(digest);
-  news.same = !delta.has_value();
-  if (news.same) {
-    return news;
+  update.same = !delta.has_value();
+  if (update.same) {
+    return update;
   }
   if (delta->whole) {
-    news.list = list_;
-    return news;
+    update.list = list_;
+    return update;
   }
-  news.from = digest;
-  news.gone = delta->removed;
-  news.list.revision = list_.revision;
+  update.from = digest;
+  update.gone = delta->removed;
+  update.list.revision = list_.revision;
   std::set<std::string> put;
   for (std::pair<std::string, std::string> const& entry : delta->put) {
     put.insert(entry.first);
@@ -120,10 +120,10 @@
     // What counts down is no part of the digest: a spell that began anew
     // between two lists is told along, as it would be in the whole list.
     if (put.count(worker.id) > 0 || worker.cold_ms > 0 || worker.left_ms > 0) {
-      news.list.workers.push_back(worker);
+      update.list.workers.push_back(worker);
     }
   }
-  return news;
+  return update;
 }
 
 void count_down(schema::PlatformList& list, common::Span passed) {
--- a/source/membership/listing/listing.hpp
+++ b/source/membership/listing/listing.hpp
@@ -21,7 +21,7 @@
 
 /// What an asker is told of a list (section 6.4): that it holds it, or what
 /// leads on from the list that it holds, or all.
-struct ListNews {
+struct ListUpdate {
   bool same = false;
   std::uint64_t from = 0;  ///< digest of the list that this leads on from; 0: it is whole
   schema::PlatformList list;
@@ -32,7 +32,7 @@
 /// The list that news lead to from one held that is older by what passed;
 /// nothing when they don't lead to the one they name.
 [[nodiscard]] std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, common::Span passed,
-                                                         ListNews const& news);
+                                                         ListUpdate const& update);
 
 /// The platform list as a trellis keeps it (section 6.3): later asked wins, a
 /// counted list does not go back for a moment (a lagging replica), but does
@@ -44,7 +44,7 @@
   /// Takes what a colleague that was asked tells, of a list asked for at
   /// `as_of`; true when the list is another. What does not lead to the list it
   /// names is left, and wanted() asks for all.
-  bool take(ListNews const& news, common::Moment as_of, common::Moment now);
+  bool take(ListUpdate const& update, common::Moment as_of, common::Moment now);
   /// Digest of what a colleague may lead on from; 0: all is wanted.
   [[nodiscard]] std::uint64_t wanted() const { return astray_ ? 0 : digest(); }
   /// The list held was found the same at `as_of`: what counts down is less by then.
@@ -52,7 +52,7 @@
   [[nodiscard]] schema::PlatformList const& list() const { return list_; }
   [[nodiscard]] std::uint64_t digest() const { return source_.digest(); }
   /// For an asker that holds the list of this digest; 0: none.
-  [[nodiscard]] ListNews since(std::uint64_t digest) const;
+  [[nodiscard]] ListUpdate since(std::uint64_t digest) const;
   /// Negative: never read.
   [[nodiscard]] common::Span age(common::Moment now) const { return as_of_ == 0 ? -1 : now - as_of_; }
 
--- a/source/membership/replica/apply_changes.hpp
+++ b/source/membership/replica/apply_changes.hpp
@@ -10,8 +10,8 @@
 /// Entries by their key, with those put in that changed and those taken out
 /// that are gone; in the order of their keys.
 template <class Entry>
-[[nodiscard]] std::vector<Entry> lead_on(std::vector<Entry> const& held, std::vector<Entry> const& changed,
-                                         std::vector<std::string> const& gone, std::string Entry::*key) {
+[[nodiscard]] std::vector<Entry> apply_changes(std::vector<Entry> const& held, std::vector<Entry> const& changed,
+                                               std::vector<std::string> const& gone, std::string Entry::*key) {
   std::map<std::string, Entry const*> entries;
   for (Entry const& entry : held) {
     entries[entry.*key] = &entry;
--- a/source/membership/replica/replica.cpp
+++ b/source/membership/replica/replica.cpp
@@ -4,47 +4,47 @@
 
 namespace finchlink::membership {
 
-ListNews list_news(schema::NewsAnswer const& answer) {
-  return ListNews{answer.list_same, answer.list_from, answer.list, answer.list_gone, answer.list_digest};
+ListUpdate list_update(schema::NewsAnswer const& answer) {
+  return ListUpdate{answer.list_same, answer.list_from, answer.list, answer.list_gone, answer.list_digest};
 }
-ListNews list_news(schema::Told const& told) {
-  return ListNews{told.list_same, told.list_from, told.list, told.list_gone, told.list_digest};
+ListUpdate list_update(schema::Told const& told) {
+  return ListUpdate{told.list_same, told.list_from, told.list, told.list_gone, told.list_digest};
 }
 
-bool ListCopy::take(ListNews const& news, common::Span age, common::Moment asked) {
+bool ListReplica::take(ListUpdate const& update, common::Span age, common::Moment asked) {
   common::Moment const as_of = asked - age;
   if (age < 0 || as_of <= as_of_) {
     return false;
   }
-  if (news.same) {
-    as_of_ = news.digest == digest_ ? as_of : as_of_;
+  if (update.same) {
+    as_of_ = update.digest == digest_ ? as_of : as_of_;
     return false;
   }
-  if (news.from == 0) {
-    list_ = news.list;
-  } else if (news.from != digest_) {
+  if (update.from == 0) {
+    list_ = update.list;
+  } else if (update.from != digest_) {
     return false;  // another answer came before: the next ask names what is held now
   } else {
-    std::optional<schema::PlatformList> next = led_on(list_, as_of - as_of_, news);
+    std::optional<schema::PlatformList> next = led_on(list_, as_of - as_of_, update);
     if (!next.has_value()) {
       digest_ = 0;
       return false;
     }
     list_ = std::move(*next);
   }
-  digest_ = news.digest;
+  digest_ = update.digest;
   as_of_ = as_of;
   return true;
 }
 
-void ListCopy::put(schema::PlatformList const& list, common::Moment as_of) {
+void ListReplica::put(schema::PlatformList const& list, common::Moment as_of) {
   list_ = list;
   digest_ = 0;
   as_of_ = as_of;
 }
 
-bool MemberCopy::take(schema::NewsAnswer const& answer) {
-  if (!answer.vouched || answer.members_same) {
+bool MemberReplica::take(schema::NewsAnswer const& answer) {
+  if (!answer.confirmed || answer.members_same) {
     return false;
   }
   if (answer.members_from == 0) {
@@ -52,7 +52,8 @@
   } else if (answer.members_from != digest_) {
     return false;
   } else {
-    std::vector<schema::Member> next = lead_on(members_, answer.members, answer.members_gone, &schema::Member::name);
+    std::vector<schema::Member> next =
+        apply_changes(members_, answer.members, answer.members_gone, &schema::Member::name);
     if (digest_of(next) != answer.members_digest) {
       digest_ = 0;
       return false;
--- a/source/membership/replica/replica.hpp
+++ b/source/membership/replica/replica.hpp
@@ -13,10 +13,10 @@
 /// The platform list as an asker holds it (section 6.4). What leads on from
 /// another list than the one held is left; what does not lead to the list it
 /// names makes it ask for all, and the list held stays in use meanwhile.
-class ListCopy {
+class ListReplica {
  public:
   /// Takes what an answer to an ask sent at `asked` tells; true when the list is another.
-  bool take(ListNews const& news, common::Span age, common::Moment asked);
+  bool take(ListUpdate const& update, common::Span age, common::Moment asked);
   /// A list that was read elsewhere at `as_of`; no teller knows it.
   void put(schema::PlatformList const& list, common::Moment as_of);
   [[nodiscard]] schema::PlatformList const& list() const { return list_; }
@@ -30,11 +30,11 @@
   common::Moment as_of_ = 0;
 };
 /// What an answer tells of the list.
-[[nodiscard]] ListNews list_news(schema::NewsAnswer const& answer);
-[[nodiscard]] ListNews list_news(schema::Told const& told);
+[[nodiscard]] ListUpdate list_update(schema::NewsAnswer const& answer);
+[[nodiscard]] ListUpdate list_update(schema::Told const& told);
 
 /// The members as an asker holds them, in the same way.
-class MemberCopy {
+class MemberReplica {
  public:
   bool take(schema::NewsAnswer const& answer);
   [[nodiscard]] std::vector<schema::Member> const& members() const { return members_; }
--- a/source/membership/session/sessions.cpp
+++ b/source/membership/session/sessions.cpp
@@ -30,7 +30,7 @@
   return common::digest_of(entries);
 }
 
-void Sessions::stand(std::string const& name, Standing standing) {
+void Sessions::spec(std::string const& name, Standing standing) {
   (void)members_.put(name, counted(standing.member));
   if (standing.direct) {
     (void)own_.put(name, common::pack(standing.member));
@@ -43,13 +43,13 @@
 bool Sessions::heard(schema::Member const& member, common::Moment now) {
   std::map<std::string, Standing>::const_iterator const before = sessions_.find(member.name);
   bool const opened = before == sessions_.end() || before->second.member.incarnation != member.incarnation;
-  stand(member.name, Standing{member, now, true});
+  spec(member.name, Standing{member, now, true});
   return opened;
 }
 
-void Sessions::met(schema::TrellisEntry const& trellis, common::Moment now) {
-  if (trellis.address != self_.address && !trellis.address.empty()) {
-    trellises_[trellis.address] = Known{trellis, now};
+void Sessions::met(schema::TrellisEntry const& controller, common::Moment now) {
+  if (controller.address != self_.address && !controller.address.empty()) {
+    controllers_[controller.address] = Known{controller, now};
   }
 }
 
@@ -61,19 +61,20 @@
   if (standing != sessions_.end() && !standing->second.direct && standing->second.member == member) {
     standing->second.heard = heard;
   } else {
-    stand(member.name, Standing{member, heard, false});
+    spec(member.name, Standing{member, heard, false});
   }
 }
 
-std::uint64_t Sessions::lead_on(schema::Tell const& tell, common::Moment now) {
+std::uint64_t Sessions::apply_changes(schema::Tell const& tell, common::Moment now) {
   Told& told = told_[tell.from.address];
   if (tell.sessions_from == told.copy.digest() || tell.sessions_from == 0) {
     common::Delta delta{tell.sessions_from == 0, {}, tell.sessions_gone, tell.sessions_digest};
     for (schema::Session const& session : tell.sessions) {
       delta.put.emplace_back(session.member.name, common::pack(session.member));
     }
-    bool const news = delta.whole || !delta.put.empty() || !delta.removed.empty() || delta.digest != told.copy.digest();
-    if (news && told.copy.apply(delta)) {
+    bool const update =
+        delta.whole || !delta.put.empty() || !delta.removed.empty() || delta.digest != told.copy.digest();
+    if (update && told.copy.apply(delta)) {
       if (delta.whole) {
         told.members.clear();
       }
@@ -109,14 +110,14 @@
   met(tell.from, now);
   for (schema::TrellisEntry const& other : tell.others) {
     // Second-hand word makes a trellis known, but does not keep it listed.
-    if (other.address != self_.address && trellises_.count(other.address) == 0) {
-      trellises_[other.address] = Known{other, now};
+    if (other.address != self_.address && controllers_.count(other.address) == 0) {
+      controllers_[other.address] = Known{other, now};
     }
   }
   for (schema::Session const& session : tell.sessions) {
     adopt(session.member, now - session.heard_ago);
   }
-  return lead_on(tell, now);
+  return apply_changes(tell, now);
 }
 
 std::vector<std::string> Sessions::expire(common::Moment now) {
@@ -131,11 +132,11 @@
       ++entry;
     }
   }
-  for (std::map<std::string, Known>::iterator entry = trellises_.begin(); entry != trellises_.end();) {
-    entry = now - entry->second.heard > constants::colleague_bound ? trellises_.erase(entry) : std::next(entry);
+  for (std::map<std::string, Known>::iterator entry = controllers_.begin(); entry != controllers_.end();) {
+    entry = now - entry->second.heard > constants::peer_bound ? controllers_.erase(entry) : std::next(entry);
   }
-  std::erase_if(told_,
-                [this](std::pair<std::string const, Told> const& entry) { return trellises_.count(entry.first) == 0; });
+  std::erase_if(
+      told_, [this](std::pair<std::string const, Told> const& entry) { return controllers_.count(entry.first) == 0; });
   return ended;
 }
 
@@ -157,24 +158,24 @@
   return sessions;
 }
 
-MemberNews Sessions::since(std::uint64_t digest) const {
-  MemberNews news;
-  news.digest = members_.digest();
+MemberUpdate Sessions::since(std::uint64_t digest) const {
+  MemberUpdate update;
+  update.digest = members_.digest();
   std::optional<common::Delta> const delta = members_.since(digest);
-  news.same = !delta.has_value();
-  if (news.same) {
-    return news;
+  update.same = !delta.has_value();
+  if (update.same) {
+    return update;
   }
   if (delta->whole) {
-    news.members = members();
-    return news;
+    update.members = members();
+    return update;
   }
-  news.from = digest;
-  news.gone = delta->removed;
+  update.from = digest;
+  update.gone = delta->removed;
   for (std::pair<std::string, std::string> const& entry : delta->put) {
-    news.members.push_back(sessions_.at(entry.first).member);
+    update.members.push_back(sessions_.at(entry.first).member);
   }
-  return news;
+  return update;
 }
 
 void Sessions::tell(std::uint64_t known, common::Moment now, schema::Tell& tell) const {
@@ -203,15 +204,15 @@
 
 std::vector<Peer> Sessions::peers() const {
   std::vector<Peer> peers;
-  for (std::pair<std::string const, Known> const& known : trellises_) {
+  for (std::pair<std::string const, Known> const& known : controllers_) {
     peers.push_back(Peer{known.second.entry, known.second.heard});
   }
   return peers;
 }
 
-std::vector<schema::TrellisEntry> Sessions::trellises() const {
+std::vector<schema::TrellisEntry> Sessions::controllers() const {
   std::vector<schema::TrellisEntry> entries{self_};
-  for (std::pair<std::string const, Known> const& entry : trellises_) {
+  for (std::pair<std::string const, Known> const& entry : controllers_) {
     entries.push_back(entry.second.entry);
   }
   return entries;
--- a/source/membership/session/sessions.hpp
+++ b/source/membership/session/sessions.hpp
@@ -18,7 +18,7 @@
 [[nodiscard]] std::uint64_t digest_of(std::vector<schema::Member> const& members);
 
 /// What an asker is told of the members (section 6.4), as of a list (listing.hpp).
-struct MemberNews {
+struct MemberUpdate {
   bool same = false;
   std::uint64_t from = 0;
   std::vector<schema::Member> members;
@@ -41,7 +41,7 @@
   /// its sessions as they are known here then, which it is to be told: 0 when
   /// what it told did not lead to what it says (section 6.4).
   std::uint64_t told(schema::Tell const& tell, common::Moment now);
-  void met(schema::TrellisEntry const& trellis, common::Moment now);
+  void met(schema::TrellisEntry const& controller, common::Moment now);
   /// Ends what is over; the names that ended.
   [[nodiscard]] std::vector<std::string> expire(common::Moment now);
 
@@ -49,13 +49,13 @@
   /// Digest of what readiness and addresses need of the members.
   [[nodiscard]] std::uint64_t digest() const { return members_.digest(); }
   /// For an asker that holds the members of this digest; 0: none.
-  [[nodiscard]] MemberNews since(std::uint64_t digest) const;
+  [[nodiscard]] MemberUpdate since(std::uint64_t digest) const;
   /// Sessions as told to colleagues, each with how long ago it was heard of.
   [[nodiscard]] std::vector<schema::Session> tellable(common::Moment now) const;
   /// The sessions of a telling to a colleague that knows those of this digest:
   /// whole ones where they changed, and of all how long ago they were heard of.
   void tell(std::uint64_t known, common::Moment now, schema::Tell& tell) const;
-  [[nodiscard]] std::vector<schema::TrellisEntry> trellises() const;
+  [[nodiscard]] std::vector<schema::TrellisEntry> controllers() const;
   /// All other trellises, each with when it was last heard of.
   [[nodiscard]] std::vector<Peer> peers() const;
   void set_self(schema::TrellisEntry const& self) { self_ = self; }
@@ -76,14 +76,14 @@
     common::DeltaCopy copy;
     std::map<std::string, schema::Member> members;
   };
-  void stand(std::string const& name, Standing standing);
+  void spec(std::string const& name, Standing standing);
   void adopt(schema::Member const& member, common::Moment heard);
-  [[nodiscard]] std::uint64_t lead_on(schema::Tell const& tell, common::Moment now);
+  [[nodiscard]] std::uint64_t apply_changes(schema::Tell const& tell, common::Moment now);
 
   schema::TrellisEntry self_;
   common::Span bound_;
   std::map<std::string, Standing> sessions_;
-  std::map<std::string, Known> trellises_;
+  std::map<std::string, Known> controllers_;
   std::map<std::string, Told> told_;  ///< by the colleague's address
   common::DeltaSource members_{common::constants::delta_states};
   common::DeltaSource own_{common::constants::delta_states};  ///< sessions held here, as they are told
--- a/source/platform/listing.cpp
+++ b/source/platform/listing.cpp
@@ -36,7 +36,7 @@
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   cJSON const* const instances = tree.ok() ? cJSON_GetObjectItemCaseSensitive(tree->get(), "instances") : nullptr;
   if (cJSON_IsArray(instances) == 0) {
-    return common::defect(absl::StatusCode::kDataLoss, "list", "the answer is no list of workers");
+    return common::make_error(absl::StatusCode::kDataLoss, "list", "the answer is no list of workers");
   }
   ListPage page;
   page.next = text_of(tree->get(), "next_token");
@@ -47,7 +47,7 @@
     worker.zone = text_of(entry, "zone");
     worker.service = text_of(entry, "plant");
     if (worker.id.empty() || worker.address.empty()) {
-      return common::defect(absl::StatusCode::kDataLoss, "list", "a worker has no id or address");
+      return common::make_error(absl::StatusCode::kDataLoss, "list", "a worker has no id or address");
     }
     bool const model = cJSON_GetObjectItemCaseSensitive(entry, "models") != nullptr ||
                        cJSON_GetObjectItemCaseSensitive(entry, "phase") != nullptr;
@@ -71,7 +71,7 @@
   do {
     common::Span const left = until - common::boot_now();
     if (left <= 0) {
-      return common::defect(absl::StatusCode::kDeadlineExceeded, "list", "its pages take too long");
+      return common::make_error(absl::StatusCode::kDeadlineExceeded, "list", "its pages take too long");
     }
     common::Ask const ask{common::http::verb::get, token.empty() ? "/workers" : "/workers?page_token=" + escaped(token),
                           11};
@@ -82,8 +82,8 @@
     }
     if (answer->result() != common::http::status::ok) {
       bool const often = answer->result() == common::http::status::too_many_requests;
-      return common::defect(often ? absl::StatusCode::kResourceExhausted : absl::StatusCode::kUnavailable, "list",
-                            "status " + std::to_string(answer->result_int()));
+      return common::make_error(often ? absl::StatusCode::kResourceExhausted : absl::StatusCode::kUnavailable, "list",
+                                "status " + std::to_string(answer->result_int()));
     }
     absl::StatusOr<ListPage> const page = parse_page(answer->body());
     if (!page.ok()) {
--- a/source/platform/notation.cpp
+++ b/source/platform/notation.cpp
@@ -74,39 +74,39 @@
   std::vector<common::Fault>& faults_;
 };
 
-schema::Lane lane_of(cJSON const* node, std::string const& path, std::vector<common::Fault>& faults) {
+schema::Lane route_of(cJSON const* node, std::string const& path, std::vector<common::Fault>& faults) {
   Entry const entry(node, path, faults);
-  schema::Lane lane;
-  lane.name = entry.name();
-  lane.host = entry.text("host");
-  lane.prefix = entry.text("path_prefix", "/");
+  schema::Lane route;
+  route.name = entry.name();
+  route.host = entry.text("host");
+  route.prefix = entry.text("path_prefix", "/");
   std::string const kind = entry.text("kind");
-  lane.repeatable = kind == "safe";
-  lane.stream = kind == "stream";
-  lane.resumable = entry.truth("resumable");
-  lane.sticky = entry.truth("sticky");
-  lane.deadline_ms = entry.number("deadline_ms");
-  lane.set_point_ms = entry.number("setpoint_ms");
-  lane.gap_set_point_ms = entry.number("gap_setpoint_ms");
-  lane.priority = static_cast<std::int64_t>(entry.natural("priority"));
-  lane.dispatches = std::max<std::uint64_t>(entry.natural("tries", 1), 1);
+  route.repeatable = kind == "safe";
+  route.stream = kind == "stream";
+  route.resumable = entry.truth("resumable");
+  route.sticky = entry.truth("sticky");
+  route.deadline_ms = entry.number("deadline_ms");
+  route.set_point_ms = entry.number("setpoint_ms");
+  route.gap_set_point_ms = entry.number("gap_setpoint_ms");
+  route.priority = static_cast<std::int64_t>(entry.natural("priority"));
+  route.dispatches = std::max<std::uint64_t>(entry.natural("tries", 1), 1);
   for (cJSON const* const region : entry.list("home_regions")) {
     if (cJSON_IsString(region) == 0) {
       entry.fault("home_regions", "must name regions");
     } else {
-      lane.home_regions.emplace_back(region->valuestring);
+      route.home_regions.emplace_back(region->valuestring);
     }
   }
   std::vector<cJSON const*> const mix = entry.list("mix");
   for (std::size_t index = 0; index < mix.size(); ++index) {
     Entry const part(mix[index], entry.place("mix") + "/" + std::to_string(index), faults);
-    lane.shares.push_back(schema::Share{part.text("plant"), part.number("gain", 1)});
+    route.shares.push_back(schema::Share{part.text("plant"), part.number("gain", 1)});
   }
   std::string const single = entry.text("plant");
-  if (lane.shares.empty() && !single.empty()) {
-    lane.shares.push_back(schema::Share{single, 1});
+  if (route.shares.empty() && !single.empty()) {
+    route.shares.push_back(schema::Share{single, 1});
   }
-  return lane;
+  return route;
 }
 
 schema::Service service_of(cJSON const* node, std::string const& path, std::vector<common::Fault>& faults) {
@@ -128,42 +128,42 @@
   return service;
 }
 
-config::CharterReading read_charter(std::string const& text) {
-  config::CharterReading reading;
+config::RoutingConfigReading read_routing_config(std::string const& text) {
+  config::RoutingConfigReading reading;
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     reading.faults.push_back(common::Fault{"", std::string(tree.status().message())});
     return reading;
   }
   Entry const root(tree->get(), "", reading.faults);
-  reading.charter.number = root.natural("revision");
+  reading.routing_config.number = root.natural("revision");
   std::vector<cJSON const*> const services = root.list("plants");
   for (std::size_t index = 0; index < services.size(); ++index) {
-    reading.charter.services.push_back(
+    reading.routing_config.services.push_back(
         service_of(services[index], root.place("plants") + "/" + std::to_string(index), reading.faults));
   }
   std::vector<cJSON const*> const lanes = root.list("channels");
   for (std::size_t index = 0; index < lanes.size(); ++index) {
-    reading.charter.lanes.push_back(
-        lane_of(lanes[index], root.place("channels") + "/" + std::to_string(index), reading.faults));
+    reading.routing_config.lanes.push_back(
+        route_of(lanes[index], root.place("channels") + "/" + std::to_string(index), reading.faults));
   }
   cJSON const* const limits_node = root.find("limits");
   if (limits_node != nullptr) {
     Entry const limits(limits_node, root.place("limits"), reading.faults);
-    schema::CallerLimits& target = reading.charter.limits;
+    schema::CallerLimits& target = reading.routing_config.limits;
     target.header_bytes = limits.natural("max_header_bytes", target.header_bytes);
     target.body_bytes = limits.natural("max_body_bytes", target.body_bytes);
     target.header_wait_ms = limits.natural("header_wait_ms", target.header_wait_ms);
     target.idle_ms = limits.natural("idle_ms", target.idle_ms);
   }
-  std::vector<common::Fault> const more = config::check(reading.charter);
+  std::vector<common::Fault> const more = config::check(reading.routing_config);
   reading.faults.insert(reading.faults.end(), more.begin(), more.end());
   return reading;
 }
 }  // namespace
 
 config::Notation notation() {
-  return config::Notation{read_charter,
+  return config::Notation{read_routing_config,
                           [](std::string const& current, std::string const& change) {
                             return config::merge_named(current, change, "revision", {"channels", "plants"});
                           },
--- a/source/platform/settings.cpp
+++ b/source/platform/settings.cpp
@@ -111,17 +111,17 @@
   try {
     YAML::Node const root = YAML::Load(text);
     if (!root.IsMap()) {
-      return common::defect(absl::StatusCode::kInvalidArgument, "settings", "the file is not a map");
+      return common::make_error(absl::StatusCode::kInvalidArgument, "settings", "the file is not a map");
     }
     schema::Settings settings = settings_of(root);
     if (settings.name.empty() || settings.hall.empty() || settings.colleague_address.empty() ||
         settings.http_address.empty()) {
-      return common::defect(absl::StatusCode::kInvalidArgument, "settings",
-                            "node, zone, ip, port_range or listen is missing");
+      return common::make_error(absl::StatusCode::kInvalidArgument, "settings",
+                                "node, zone, ip, port_range or listen is missing");
     }
     return settings;
   } catch (YAML::Exception const& error) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "settings", error.what());
+    return common::make_error(absl::StatusCode::kInvalidArgument, "settings", error.what());
   }
 }
 
@@ -130,7 +130,7 @@
   std::stringstream content;
   content << file.rdbuf();
   if (!file) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "settings", path + " can't be read");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "settings", path + " can't be read");
   }
   return parse_settings(content.str());
 }
--- a/source/scheduling/load_balancer/load_balancer.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -31,46 +31,46 @@
 }
 }  // namespace
 
-void Grove::update(std::vector<Stand> const& stands, GroveTerms const& terms, common::Moment now) {
+void LoadBalancer::update(std::vector<WorkerSpec> const& specs, LoadBalancerContext const& terms, common::Moment now) {
   terms_ = terms;
   by_service_.clear();
   std::map<std::string, Worker> next;
-  for (Stand const& stand : stands) {
-    std::map<std::string, Worker>::iterator const found = workers_.find(stand.id);
+  for (WorkerSpec const& spec : specs) {
+    std::map<std::string, Worker>::iterator const found = workers_.find(spec.id);
     Worker worker;
     if (found != workers_.end()) {
       worker = std::move(found->second);
-      common::Moment cold_until = std::max(stand.cold_until, worker.stand.cold_until);
-      if (guards_.suspect_returned && worker.stand.evacuated && !stand.evacuated) {
+      common::Moment cold_until = std::max(spec.cold_until, worker.spec.cold_until);
+      if (guards_.suspect_returned && worker.spec.evacuated && !spec.evacuated) {
         // What became of it meanwhile shows in the list a little later.
         cold_until = std::max(cold_until, now + constants::cold_suspect);
       }
-      if (stand.cold_until > worker.stand.cold_until && worker.stand.cold_until <= now) {
+      if (spec.cold_until > worker.spec.cold_until && worker.spec.cold_until <= now) {
         worker.reuse.clear();
       }
-      if (worker.stand.evacuated && !stand.evacuated) {
-        worker.reuse.clear_walled();
+      if (worker.spec.evacuated && !spec.evacuated) {
+        worker.reuse.clear_isolated();
       }
-      worker.stand = stand;
-      worker.stand.cold_until = cold_until;
+      worker.spec = spec;
+      worker.spec.cold_until = cold_until;
     } else {
-      worker.stand = stand;
-      worker.hash = hash_text(stand.id);
-      worker.slots = static_cast<double>(std::max<std::uint64_t>(1, stand.capacity));
+      worker.spec = spec;
+      worker.hash = hash_text(spec.id);
+      worker.slots = static_cast<double>(std::max<std::uint64_t>(1, spec.capacity));
     }
-    worker.judged = judge_.admit(
-        Subject{stand.id, pool_name(stand.region, stand.service), stand.hall, !stand.draining && !stand.evacuated});
-    worker.reuse.bound(stand.kept_tokens * constants::reuse_part);
-    by_service_[stand.service].push_back(stand.id);
-    next.emplace(stand.id, std::move(worker));
+    worker.judged = detector_.admit(
+        Subject{spec.id, pool_name(spec.region, spec.service), spec.hall, !spec.draining && !spec.evacuated});
+    worker.reuse.bound(spec.kept_tokens * constants::reuse_part);
+    by_service_[spec.service].push_back(spec.id);
+    next.emplace(spec.id, std::move(worker));
   }
   // Ranks by hash are the same in every furrow, so all of them name the same
   // workers for long prompts (section 13.6).
   std::map<std::pair<std::string, std::string>, std::vector<std::pair<std::uint64_t, Worker*>>> places;
   for (std::pair<std::string const, Worker>& entry : next) {
-    if (entry.second.stand.model && !entry.second.stand.draining && !entry.second.stand.evacuated) {
-      places[{entry.second.stand.service, entry.second.stand.region}].emplace_back(mix(hash_text(entry.first), 1),
-                                                                                   &entry.second);
+    if (entry.second.spec.model && !entry.second.spec.draining && !entry.second.spec.evacuated) {
+      places[{entry.second.spec.service, entry.second.spec.region}].emplace_back(mix(hash_text(entry.first), 1),
+                                                                                 &entry.second);
     }
   }
   for (std::pair<std::pair<std::string, std::string> const, std::vector<std::pair<std::uint64_t, Worker*>>>& place :
@@ -106,49 +106,49 @@
   // takes queries (section 13.11).
   std::map<std::pair<std::string, std::string>, std::pair<bool, bool>> phases;
   for (std::pair<std::string const, Worker> const& entry : next) {
-    Stand const& stand = entry.second.stand;
-    if (!stand.draining && !stand.evacuated) {
-      std::pair<bool, bool>& there = phases[{stand.service, stand.region}];
-      there.first = there.first || stand.phase == "prefill" || stand.phase == "both";
-      there.second = there.second || stand.phase == "decode" || stand.phase == "both";
+    WorkerSpec const& spec = entry.second.spec;
+    if (!spec.draining && !spec.evacuated) {
+      std::pair<bool, bool>& there = phases[{spec.service, spec.region}];
+      there.first = there.first || spec.phase == "prefill" || spec.phase == "both";
+      there.second = there.second || spec.phase == "decode" || spec.phase == "both";
     }
   }
   for (std::pair<std::string const, Worker>& entry : next) {
-    std::pair<bool, bool> const there = phases[{entry.second.stand.service, entry.second.stand.region}];
+    std::pair<bool, bool> const there = phases[{entry.second.spec.service, entry.second.spec.region}];
     if (!guards_.split_phases || !there.first || !there.second) {
-      entry.second.stand.phase.clear();
+      entry.second.spec.phase.clear();
     }
   }
   // One that left the list is kept while queries of ours run there.
   for (std::pair<std::string const, Worker>& entry : workers_) {
     if (entry.second.own > 0 && next.count(entry.first) == 0) {
-      entry.second.stand.draining = true;
-      judge_.admit(Subject{entry.first, pool_name(entry.second.stand.region, entry.second.stand.service),
-                           entry.second.stand.hall, false});
+      entry.second.spec.draining = true;
+      detector_.admit(Subject{entry.first, pool_name(entry.second.spec.region, entry.second.spec.service),
+                              entry.second.spec.hall, false});
       next.emplace(entry.first, std::move(entry.second));
     }
   }
   workers_.swap(next);
   for (std::pair<std::string const, Worker> const& entry : next) {
     if (workers_.count(entry.first) == 0) {
-      judge_.dismiss(entry.first);
+      detector_.dismiss(entry.first);
     }
   }
 }
 
-void Grove::Demand::fade(common::Moment now) {
+void LoadBalancer::Demand::fade(common::Moment now) {
   double const keep = std::exp(-seconds_of(now - at) / constants::demand_memory);
   prefill *= keep;
   decode *= keep;
   at = now;
 }
 
-bool Grove::fed_long(Worker const& worker, common::Moment) const {
-  if (!worker.stand.phase.empty()) {
-    return worker.stand.phase != "decode";
+bool LoadBalancer::fed_long(Worker const& worker, common::Moment) const {
+  if (!worker.spec.phase.empty()) {
+    return worker.spec.phase != "decode";
   }
   std::map<std::pair<std::string, std::string>, Demand>::const_iterator const found =
-      demand_.find({worker.stand.service, worker.stand.region});
+      demand_.find({worker.spec.service, worker.spec.region});
   if (worker.ranks < 3 || found == demand_.end() || found->second.decode <= 0) {
     return true;  // nothing to keep apart
   }
@@ -159,27 +159,27 @@
   return static_cast<double>(worker.rank) < std::clamp(count, 1.0, static_cast<double>(worker.ranks - 1));
 }
 
-double Grove::cold_part(Worker const& worker) const {
-  if (worker.stand.cold_rate <= 0 || !guards_.cold_bound) {
+double LoadBalancer::cold_part(Worker const& worker) const {
+  if (worker.spec.cold_rate <= 0 || !guards_.cold_bound) {
     return 1e9;
   }
-  double const most = (worker.stand.cold_rate * terms_.cold_overshoot + terms_.cold_slack) * constants::cold_part;
-  double const furrows = std::max<double>(1.0, static_cast<double>(terms_.furrows.size()));
-  double const even = most / furrows;
+  double const most = (worker.spec.cold_rate * terms_.cold_overshoot + terms_.cold_slack) * constants::cold_part;
+  double const proxies = std::max<double>(1.0, static_cast<double>(terms_.proxies.size()));
+  double const even = most / proxies;
   if (even >= 1) {
     return std::floor(even);
   }
   // Fewer queries than furrows: those that a hash picks tend it, one each.
   std::size_t const tenders = static_cast<std::size_t>(std::max(1.0, most));
-  std::uint64_t const own = mix(hash_text(worker.stand.id), hash_text(terms_.self));
+  std::uint64_t const own = mix(hash_text(worker.spec.id), hash_text(terms_.self));
   std::size_t ahead = 0;
-  for (std::string const& furrow : terms_.furrows) {
-    ahead += mix(hash_text(worker.stand.id), hash_text(furrow)) < own ? 1 : 0;
+  for (std::string const& proxy : terms_.proxies) {
+    ahead += mix(hash_text(worker.spec.id), hash_text(proxy)) < own ? 1 : 0;
   }
   return ahead < tenders ? 1 : 0;
 }
 
-double Grove::load(Worker const& worker, common::Moment now) const {
+double LoadBalancer::load(Worker const& worker, common::Moment now) const {
   double const age = worker.told_at == 0 ? 1e9 : seconds_of(now - worker.told_at);
   double const told = age > constants::load_memory ? 0
                                                    : (worker.told_total + static_cast<double>(worker.sent_since)) *
@@ -187,19 +187,19 @@
   return std::max(told, static_cast<double>(worker.own));
 }
 
-bool Grove::open(Worker const& worker, Wanted const& wanted, common::Moment now) const {
-  Stand const& stand = worker.stand;
-  if (stand.draining || stand.evacuated) {
+bool LoadBalancer::open(Worker const& worker, Wanted const& wanted, common::Moment now) const {
+  WorkerSpec const& spec = worker.spec;
+  if (spec.draining || spec.evacuated) {
     return false;
   }
-  Verdict const verdict = judge_.verdict(worker.judged, now);
+  Verdict const verdict = detector_.verdict(worker.judged, now);
   if (std::holds_alternative<Resting>(verdict) || (std::holds_alternative<OnTrial>(verdict) && worker.own > 0)) {
     return false;
   }
-  if (holds(wanted.avoid, stand.id) || (!wanted.homes.empty() && !holds(wanted.homes, stand.region))) {
+  if (holds(wanted.avoid, spec.id) || (!wanted.homes.empty() && !holds(wanted.homes, spec.region))) {
     return false;
   }
-  if (cold(worker, now) && stand.cold_rate > 0) {
+  if (cold(worker, now) && spec.cold_rate > 0) {
     std::size_t recent = 0;
     for (common::Moment const sent : worker.sends) {
       recent += now - sent < constants::cold_window ? 1 : 0;
@@ -208,37 +208,38 @@
       return false;
     }
   }
-  double const furrows = std::max<double>(1.0, static_cast<double>(terms_.furrows.size()));
+  double const proxies = std::max<double>(1.0, static_cast<double>(terms_.proxies.size()));
   double const connections =
-      stand.connections == 0
+      spec.connections == 0
           ? 1e9
-          : std::max(2.0, static_cast<double>(stand.connections) * constants::connection_part / furrows);
+          : std::max(2.0, static_cast<double>(spec.connections) * constants::connection_part / proxies);
   return static_cast<double>(worker.own) < connections && load(worker, now) < worker.slots * constants::queue_factor;
 }
 
 /// By a written split, or else by this furrow's own estimate where that is on.
-bool Grove::kept_apart(Worker const& worker) const {
-  return worker.stand.phase.empty() ? terms_.keep_long_apart && worker.ranks >= 3 : worker.stand.phase != "both";
+bool LoadBalancer::kept_apart(Worker const& worker) const {
+  return worker.spec.phase.empty() ? terms_.keep_long_apart && worker.ranks >= 3 : worker.spec.phase != "both";
 }
 
-Grove::Price Grove::price(Worker const& worker, Wanted const& wanted, bool owner, common::Moment now) const {
-  Stand const& stand = worker.stand;
-  bool const near = stand.region == terms_.region;
+LoadBalancer::Price LoadBalancer::price(Worker const& worker, Wanted const& wanted, bool owner,
+                                        common::Moment now) const {
+  WorkerSpec const& spec = worker.spec;
+  bool const near = spec.region == terms_.region;
   double const running = load(worker, now);
   double const over = running - worker.slots;
   bool const long_prompt = wanted.tokens >= constants::owned_tokens;
   Price price;
   price.uncached = wanted.tokens;
   price.seconds = near ? 0 : constants::other_region_seconds;
-  price.cost = stand.hall == terms_.hall ? 0 : near ? constants::other_hall_cost : constants::other_region_cost;
-  if (stand.model) {
+  price.cost = spec.hall == terms_.hall ? 0 : near ? constants::other_zone_cost : constants::other_region_cost;
+  if (spec.model) {
     double const kept = worker.reuse.match(wanted.parts);
     double const shared = shared_of(wanted.parts).tokens;
     double const cached = owner ? std::max(kept, shared) : kept;  // colleagues send the same there, too
     price.cost += guards_.reread_cost ? std::max(0.0, shared - cached) * constants::reread_cost : 0;
     // Behind walls an owner is preferred, but nothing is foretold that was not seen (section 14.3).
-    bool const walled = !wanted.parts.empty() && wanted.parts.front().holder != 0;
-    price.uncached = std::max(0.0, wanted.tokens - (walled ? kept : cached));
+    bool const isolated = !wanted.parts.empty() && wanted.parts.front().holder != 0;
+    price.uncached = std::max(0.0, wanted.tokens - (isolated ? kept : cached));
     price.seconds += (price.uncached + worker.own_prefill) * constants::prefill_start[1] * worker.pace;
     price.cost += running * (long_prompt ? constants::running_cost_long : constants::running_cost);
     // Long prompts and the rest are kept apart: reading one holds up every
@@ -249,24 +250,24 @@
   } else {
     price.seconds += running / worker.slots * constants::plain_seconds;
   }
-  price.seconds += guards_.overdue ? judge_.overdue(worker.judged, now) : 0;
+  price.seconds += guards_.overdue ? detector_.overdue(worker.judged, now) : 0;
   if (over >= 0) {
     price.seconds += (over + 1) / worker.slots * constants::plain_seconds * 2;
   }
   if (cold(worker, now)) {
     price.cost += constants::cold_cost;
   }
-  if (guards_.trial && std::holds_alternative<OnTrial>(judge_.verdict(worker.judged, now))) {
+  if (guards_.trial && std::holds_alternative<OnTrial>(detector_.verdict(worker.judged, now))) {
     price.cost += wanted.once ? constants::trial_once_cost : constants::trial_cost;
   }
-  if (judge_.hall_dark(worker.judged, now)) {
+  if (detector_.zone_dark(worker.judged, now)) {
     price.cost += constants::dark_cost;
   }
   price.cost += price.seconds;
   return price;
 }
 
-std::set<std::string> const* Grove::free_regions(std::string const& service, Wanted const& wanted) const {
+std::set<std::string> const* LoadBalancer::free_regions(std::string const& service, Wanted const& wanted) const {
   std::map<std::string, std::set<std::string>>::const_iterator const found = free_.find(service);
   double const way = constants::other_region_cost + constants::other_region_seconds;
   bool const roams =
@@ -274,8 +275,8 @@
   return roams && found != free_.end() ? &found->second : nullptr;
 }
 
-Grove::Worker const* Grove::best(std::string const& service, Wanted const& wanted, common::Moment now,
-                                 Price& price_found) const {
+LoadBalancer::Worker const* LoadBalancer::best(std::string const& service, Wanted const& wanted, common::Moment now,
+                                               Price& price_found) const {
   std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(service);
   Worker const* found = nullptr;
   if (ids == by_service_.end()) {
@@ -289,18 +290,18 @@
   if (key != 0 && guards_.owners) {
     for (std::string const& id : ids->second) {
       Worker const& worker = workers_.at(id);
-      if (!worker.stand.model || worker.stand.draining || worker.stand.evacuated) {
+      if (!worker.spec.model || worker.spec.draining || worker.spec.evacuated) {
         continue;
       }
       if (kept_apart(worker) && (wanted.tokens >= constants::owned_tokens) != fed_long(worker, now) &&
-          worker.stand.phase != "both") {
+          worker.spec.phase != "both") {
         continue;  // an owner is one that is fed such prompts
       }
-      if (free != nullptr && free->count(worker.stand.region) == 0) {
+      if (free != nullptr && free->count(worker.spec.region) == 0) {
         continue;
       }
       std::pair<std::uint64_t, Worker const*>& owner =
-          owners[free == nullptr ? std::string_view(worker.stand.region) : std::string_view()];
+          owners[free == nullptr ? std::string_view(worker.spec.region) : std::string_view()];
       std::uint64_t const weight = mix(worker.hash, key);
       if (owner.second == nullptr || weight > owner.first) {
         owner = {weight, &worker};
@@ -313,7 +314,7 @@
       continue;
     }
     std::map<std::string_view, std::pair<std::uint64_t, Worker const*>>::const_iterator const owner =
-        owners.find(free == nullptr ? std::string_view(worker.stand.region) : std::string_view());
+        owners.find(free == nullptr ? std::string_view(worker.spec.region) : std::string_view());
     Price const offer = price(worker, wanted, owner != owners.end() && owner->second.second == &worker, now);
     if (found == nullptr || offer.cost < price_found.cost) {
       found = &worker;
@@ -323,7 +324,7 @@
   return found;
 }
 
-std::variant<Spot, NoSpot> Grove::choose(Wanted const& wanted, common::Moment now) {
+std::variant<Assignment, NoAssignment> LoadBalancer::choose(Wanted const& wanted, common::Moment now) {
   double whole = 0;
   for (schema::Share const& share : wanted.shares) {
     whole += share.weight;
@@ -348,7 +349,7 @@
     Price offer;
     Worker const* const found = best(share.service, wanted, now, offer);
     if (found != nullptr) {
-      Worker& worker = workers_.at(found->stand.id);
+      Worker& worker = workers_.at(found->spec.id);
       bool const alone = worker.own_prefill <= 0 && worker.told_waiting <= 0 && !cold(worker, now);
       bool const sure = worker.reuse.match(wanted.parts) > 0;
       double const running = load(worker, now);
@@ -356,35 +357,30 @@
       ++worker.sent_since;
       worker.own_prefill += offer.uncached;
       witness(worker, Sent{next_ticket_, now + static_cast<common::Span>(offer.seconds * 1e6)}, now);
-      if (worker.stand.model) {
-        Demand& demand = demand_[{worker.stand.service, worker.stand.region}];
+      if (worker.spec.model) {
+        Demand& demand = demand_[{worker.spec.service, worker.spec.region}];
         demand.fade(now);
         (wanted.tokens >= constants::owned_tokens ? demand.prefill : demand.decode) +=
             offer.uncached * constants::prefill_start[1] + constants::short_work;
       }
-      if (worker.stand.cold_rate > 0) {
+      if (worker.spec.cold_rate > 0) {
         while (!worker.sends.empty() &&
                (now - worker.sends.front() >= constants::cold_window || worker.sends.size() > 256)) {
           worker.sends.pop_front();
         }
         worker.sends.push_back(now);
       }
-      return Spot{worker.stand.id,
-                  worker.stand.address,
-                  offer.uncached,
-                  offer.seconds,
-                  offer.cost,
-                  worker.stand.region == terms_.region,
-                  next_ticket_++,
-                  alone,
-                  sure,
-                  running};
+      return Assignment{worker.spec.id, worker.spec.address,
+                        offer.uncached, offer.seconds,
+                        offer.cost,     worker.spec.region == terms_.region,
+                        next_ticket_++, alone,
+                        sure,           running};
     }
   }
-  return NoSpot{!workers_.empty(), constants::plain_seconds};
+  return NoAssignment{!workers_.empty(), constants::plain_seconds};
 }
 
-bool Grove::alternative(Wanted const& wanted, common::Moment now) const {
+bool LoadBalancer::alternative(Wanted const& wanted, common::Moment now) const {
   for (schema::Share const& share : wanted.shares) {
     Price offer;
     if (share.weight > 0 && best(share.service, wanted, now, offer) != nullptr) {
@@ -394,107 +390,107 @@
   return false;
 }
 
-bool Grove::usable(std::string const& worker) const {
+bool LoadBalancer::usable(std::string const& worker) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(worker);
-  return found != workers_.end() && !found->second.stand.draining && !found->second.stand.evacuated;
+  return found != workers_.end() && !found->second.spec.draining && !found->second.spec.evacuated;
 }
 
-bool Grove::serves(std::string const& worker, std::string const& service) const {
+bool LoadBalancer::serves(std::string const& worker, std::string const& service) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(worker);
-  return found != workers_.end() && found->second.stand.service == service;
+  return found != workers_.end() && found->second.spec.service == service;
 }
 
-bool Grove::stands_in(std::string const& worker, std::vector<std::string> const& regions) const {
+bool LoadBalancer::stands_in(std::string const& worker, std::vector<std::string> const& regions) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(worker);
-  return found != workers_.end() && holds(regions, found->second.stand.region);
+  return found != workers_.end() && holds(regions, found->second.spec.region);
 }
 
-void Grove::first_token(Spot const& spot, std::vector<Part> const& parts, double seconds) {
-  std::map<std::string, Worker>::iterator const found = workers_.find(spot.worker);
+void LoadBalancer::first_token(Assignment const& assignment, std::vector<Part> const& parts, double seconds) {
+  std::map<std::string, Worker>::iterator const found = workers_.find(assignment.worker);
   if (found == workers_.end()) {
     return;
   }
   Worker& worker = found->second;
-  witness(worker, FirstToken{spot.ticket}, 0);
-  worker.own_prefill = std::max(0.0, worker.own_prefill - spot.uncached);
+  witness(worker, FirstToken{assignment.ticket}, 0);
+  worker.own_prefill = std::max(0.0, worker.own_prefill - assignment.uncached);
   worker.reuse.remember(parts);
-  if (spot.uncached >= constants::owned_tokens) {
-    double const seen = seconds / (spot.uncached * constants::prefill_start[1]);
+  if (assignment.uncached >= constants::owned_tokens) {
+    double const seen = seconds / (assignment.uncached * constants::prefill_start[1]);
     worker.pace += 0.1 * (std::clamp(seen, 0.5, 4.0) - worker.pace);
   }
 }
 
-void Grove::ended(Spot const& spot, bool first_seen, Outcome outcome, common::Moment now) {
-  std::map<std::string, Worker>::iterator const found = workers_.find(spot.worker);
+void LoadBalancer::ended(Assignment const& assignment, bool first_seen, Outcome outcome, common::Moment now) {
+  std::map<std::string, Worker>::iterator const found = workers_.find(assignment.worker);
   if (found == workers_.end()) {
     return;
   }
   Worker& worker = found->second;
   worker.own -= worker.own > 0 ? 1 : 0;
   // A whole answer has no first token of its own: what it had read ends here.
-  if (!first_seen || judge_.awaits(worker.judged, spot.ticket)) {
-    worker.own_prefill = std::max(0.0, worker.own_prefill - spot.uncached);
-  }
-  witness(worker, Ended{spot.ticket, outcome}, now);
-  if (worker.stand.draining && worker.own == 0) {
-    std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(worker.stand.service);
-    if (ids == by_service_.end() || !holds(ids->second, spot.worker)) {
-      judge_.dismiss(spot.worker);
+  if (!first_seen || detector_.awaits(worker.judged, assignment.ticket)) {
+    worker.own_prefill = std::max(0.0, worker.own_prefill - assignment.uncached);
+  }
+  witness(worker, Ended{assignment.ticket, outcome}, now);
+  if (worker.spec.draining && worker.own == 0) {
+    std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(worker.spec.service);
+    if (ids == by_service_.end() || !holds(ids->second, assignment.worker)) {
+      detector_.dismiss(assignment.worker);
       workers_.erase(found);  // it had left the list
     }
   }
 }
 
-void Grove::witness(Worker& worker, Evidence const& evidence, common::Moment now) {
-  for (JudgeAction const& action : judge_.take(worker.judged, evidence, now)) {
+void LoadBalancer::witness(Worker& worker, Evidence const& evidence, common::Moment now) {
+  for (OutlierAction const& action : detector_.take(worker.judged, evidence, now)) {
     if (std::holds_alternative<MayHaveForgotten>(action)) {
-      worker.reuse.clear_walled();
+      worker.reuse.clear_isolated();
     }
   }
 }
 
-void Grove::forget_walled(std::string const& id) {
+void LoadBalancer::forget_isolated(std::string const& id) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
-    found->second.reuse.clear_walled();
+    found->second.reuse.clear_isolated();
   }
 }
 
-void Grove::gave_up(std::string const& id, std::vector<Part> const& parts, double tokens) {
+void LoadBalancer::gave_up(std::string const& id, std::vector<Part> const& parts, double tokens) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
     found->second.reuse.gave_up(parts, tokens);
   }
 }
 
-void Grove::heard(std::string const& id, common::Moment now) {
+void LoadBalancer::heard(std::string const& id, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
     witness(found->second, Heard{}, now);
   }
 }
 
-double Grove::running_on(std::string const& id, common::Moment now) const {
+double LoadBalancer::running_on(std::string const& id, common::Moment now) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
   return found == workers_.end() ? 0 : load(found->second, now);
 }
 
-std::string Grove::pool_of(std::string const& id) const {
+std::string LoadBalancer::pool_of(std::string const& id) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
-  return found == workers_.end() ? "" : pool_name(found->second.stand.region, found->second.stand.service);
+  return found == workers_.end() ? "" : pool_name(found->second.spec.region, found->second.spec.service);
 }
 
-bool Grove::ejected(std::string const& id, common::Moment now) const {
+bool LoadBalancer::ejected(std::string const& id, common::Moment now) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
-  return found != workers_.end() && judge_.ejected(found->second.judged, now);
+  return found != workers_.end() && detector_.ejected(found->second.judged, now);
 }
 
-common::Moment Grove::heard_at(std::string const& id) const {
+common::Moment LoadBalancer::heard_at(std::string const& id) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
-  return found == workers_.end() ? 0 : judge_.heard_at(found->second.judged);
+  return found == workers_.end() ? 0 : detector_.heard_at(found->second.judged);
 }
 
-void Grove::told(std::string const& id, double running, double waiting, double slots, common::Moment now) {
+void LoadBalancer::told(std::string const& id, double running, double waiting, double slots, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found == workers_.end() || !guards_.told_load) {
     return;
--- a/source/scheduling/load_balancer/load_balancer.hpp
+++ b/source/scheduling/load_balancer/load_balancer.hpp
@@ -16,7 +16,7 @@
 namespace finchlink::scheduling {
 
 /// A worker as it is wanted now; the grove compares this with what it has.
-struct Stand {
+struct WorkerSpec {
   std::string id;
   std::string address;
   std::string service;
@@ -44,7 +44,7 @@
   bool once = false;               ///< it may be sent to one worker only
   double draw = 0;                 ///< from 0 to 1: which share
 };
-struct Spot {
+struct Assignment {
   std::string worker;
   std::string address;
   double uncached = 0;
@@ -56,17 +56,17 @@
   bool sure = false;   ///< its cached part is known from own dispatches
   double running = 0;  ///< queries there before it
 };
-struct NoSpot {
+struct NoAssignment {
   bool any = false;  ///< workers there are, but none takes it now
   double expected_seconds = 0;
 };
 
 /// How a furrow may divide what all furrows share.
-struct GroveTerms {
+struct LoadBalancerContext {
   std::string hall;
   std::string region;
   std::string self;
-  std::vector<std::string> furrows;  ///< members, this one included
+  std::vector<std::string> proxies;  ///< members, this one included
   double cold_overshoot = 1;
   double cold_slack = 0;
   std::map<std::string, std::set<std::string>>
@@ -75,11 +75,11 @@
 };
 
 /// Rules that tests switch off to show that they are needed.
-struct GroveGuards {
+struct LoadBalancerGuards {
   bool cold_bound = true;
   bool rest = true;
   bool ejection_bound = true;    ///< too many of a pool ill: the least bad serve
-  bool hall_suspicion = true;    ///< two workers of a hall out of reach: the others come last
+  bool zone_suspicion = true;    ///< two workers of a hall out of reach: the others come last
   bool suspect_returned = true;  ///< a hall taken back may have turned cold unseen
   bool trial = true;             ///< a worker out of a rest costs more until it is heard
   bool owners = true;            ///< what prompts share has an owner in each region (section 13.5)
@@ -92,19 +92,19 @@
 
 /// Where each query lands among the workers of several services (section
 /// 13.7): plain state; every message carries its moment.
-class Grove {
+class LoadBalancer {
  public:
-  explicit Grove(GroveGuards guards = {})
-      : guards_(guards), judge_(JudgeGuards{guards.rest, guards.ejection_bound, guards.hall_suspicion}) {}
-  void update(std::vector<Stand> const& stands, GroveTerms const& terms, common::Moment now);
+  explicit LoadBalancer(LoadBalancerGuards guards = {})
+      : guards_(guards), detector_(OutlierGuards{guards.rest, guards.ejection_bound, guards.zone_suspicion}) {}
+  void update(std::vector<WorkerSpec> const& specs, LoadBalancerContext const& terms, common::Moment now);
   /// Takes the place, too; ended() gives it back.
-  [[nodiscard]] std::variant<Spot, NoSpot> choose(Wanted const& wanted, common::Moment now);
+  [[nodiscard]] std::variant<Assignment, NoAssignment> choose(Wanted const& wanted, common::Moment now);
   /// May bytes go there still? Asked right before they do.
   [[nodiscard]] bool usable(std::string const& worker) const;
   [[nodiscard]] bool serves(std::string const& worker, std::string const& service) const;
   [[nodiscard]] bool stands_in(std::string const& worker, std::vector<std::string> const& regions) const;
-  void first_token(Spot const& spot, std::vector<Part> const& parts, double seconds);
-  void ended(Spot const& spot, bool first_seen, Outcome outcome, common::Moment now);
+  void first_token(Assignment const& assignment, std::vector<Part> const& parts, double seconds);
+  void ended(Assignment const& assignment, bool first_seen, Outcome outcome, common::Moment now);
   /// What a worker said of its load, all callers counted.
   void told(std::string const& worker, double running, double waiting, double slots, common::Moment now);
   /// Bytes of an answer came from it; it is not dark.
@@ -119,7 +119,7 @@
   /// The pool that a split is made for (section 13.11).
   [[nodiscard]] std::string pool_of(std::string const& worker) const;
   /// Its walled parts count for nothing any more (section 14.3).
-  void forget_walled(std::string const& worker);
+  void forget_isolated(std::string const& worker);
   void gave_up(std::string const& worker, std::vector<Part> const& parts, double tokens);
   [[nodiscard]] std::size_t size() const { return workers_.size(); }
 
@@ -133,9 +133,9 @@
     void fade(common::Moment now);
   };
   struct Worker {
-    Stand stand;
+    WorkerSpec spec;
     std::uint64_t hash = 0;  ///< of its id
-    Judge::Handle judged = 0;
+    OutlierDetector::Handle judged = 0;
     std::size_t rank = 0;  ///< by hash among its service's workers of its region
     std::size_t ranks = 1;
     std::uint64_t own = 0;
@@ -147,9 +147,9 @@
     double slots = 0;
     double pace = 1;                   ///< seen over predicted, smoothed
     std::deque<common::Moment> sends;  ///< within the last second, while cold
-    Reuse reuse;
+    PromptCacheEstimate reuse;
   };
-  [[nodiscard]] bool cold(Worker const& worker, common::Moment now) const { return now < worker.stand.cold_until; }
+  [[nodiscard]] bool cold(Worker const& worker, common::Moment now) const { return now < worker.spec.cold_until; }
   /// Queries that this furrow may send it within one second while it is cold.
   [[nodiscard]] double cold_part(Worker const& worker) const;
   [[nodiscard]] double load(Worker const& worker, common::Moment now) const;
@@ -169,10 +169,10 @@
   /// What this furrow saw of the worker, for the judge, and what follows from it.
   void witness(Worker& worker, Evidence const& evidence, common::Moment now);
 
-  GroveGuards guards_;
-  Judge judge_;
+  LoadBalancerGuards guards_;
+  OutlierDetector detector_;
   std::uint64_t next_ticket_ = 1;
-  GroveTerms terms_;
+  LoadBalancerContext terms_;
   std::map<std::string, Worker> workers_;
   std::map<std::string, std::vector<std::string>> by_service_;
   std::map<std::string, std::set<std::string>> free_;             ///< by service: regions that no lane calls home
--- a/source/scheduling/mechanisms/mechanisms.cpp
+++ b/source/scheduling/mechanisms/mechanisms.cpp
@@ -15,16 +15,16 @@
 };
 
 constexpr std::array<Switch, 13> switches{{
-    {"owners", [](Mechanisms& all) { all.grove.owners = false; }},
-    {"spare_regions", [](Mechanisms& all) { all.grove.spare_regions = false; }},
-    {"split_phases", [](Mechanisms& all) { all.grove.split_phases = false; }},
-    {"reread_cost", [](Mechanisms& all) { all.grove.reread_cost = false; }},
-    {"overdue", [](Mechanisms& all) { all.grove.overdue = false; }},
-    {"told_load", [](Mechanisms& all) { all.grove.told_load = false; }},
-    {"rest", [](Mechanisms& all) { all.grove.rest = false; }},
-    {"trial", [](Mechanisms& all) { all.grove.trial = false; }},
-    {"ejection_bound", [](Mechanisms& all) { all.grove.ejection_bound = false; }},
-    {"hall_suspicion", [](Mechanisms& all) { all.grove.hall_suspicion = false; }},
+    {"owners", [](Mechanisms& all) { all.balancer.owners = false; }},
+    {"spare_regions", [](Mechanisms& all) { all.balancer.spare_regions = false; }},
+    {"split_phases", [](Mechanisms& all) { all.balancer.split_phases = false; }},
+    {"reread_cost", [](Mechanisms& all) { all.balancer.reread_cost = false; }},
+    {"overdue", [](Mechanisms& all) { all.balancer.overdue = false; }},
+    {"told_load", [](Mechanisms& all) { all.balancer.told_load = false; }},
+    {"rest", [](Mechanisms& all) { all.balancer.rest = false; }},
+    {"trial", [](Mechanisms& all) { all.balancer.trial = false; }},
+    {"ejection_bound", [](Mechanisms& all) { all.balancer.ejection_bound = false; }},
+    {"hall_suspicion", [](Mechanisms& all) { all.balancer.zone_suspicion = false; }},
     {"silence", [](Mechanisms& all) { all.silence.give_up = false; }},
     {"silence_probe", [](Mechanisms& all) { all.silence.probe = false; }},
     {"set_aside", [](Mechanisms& all) { all.set_aside = false; }},
@@ -37,7 +37,7 @@
     Switch const* const found =
         std::find_if(switches.begin(), switches.end(), [&name](Switch const& entry) { return entry.name == name; });
     if (found == switches.end()) {
-      return common::defect(absl::StatusCode::kInvalidArgument, "/without", "no mechanism is named " + name);
+      return common::make_error(absl::StatusCode::kInvalidArgument, "/without", "no mechanism is named " + name);
     }
     found->off(all);
   }
--- a/source/scheduling/mechanisms/mechanisms.hpp
+++ b/source/scheduling/mechanisms/mechanisms.hpp
@@ -12,8 +12,8 @@
 
 /// The mechanisms of a relay's decisions that a measurement can switch off, all on by default (section 13.16).
 struct Mechanisms {
-  GroveGuards grove;
-  SilenceGuards silence;
+  LoadBalancerGuards balancer;
+  StallGuards silence;
   bool set_aside = true;  ///< a silent stream goes on being read until another worker continues it (13.8)
 };
 
--- a/source/scheduling/outlier_detection/outlier_detector.cpp
+++ b/source/scheduling/outlier_detection/outlier_detector.cpp
@@ -8,7 +8,7 @@
 
 namespace constants = common::constants;
 
-Judge::Handle Judge::admit(Subject const& subject) {
+OutlierDetector::Handle OutlierDetector::admit(Subject const& subject) {
   std::map<std::string, Handle>::const_iterator const found = handles_.find(subject.worker);
   Handle handle = 0;
   if (found != handles_.end()) {
@@ -31,7 +31,7 @@
   return handle;
 }
 
-void Judge::enter(Handle worker, bool in) {
+void OutlierDetector::enter(Handle worker, bool in) {
   Subject const& subject = records_[worker].subject;
   std::vector<Handle>& pool = pools_[subject.pool];
   std::erase(pool, worker);
@@ -43,7 +43,7 @@
   }
 }
 
-void Judge::dismiss(std::string const& worker) {
+void OutlierDetector::dismiss(std::string const& worker) {
   std::map<std::string, Handle>::const_iterator const found = handles_.find(worker);
   if (found != handles_.end()) {
     enter(found->second, false);
@@ -53,27 +53,27 @@
   }
 }
 
-std::vector<JudgeAction> Judge::take(Handle worker, Evidence const& evidence, common::Moment now) {
-  std::vector<JudgeAction> actions;
+std::vector<OutlierAction> OutlierDetector::take(Handle worker, Evidence const& evidence, common::Moment now) {
+  std::vector<OutlierAction> actions;
   std::visit([this, worker, now, &actions](auto const& entry) { act(records_[worker], entry, now, actions); },
              evidence);
   return actions;
 }
 
-void Judge::act(Record& record, Sent const& sent, common::Moment, std::vector<JudgeAction>&) {
+void OutlierDetector::act(Record& record, Sent const& sent, common::Moment, std::vector<OutlierAction>&) {
   record.pending.push_back(Pending{sent.ticket, sent.due + constants::overdue_slack});
 }
 
-void Judge::act(Record& record, FirstToken const& first, common::Moment, std::vector<JudgeAction>&) {
+void OutlierDetector::act(Record& record, FirstToken const& first, common::Moment, std::vector<OutlierAction>&) {
   std::erase_if(record.pending, [&first](Pending const& pending) { return pending.ticket == first.ticket; });
 }
 
-void Judge::act(Record& record, Heard const&, common::Moment now, std::vector<JudgeAction>&) {
+void OutlierDetector::act(Record& record, Heard const&, common::Moment now, std::vector<OutlierAction>&) {
   record.heard_at = now;
   record.trial = false;
 }
 
-void Judge::act(Record& record, Ended const& ended, common::Moment now, std::vector<JudgeAction>& actions) {
+void OutlierDetector::act(Record& record, Ended const& ended, common::Moment now, std::vector<OutlierAction>& actions) {
   std::erase_if(record.pending, [&ended](Pending const& pending) { return pending.ticket == ended.ticket; });
   switch (ended.outcome) {
     case Outcome::good:
@@ -92,7 +92,7 @@
       actions.push_back(MayHaveForgotten{});
       break;
     case Outcome::unreachable:
-    case Outcome::defect:
+    case Outcome::failure:
       actions.push_back(MayHaveForgotten{});  // it may come back without what it kept
       record.rest =
           std::clamp<common::Span>(record.rest * 2, constants::worker_rest_least, constants::worker_rest_most / 2);
@@ -105,7 +105,7 @@
   }
 }
 
-Verdict Judge::verdict(Handle worker, common::Moment now) const {
+Verdict OutlierDetector::verdict(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
   if (!guards_.rest) {
     return Open{};
@@ -119,7 +119,7 @@
   return record.trial ? Verdict(OnTrial{}) : Verdict(Open{});
 }
 
-bool Judge::ejected(Handle worker, common::Moment now) const {
+bool OutlierDetector::ejected(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
   if (!guards_.rest || now >= record.ill_until) {
     return false;
@@ -137,12 +137,12 @@
   return static_cast<double>(worse + 1) <= constants::ejection_share * static_cast<double>(pool->second.size());
 }
 
-bool Judge::awaits(Handle worker, std::uint64_t ticket) const {
+bool OutlierDetector::awaits(Handle worker, std::uint64_t ticket) const {
   std::vector<Pending> const& pending = records_[worker].pending;
   return std::any_of(pending.begin(), pending.end(), [ticket](Pending const& entry) { return entry.ticket == ticket; });
 }
 
-double Judge::overdue(Handle worker, common::Moment now) const {
+double OutlierDetector::overdue(Handle worker, common::Moment now) const {
   double late = 0;
   for (Pending const& pending : records_[worker].pending) {
     late = std::max(late, static_cast<double>(now - pending.due) / 1e6);
@@ -150,11 +150,11 @@
   return late;
 }
 
-bool Judge::hall_dark(Handle worker, common::Moment now) const {
+bool OutlierDetector::zone_dark(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
   std::map<std::string, std::map<std::string, common::Moment>>::const_iterator const found =
       dark_.find(record.subject.hall);
-  if (!guards_.hall_suspicion || found == dark_.end()) {
+  if (!guards_.zone_suspicion || found == dark_.end()) {
     return false;
   }
   std::size_t recent = 0;
--- a/source/scheduling/outlier_detection/outlier_detector.hpp
+++ b/source/scheduling/outlier_detection/outlier_detector.hpp
@@ -11,7 +11,7 @@
 namespace finchlink::scheduling {
 
 /// How a dispatch ended, seen from this furrow.
-enum class Outcome { good, refused, unreachable, defect, abandoned, misdirected };
+enum class Outcome { good, refused, unreachable, failure, abandoned, misdirected };
 
 /// Evidence of one worker: what this furrow saw, nothing that others say.
 struct Sent {
@@ -31,7 +31,7 @@
 
 /// The worker may have lost what it kept.
 struct MayHaveForgotten {};
-using JudgeAction = std::variant<MayHaveForgotten>;
+using OutlierAction = std::variant<MayHaveForgotten>;
 
 struct Open {};
 /// Out of a rest: one query at a time until it is heard.
@@ -50,24 +50,24 @@
 };
 
 /// Rules that tests switch off to show that they are needed.
-struct JudgeGuards {
+struct OutlierGuards {
   bool rest = true;
   bool ejection_bound = true;  ///< the least bad serve when too many of a pool are ill
-  bool hall_suspicion = true;  ///< two workers of a hall out of reach: the others come last
+  bool zone_suspicion = true;  ///< two workers of a hall out of reach: the others come last
 };
 
 /// Workers judged by what they do (section 13.7): plain state; every message
 /// carries its moment.
-class Judge {
+class OutlierDetector {
  public:
   /// Names an admitted worker; looking it up by text for each query costs too much.
   using Handle = std::size_t;
 
-  explicit Judge(JudgeGuards guards = {}) : guards_(guards) {}
+  explicit OutlierDetector(OutlierGuards guards = {}) : guards_(guards) {}
   /// The same worker keeps its handle until it is dismissed.
   Handle admit(Subject const& subject);
   void dismiss(std::string const& worker);
-  std::vector<JudgeAction> take(Handle worker, Evidence const& evidence, common::Moment now);
+  std::vector<OutlierAction> take(Handle worker, Evidence const& evidence, common::Moment now);
 
   [[nodiscard]] Verdict verdict(Handle worker, common::Moment now) const;
   /// Does it rest for what it did to queries, not for being full or gone?
@@ -78,7 +78,7 @@
   /// have it read can't be seen, but it shows here.
   [[nodiscard]] double overdue(Handle worker, common::Moment now) const;
   /// Two workers of its hall could not be reached of late, and it was not heard since.
-  [[nodiscard]] bool hall_dark(Handle worker, common::Moment now) const;
+  [[nodiscard]] bool zone_dark(Handle worker, common::Moment now) const;
   [[nodiscard]] common::Moment heard_at(Handle worker) const { return records_[worker].heard_at; }
 
  private:
@@ -96,14 +96,14 @@
     common::Span rest = 0;          ///< the last pause for that
     bool trial = false;
   };
-  void act(Record& record, Sent const& sent, common::Moment now, std::vector<JudgeAction>& actions);
-  void act(Record& record, FirstToken const& first, common::Moment now, std::vector<JudgeAction>& actions);
-  void act(Record& record, Heard const& heard, common::Moment now, std::vector<JudgeAction>& actions);
-  void act(Record& record, Ended const& ended, common::Moment now, std::vector<JudgeAction>& actions);
+  void act(Record& record, Sent const& sent, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, FirstToken const& first, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, Heard const& heard, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, Ended const& ended, common::Moment now, std::vector<OutlierAction>& actions);
 
   void enter(Handle worker, bool in);
 
-  JudgeGuards guards_;
+  OutlierGuards guards_;
   std::vector<Record> records_;
   std::vector<Handle> vacant_;
   std::map<std::string, Handle> handles_;
--- a/source/scheduling/placement/placement.cpp
+++ b/source/scheduling/placement/placement.cpp
@@ -30,14 +30,14 @@
 
 std::size_t Placement::full_window() const {
   double const part = static_cast<double>(bounds_.limit) * constants::share_excess /
-                      static_cast<double>(std::max<std::size_t>(furrows_, 1));
+                      static_cast<double>(std::max<std::size_t>(proxies_, 1));
   return std::max<std::size_t>(1,
                                static_cast<std::size_t>(std::ceil(std::min(part, static_cast<double>(bounds_.limit)))));
 }
 
 bool Placement::open(Worker const& worker, common::Moment now) const {
-  return worker.listed && worker.wish.usable && worker.heard && worker.misses < misses_most &&
-         now >= worker.rest_until && (worker.warm || worker.wish.tended);
+  return worker.listed && worker.desired.usable && worker.heard && worker.misses < misses_most &&
+         now >= worker.rest_until && (worker.warm || worker.desired.tended);
 }
 
 /// Section 8.7: one furrow ramps a cold worker, by what it has shown and by the
@@ -57,12 +57,12 @@
   // A missed look: it may be gone, and what answers next may be cold. Until it
   // tells its load again it counts as just come (section 8.7).
   if (guards_.doubt && worker.misses > 0) {
-    return worker.wish.tended ? static_cast<std::size_t>(bounds_.ramp_first) : 0;
+    return worker.desired.tended ? static_cast<std::size_t>(bounds_.ramp_first) : 0;
   }
   if (worker.warm) {
     return full_window();
   }
-  if (!worker.wish.tended) {
+  if (!worker.desired.tended) {
     return 0;
   }
   std::size_t const allowed = ramp(worker, now);
@@ -81,9 +81,9 @@
   if (worker.warm || !worker.heard) {
     return;
   }
-  std::vector<std::string> const& boots = worker.wish.warm_boots;
+  std::vector<std::string> const& boots = worker.desired.warm_boots;
   bool const known = std::find(boots.begin(), boots.end(), worker.boot) != boots.end();
-  bool const ramped = worker.wish.tended && ramp(worker, now) >= bounds_.limit &&
+  bool const ramped = worker.desired.tended && ramp(worker, now) >= bounds_.limit &&
                       now - worker.warming_since >= common::milliseconds(static_cast<std::int64_t>(bounds_.ramp_ms));
   worker.warm = known || ramped;
 }
@@ -99,7 +99,7 @@
 
 double Placement::predict(Worker const& worker, Ticket const& ticket, common::Moment now) const {
   double const cached = cached_tokens(worker, ticket);
-  double const own = worker.wish.model.prefill_seconds(std::max(0.0, ticket.tokens - cached), cached);
+  double const own = worker.desired.model.prefill_seconds(std::max(0.0, ticket.tokens - cached), cached);
   double ahead = 0;
   for (std::pair<std::uint64_t const, Running> const& running : worker.running) {
     if (!running.second.first) {
@@ -118,15 +118,15 @@
   }
   if (ticket.phase == Phase::decode) {
     double const batch = static_cast<double>(worker.running.size()) + others + 1;
-    ahead += ticket.outputs * worker.wish.model.iteration_seconds(aims_.experts_share, aims_.tokens_forward, batch);
+    ahead += ticket.outputs * worker.desired.model.iteration_seconds(aims_.experts_share, aims_.tokens_forward, batch);
   }
   return ahead + own;
 }
 
 bool Placement::fits(Worker const& worker, Ticket const& ticket) const {
   bool const phase =
-      ticket.phase == Phase::both || worker.wish.phase == Phase::both || worker.wish.phase == ticket.phase;
-  return phase && std::find(ticket.allowed.begin(), ticket.allowed.end(), worker.wish.id) != ticket.allowed.end();
+      ticket.phase == Phase::both || worker.desired.phase == Phase::both || worker.desired.phase == ticket.phase;
+  return phase && std::find(ticket.allowed.begin(), ticket.allowed.end(), worker.desired.id) != ticket.allowed.end();
 }
 
 bool Placement::has_place(Worker const& worker, common::Moment now) const {
@@ -191,13 +191,13 @@
 void Placement::launch(Worker& worker, Ticket const& ticket, common::Moment now,
                        std::vector<PlacementAction>& actions) {
   double const cached = cached_tokens(worker, ticket);
-  double const predicted = worker.wish.model.prefill_seconds(std::max(0.0, ticket.tokens - cached), cached);
+  double const predicted = worker.desired.model.prefill_seconds(std::max(0.0, ticket.tokens - cached), cached);
   worker.running[ticket.id] = Running{ticket, now, predicted, false};
   worker.record.remember(ticket.chain);
-  where_[ticket.id] = worker.wish.id;
+  where_[ticket.id] = worker.desired.id;
   reused_tokens_ += cached;
   placed_tokens_ += ticket.tokens;
-  actions.emplace_back(Go{ticket.id, worker.wish.id, worker.wish.address, cached, predicted});
+  actions.emplace_back(Go{ticket.id, worker.desired.id, worker.desired.address, cached, predicted});
 }
 
 void Placement::left_waitlist(Ticket const& ticket) {
@@ -232,7 +232,7 @@
   ++count;
   begun_waiting_[ticket.rule] += ticket.begun ? 1 : 0;
   where_[ticket.id] = chosen;
-  worker.waiting.push_back(Waiting{ticket, worker.wish.model.prefill_seconds(ticket.tokens, 0)});
+  worker.waiting.push_back(Waiting{ticket, worker.desired.model.prefill_seconds(ticket.tokens, 0)});
 }
 
 void Placement::fill(Worker& worker, common::Moment now, std::vector<PlacementAction>& actions) {
@@ -279,23 +279,23 @@
   }
 }
 
-std::vector<PlacementAction> Placement::update(std::vector<WorkerWish> const& wishes,
+std::vector<PlacementAction> Placement::update(std::vector<DesiredWorker> const& desired_workers,
                                                schema::WorkerBounds const& bounds, schema::ScalerAims const& aims,
-                                               std::size_t furrows, common::Moment now) {
+                                               std::size_t proxies, common::Moment now) {
   std::vector<PlacementAction> actions;
   bounds_ = bounds;
   aims_ = aims;
-  furrows_ = std::max<std::size_t>(1, furrows);
+  proxies_ = std::max<std::size_t>(1, proxies);
   for (std::pair<std::string const, Worker>& entry : workers_) {
     entry.second.listed = false;
   }
-  for (WorkerWish const& wish : wishes) {
-    std::map<std::string, Worker>::iterator found = workers_.find(wish.id);
-    if (found == workers_.end() || found->second.wish.address != wish.address) {
+  for (DesiredWorker const& desired : desired_workers) {
+    std::map<std::string, Worker>::iterator found = workers_.find(desired.id);
+    if (found == workers_.end() || found->second.desired.address != desired.address) {
       if (found != workers_.end()) {  // the same name at another place is another worker
         std::deque<Waiting> const waiting = found->second.waiting;
         found->second.waiting.clear();
-        found->second.wish = wish;
+        found->second.desired = desired;
         found->second.heard = false;
         found->second.warm = false;
         found->second.record.clear();
@@ -305,18 +305,18 @@
           place(entry.ticket, false, now, actions);
         }
       } else {
-        found = workers_.try_emplace(wish.id).first;
+        found = workers_.try_emplace(desired.id).first;
         found->second.record = PrefixRecord(bounds.prefix_blocks);
       }
     }
-    found->second.wish = wish;
+    found->second.desired = desired;
     found->second.listed = true;
     settle_warmth(found->second, now);
   }
   // All wishes stand before anything moves, so that nothing moves to a worker
   // that goes as well.
   for (std::pair<std::string const, Worker>& entry : workers_) {
-    move_out(entry.second, !entry.second.listed || !entry.second.wish.usable, now, actions);
+    move_out(entry.second, !entry.second.listed || !entry.second.desired.usable, now, actions);
   }
   for (std::map<std::string, Worker>::iterator entry = workers_.begin(); entry != workers_.end();) {
     bool const gone = !entry->second.listed && entry->second.running.empty() && entry->second.waiting.empty();
@@ -414,7 +414,7 @@
     ++worker.good;
     worker.rest = 0;
     settle_warmth(worker, now);
-  } else if (ending == Ending::refused || ending == Ending::defect) {
+  } else if (ending == Ending::refused || ending == Ending::failure) {
     worker.rest = std::min(std::max(worker.rest * 2, constants::worker_rest_least), constants::worker_rest_most);
     if (ending == Ending::refused) {
       worker.rest = constants::worker_rest_least / 4;  // full, not broken
--- a/source/scheduling/placement/placement.hpp
+++ b/source/scheduling/placement/placement.hpp
@@ -19,7 +19,7 @@
 [[nodiscard]] Phase phase_of(std::string const& text);
 
 /// A worker as it is wanted now (section 8.5): the loop compares this with what is.
-struct WorkerWish {
+struct DesiredWorker {
   std::string id;
   std::string address;
   Phase phase = Phase::both;
@@ -62,7 +62,7 @@
 /// from 0 to 1.
 [[nodiscard]] int come_back_after(double expected_seconds, double draw);
 
-enum class Ending { good, refused, defect, abandoned };
+enum class Ending { good, refused, failure, abandoned };
 
 /// Rules that tests switch off to show that they are needed (docs/proofs.md).
 struct PlacementGuards {
@@ -76,9 +76,9 @@
 class Placement {
  public:
   explicit Placement(PlacementGuards guards = {}) : guards_(guards) {}
-  [[nodiscard]] std::vector<PlacementAction> update(std::vector<WorkerWish> const& wishes,
+  [[nodiscard]] std::vector<PlacementAction> update(std::vector<DesiredWorker> const& desired_workers,
                                                     schema::WorkerBounds const& bounds, schema::ScalerAims const& aims,
-                                                    std::size_t furrows, common::Moment now);
+                                                    std::size_t proxies, common::Moment now);
   [[nodiscard]] std::vector<PlacementAction> load(std::string const& worker, double running, double waiting,
                                                   std::string const& boot, common::Moment now);
   /// The worker did not tell its load.
@@ -114,7 +114,7 @@
     double predicted = 0;
   };
   struct Worker {
-    WorkerWish wish;
+    DesiredWorker desired;
     bool listed = true;
     PrefixRecord record;
     std::map<std::uint64_t, Running> running;
@@ -153,7 +153,7 @@
   PlacementGuards guards_;
   schema::WorkerBounds bounds_;
   schema::ScalerAims aims_;
-  std::size_t furrows_ = 1;
+  std::size_t proxies_ = 1;
   std::map<std::string, Worker> workers_;
   std::map<std::uint64_t, std::string> where_;
   std::map<std::string, std::uint64_t> waiting_by_rule_;
--- a/source/scheduling/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -9,13 +9,13 @@
 namespace {
 /// Every furrow of a region reckons the same one to tend a worker; when their
 /// member lists differ for a moment, two tend it with small limits each.
-bool tends(std::string const& self, std::string const& worker, std::vector<std::string> const& furrows) {
+bool tends(std::string const& self, std::string const& worker, std::vector<std::string> const& proxies) {
   std::string best;
   std::uint64_t best_weight = 0;
-  for (std::string const& furrow : furrows) {
-    std::uint64_t const weight = mix(hash_text(furrow), hash_text(worker));
+  for (std::string const& proxy : proxies) {
+    std::uint64_t const weight = mix(hash_text(proxy), hash_text(worker));
     if (best.empty() || weight > best_weight) {
-      best = furrow;
+      best = proxy;
       best_weight = weight;
     }
   }
@@ -26,12 +26,12 @@
 void derive(Plan& plan, std::string const& self, std::string const& hall) {
   plan.region = config::region_of(plan.setup, hall);
   plan.allowed.clear();
-  plan.wishes.clear();
-  std::vector<std::string> furrows{self};
+  plan.desired_workers.clear();
+  std::vector<std::string> proxies{self};
   std::map<std::string, std::vector<std::string>> warm_boots;
   for (schema::Member const& member : plan.members) {
     if (member.name != self && config::region_of(plan.setup, member.hall) == plan.region) {
-      furrows.push_back(member.name);
+      proxies.push_back(member.name);
     }
     for (std::string const& warm : member.warm) {
       std::size_t const at = warm.rfind('@');
@@ -40,7 +40,7 @@
       }
     }
   }
-  plan.furrows_here = furrows.size();
+  plan.proxies_here = proxies.size();
   schema::Split const split = plan.splits[plan.region];
   std::map<std::string, bool> evacuated;
   for (std::pair<std::string const, schema::Hall> const& entry : plan.setup.halls) {
@@ -50,18 +50,18 @@
     if (plan.region.empty() || config::region_of(plan.setup, worker.zone) != plan.region) {
       continue;
     }
-    WorkerWish wish;
-    wish.id = worker.id;
-    wish.address = worker.address;
+    DesiredWorker desired;
+    desired.id = worker.id;
+    desired.address = worker.address;
     std::map<std::string, std::string>::const_iterator const phase = split.phases.find(worker.id);
-    wish.phase = phase == split.phases.end() ? Phase::both : phase_of(phase->second);
+    desired.phase = phase == split.phases.end() ? Phase::both : phase_of(phase->second);
     std::map<std::string, schema::Coefficients>::const_iterator const fitted = split.coefficients.find(worker.id);
-    wish.model = fitted == split.coefficients.end() ? WorkerModel() : WorkerModel(fitted->second);
-    wish.usable = !worker.draining && !evacuated[worker.zone];
-    wish.tended = tends(self, worker.id, furrows);
-    wish.warm_boots = warm_boots[worker.id];
+    desired.model = fitted == split.coefficients.end() ? WorkerModel() : WorkerModel(fitted->second);
+    desired.usable = !worker.draining && !evacuated[worker.zone];
+    desired.tended = tends(self, worker.id, proxies);
+    desired.warm_boots = warm_boots[worker.id];
     std::string const pool = pool_of(worker.kind);
-    plan.wishes[pool].push_back(wish);
+    plan.desired_workers[pool].push_back(desired);
     config::Labels const labels = config::worker_labels(plan.setup, worker);
     for (std::pair<std::string const, schema::Rule> const& rule : plan.setup.rules) {
       if (pool_of(rule.second.kind) == pool && config::selects(rule.second.selector, labels)) {
@@ -82,10 +82,10 @@
       std::find(allowed->second.begin(), allowed->second.end(), worker) == allowed->second.end()) {
     return false;
   }
-  for (std::pair<std::string const, std::vector<WorkerWish>> const& pool : plan.wishes) {
-    for (WorkerWish const& wish : pool.second) {
-      if (wish.id == worker) {
-        return wish.usable;
+  for (std::pair<std::string const, std::vector<DesiredWorker>> const& pool : plan.desired_workers) {
+    for (DesiredWorker const& desired : pool.second) {
+      if (desired.id == worker) {
+        return desired.usable;
       }
     }
   }
@@ -139,19 +139,19 @@
     followed.changed = other_workers;
     return followed;
   }
-  config::Course const course =
+  config::Disposition const disposition =
       config::decide(current->setup, current->region, header.method, header.path, header.lookup, header.body_bytes);
   Decided decided;
   followed.changed = true;
-  if (config::Serve const* const serve = std::get_if<config::Serve>(&course)) {
+  if (config::Serve const* const serve = std::get_if<config::Serve>(&disposition)) {
     schema::Rule const rule = current->setup.rules.at(serve->rule);
     followed.changed = !(*serve == footing.serve) || !(rule == footing.rule) || other_workers ||
                        current->setup.scaler.manner != before->setup.scaler.manner;
     footing.serve = *serve;
     footing.rule = rule;
   } else {
-    decided.standing = std::holds_alternative<config::GoHome>(course) ? Standing::home : Standing::none;
-    footing.home = decided.standing == Standing::home ? std::get<config::GoHome>(course).region : "";
+    decided.standing = std::holds_alternative<config::GoHome>(disposition) ? Standing::home : Standing::none;
+    footing.home = decided.standing == Standing::home ? std::get<config::GoHome>(disposition).region : "";
   }
   decided.repeatable = footing.rule.repeatable;
   decided.resumable = footing.rule.resumable;
--- a/source/scheduling/plan/plan.hpp
+++ b/source/scheduling/plan/plan.hpp
@@ -25,9 +25,9 @@
   std::map<std::string, schema::Split> splits;  ///< per region
   std::vector<schema::Member> members;
   schema::PlatformList list;
-  std::map<std::string, std::vector<std::string>> allowed;  ///< rule to the workers it may use here
-  std::map<std::string, std::vector<WorkerWish>> wishes;    ///< pool to workers
-  std::size_t furrows_here = 1;
+  std::map<std::string, std::vector<std::string>> allowed;            ///< rule to the workers it may use here
+  std::map<std::string, std::vector<DesiredWorker>> desired_workers;  ///< pool to workers
+  std::size_t proxies_here = 1;
 };
 
 /// The pool (and so the shard) of a kind of worker or rule.
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
@@ -5,24 +5,24 @@
 namespace finchlink::scheduling {
 
 namespace {
-bool behind_walls(std::vector<Part> const& parts) {
+bool behind_isolation(std::vector<Part> const& parts) {
   return !parts.empty() && parts.front().holder != 0;
 }
 
-std::vector<WallEntry> chained(std::vector<Part> const& parts) {
-  std::vector<WallEntry> entries;
+std::vector<IsolationEntry> chained(std::vector<Part> const& parts) {
+  std::vector<IsolationEntry> entries;
   std::uint64_t chain = 0;
   for (Part const& part : parts) {
     chain = mix(chain, part.key);
-    entries.push_back(WallEntry{chain, part.holder, part.tokens});
+    entries.push_back(IsolationEntry{chain, part.holder, part.tokens});
   }
   return entries;
 }
 }  // namespace
 
-double Reuse::match(std::vector<Part> const& parts) const {
-  if (behind_walls(parts)) {
-    return walled_ == nullptr ? 0 : walled_->match(chained(parts));
+double PromptCacheEstimate::match(std::vector<Part> const& parts) const {
+  if (behind_isolation(parts)) {
+    return isolated_ == nullptr ? 0 : isolated_->match(chained(parts));
   }
   double tokens = 0;
   std::uint64_t chain = 0;
@@ -36,12 +36,12 @@
   return tokens;
 }
 
-void Reuse::remember(std::vector<Part> const& parts) {
-  if (behind_walls(parts)) {
-    if (walled_ == nullptr) {
-      walled_ = std::make_unique<WallRecord>();
+void PromptCacheEstimate::remember(std::vector<Part> const& parts) {
+  if (behind_isolation(parts)) {
+    if (isolated_ == nullptr) {
+      isolated_ = std::make_unique<IsolationRecord>();
     }
-    walled_->remember(chained(parts), most_);
+    isolated_->remember(chained(parts), most_);
     return;
   }
   std::uint64_t chain = 0;
@@ -59,14 +59,14 @@
   }
 }
 
-void Reuse::gave_up(std::vector<Part> const& parts, double tokens) {
-  if (behind_walls(parts) && walled_ != nullptr) {
-    walled_->gave_up(chained(parts), tokens);
+void PromptCacheEstimate::gave_up(std::vector<Part> const& parts, double tokens) {
+  if (behind_isolation(parts) && isolated_ != nullptr) {
+    isolated_->gave_up(chained(parts), tokens);
   }
 }
 
-void Reuse::clear() {
-  walled_.reset();
+void PromptCacheEstimate::clear() {
+  isolated_.reset();
   young_.clear();
   old_.clear();
   young_tokens_ = 0;
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
@@ -21,9 +21,9 @@
 /// Which parts one worker should still keep, as far as this furrow saw
 /// (section 13.5). A part counts only behind all parts before it. Two
 /// generations make up the forgetting; both together hold `most` tokens.
-class Reuse {
+class PromptCacheEstimate {
  public:
-  explicit Reuse(double most = 0) : most_(most) {}
+  explicit PromptCacheEstimate(double most = 0) : most_(most) {}
   void bound(double most) { most_ = most; }
   /// Tokens at the prompt's beginning that need not be read again.
   [[nodiscard]] double match(std::vector<Part> const& parts) const;
@@ -33,15 +33,15 @@
   /// used since is given up, too.
   void gave_up(std::vector<Part> const& parts, double tokens);
   /// Forgets what was kept behind walls.
-  void clear_walled() { walled_.reset(); }
-  [[nodiscard]] WallRecord const* walled() const { return walled_.get(); }
+  void clear_isolated() { isolated_.reset(); }
+  [[nodiscard]] IsolationRecord const* isolated() const { return isolated_.get(); }
 
  private:
   double most_;
   double young_tokens_ = 0;
   tsl::robin_map<std::uint64_t, float> young_;
   tsl::robin_map<std::uint64_t, float> old_;
-  std::unique_ptr<WallRecord> walled_;  ///< made by the first walled part
+  std::unique_ptr<IsolationRecord> isolated_;  ///< made by the first walled part
 };
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/prompt_isolation/key.cpp
+++ b/source/scheduling/prompt_isolation/key.cpp
@@ -24,7 +24,7 @@
 absl::StatusOr<Secrets> read_secrets(std::string const& text) {
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok() || cJSON_IsObject(tree->get()) == 0) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "the file is no JSON object");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "the file is no JSON object");
   }
   Secrets secrets;
   for (cJSON const* item = (*tree)->child; item != nullptr; item = item->next) {
@@ -35,19 +35,19 @@
                std::strlen(item->valuestring) >= common::constants::secret_bytes_least) {
       (name == "current" ? secrets.current : secrets.previous) = item->valuestring;
     } else {
-      return common::defect(
+      return common::make_error(
           absl::StatusCode::kInvalidArgument, "secrets",
           "current and previous are texts of 32 bytes or more, moved is 0 to 100; nothing else stands there");
     }
   }
   if (secrets.current.empty()) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "current is missing");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "current is missing");
   }
   if (secrets.current == secrets.previous) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "current and previous are the same");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "current and previous are the same");
   }
   if (secrets.previous.empty() && secrets.moved != 100) {
-    return common::defect(absl::StatusCode::kInvalidArgument, "secrets", "moved below 100 wants a previous secret");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "moved below 100 wants a previous secret");
   }
   return secrets;
 }
@@ -63,13 +63,13 @@
   return place % 100 < secrets.moved ? secrets.current : secrets.previous;
 }
 
-std::string wall_key(std::string const& secret, Wall const& wall) {
+std::string isolation_key(std::string const& secret, IsolationKey const& isolation) {
   std::string text;
-  frame(text, wall.shared ? "public" : "tenant");
-  frame(text, wall.shared ? "" : wall.realm);
-  frame(text, wall.shared ? "" : wall.tenant);
-  frame(text, wall.model);
-  frame(text, wall.version);
+  frame(text, isolation.shared ? "public" : "tenant");
+  frame(text, isolation.shared ? "" : isolation.realm);
+  frame(text, isolation.shared ? "" : isolation.tenant);
+  frame(text, isolation.model);
+  frame(text, isolation.version);
   return keyed_hash(secret, text);
 }
 
@@ -77,8 +77,8 @@
   return keyed_hash(key, before + std::string(part));
 }
 
-std::string walled_id(std::string const& hash) {
-  return hex(std::string_view(hash).substr(0, common::constants::wall_id_bytes));
+std::string isolated_id(std::string const& hash) {
+  return hex(std::string_view(hash).substr(0, common::constants::isolation_id_bytes));
 }
 
 std::string keyed_hash(std::string_view key, std::string_view text) {
--- a/source/scheduling/prompt_isolation/key.hpp
+++ b/source/scheduling/prompt_isolation/key.hpp
@@ -22,7 +22,7 @@
 [[nodiscard]] absl::StatusOr<Secrets> read_secrets(std::string const& text);
 
 /// Behind what a part is kept: nobody's (public), or one tenant's.
-struct Wall {
+struct IsolationKey {
   bool shared = false;  ///< parts that hold nothing of any tenant
   std::string tenant;
   std::string model;
@@ -33,14 +33,14 @@
 /// The secret that a tenant is on; empty: there is none.
 [[nodiscard]] std::string const& secret_of(Secrets const& secrets, std::string_view tenant);
 /// A wall's own key, derived by HMAC-SHA-256 over each field with its length.
-[[nodiscard]] std::string wall_key(std::string const& secret, Wall const& wall);
+[[nodiscard]] std::string isolation_key(std::string const& secret, IsolationKey const& isolation);
 /// A part behind a wall and behind all parts before it (`before`: the hash of
 /// the last of these, or `nothing_before`): what a worker computed for a part
 /// depends on everything in front of it.
 inline std::string const nothing_before = std::string(32, '\0');
 [[nodiscard]] std::string part_hash(std::string const& key, std::string const& before, std::string_view part);
 /// The id under which a worker keeps that part, in hex.
-[[nodiscard]] std::string walled_id(std::string const& hash);
+[[nodiscard]] std::string isolated_id(std::string const& hash);
 /// HMAC-SHA-256 (RFC 2104), 32 bytes.
 [[nodiscard]] std::string keyed_hash(std::string_view key, std::string_view text);
 [[nodiscard]] std::string hex(std::string_view bytes);
--- a/source/scheduling/prompt_isolation/prompt_isolation.cpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.cpp
@@ -23,7 +23,7 @@
 }
 
 std::string once_id(std::array<std::uint64_t, 2> const& once, std::size_t index) {
-  std::string bytes(common::constants::wall_id_bytes, '\0');
+  std::string bytes(common::constants::isolation_id_bytes, '\0');
   std::uint64_t const second = once[1] + index;
   std::memcpy(bytes.data(), &once[0], 8);
   std::memcpy(bytes.data() + 8, &second, 8);
@@ -51,21 +51,21 @@
     }
     entry = entry.substr(0, colon);
     entry.remove_prefix(std::min(entry.size(), entry.find_first_not_of(' ')));
-    double const told = std::min(static_cast<double>(tokens), common::constants::wall_part_tokens_most);
+    double const told = std::min(static_cast<double>(tokens), common::constants::isolation_part_tokens_most);
     if (entry.empty()) {
       continue;
     }
-    if (parts.size() < common::constants::wall_parts_most) {
+    if (parts.size() < common::constants::isolation_parts_most) {
       parts.push_back(NamedPart{std::string(entry), told});
     } else {  // a comma stands in no part's own id
       parts.back().id.append(",").append(entry);
-      parts.back().tokens = std::min(parts.back().tokens + told, common::constants::wall_part_tokens_most);
+      parts.back().tokens = std::min(parts.back().tokens + told, common::constants::isolation_part_tokens_most);
     }
   }
   return parts;
 }
 
-std::size_t Walls::public_count(Prompt const& prompt) const {
+std::size_t PromptIsolation::public_count(Prompt const& prompt) const {
   std::size_t count = 0;
   while (count < prompt.parts.size() &&
          std::find(prompt.shared.begin(), prompt.shared.end(), prompt.parts[count].id) != prompt.shared.end()) {
@@ -74,7 +74,7 @@
   return count;
 }
 
-std::optional<std::string> Walls::version_of(std::string const& worker) const {
+std::optional<std::string> PromptIsolation::version_of(std::string const& worker) const {
   if (!guards_.version_in_key) {
     return "";
   }
@@ -87,16 +87,17 @@
   return good ? std::optional<std::string>(found->second) : std::nullopt;
 }
 
-std::vector<Part> Walls::place(Prompt const& prompt) const {
+std::vector<Part> PromptIsolation::place(Prompt const& prompt) const {
   std::vector<Part> parts;
   if (!secrets_.has_value()) {
     return parts;
   }
   std::size_t const shared = public_count(prompt);
   std::size_t const count = prompt.tenant.empty() ? shared : prompt.parts.size();
-  std::string const common = wall_key(secret_of(*secrets_, ""), Wall{true, "", prompt.model, record_version, ""});
-  std::string const own = wall_key(secret_of(*secrets_, prompt.tenant),
-                                   Wall{false, prompt.tenant, prompt.model, record_version, prompt.realm});
+  std::string const common =
+      isolation_key(secret_of(*secrets_, ""), IsolationKey{true, "", prompt.model, record_version, ""});
+  std::string const own = isolation_key(secret_of(*secrets_, prompt.tenant),
+                                        IsolationKey{false, prompt.tenant, prompt.model, record_version, prompt.realm});
   std::uint64_t const holder = number_of(own) | 2u;  // neither nobody nor everybody
   std::string before = nothing_before;
   for (std::size_t index = 0; index < count; ++index) {
@@ -106,18 +107,20 @@
   return parts;
 }
 
-Walled Walls::send(Prompt const& prompt, std::string const& worker, std::array<std::uint64_t, 2> const& once) const {
-  Walled walled;
+IsolatedPrompt PromptIsolation::send(Prompt const& prompt, std::string const& worker,
+                                     std::array<std::uint64_t, 2> const& once) const {
+  IsolatedPrompt isolated;
   std::optional<std::string> const version = version_of(worker);
   bool const keyed = secrets_.has_value() && version.has_value();
-  walled.version = version.value_or("");
-  walled.cold = !keyed || prompt.tenant.empty();
+  isolated.version = version.value_or("");
+  isolated.cold = !keyed || prompt.tenant.empty();
   std::size_t const shared = keyed ? public_count(prompt) : 0;
   std::string const common =
-      keyed ? wall_key(secret_of(*secrets_, ""), Wall{true, "", prompt.model, *version, ""}) : "";
-  std::string const own = walled.cold ? ""
-                                      : wall_key(secret_of(*secrets_, prompt.tenant),
-                                                 Wall{false, prompt.tenant, prompt.model, *version, prompt.realm});
+      keyed ? isolation_key(secret_of(*secrets_, ""), IsolationKey{true, "", prompt.model, *version, ""}) : "";
+  std::string const own = isolated.cold
+                              ? ""
+                              : isolation_key(secret_of(*secrets_, prompt.tenant),
+                                              IsolationKey{false, prompt.tenant, prompt.model, *version, prompt.realm});
   std::string before = nothing_before;
   for (std::size_t index = 0; index < prompt.parts.size(); ++index) {
     NamedPart const& part = prompt.parts[index];
@@ -125,20 +128,21 @@
     std::string id;
     if (!guards_.tenant_in_key) {
       id = part.id;
-    } else if (walled.cold && !public_part) {
+    } else if (isolated.cold && !public_part) {
       id = once_id(once, index);
     } else {
       before = part_hash(public_part ? common : own, before, part.id);
-      id = walled_id(before);
+      id = isolated_id(before);
     }
-    walled.most_reused += public_part || !walled.cold ? part.tokens : 0;
-    append(walled.header, id, part.tokens);
+    isolated.most_reused += public_part || !isolated.cold ? part.tokens : 0;
+    append(isolated.header, id, part.tokens);
   }
-  return walled;
+  return isolated;
 }
 
-std::vector<WallAction> Walls::heard(WallAnswer const& answer, Walled const& sent, double predicted) {
-  std::vector<WallAction> actions;
+std::vector<IsolationAction> PromptIsolation::heard(IsolationAnswer const& answer, IsolatedPrompt const& sent,
+                                                    double predicted) {
+  std::vector<IsolationAction> actions;
   if (answer.reused.has_value() && *answer.reused > sent.most_reused) {
     ++crossings_;
     actions.push_back(Crossed{answer.worker, *answer.reused - sent.most_reused});
@@ -163,8 +167,8 @@
   return actions;
 }
 
-void Walls::count(Prompt const& prompt, Walled const& sent, std::optional<double> reused) {
-  bool const told = tallies_.size() < common::constants::wall_tenants_told || tallies_.count(prompt.tenant) > 0;
+void PromptIsolation::count(Prompt const& prompt, IsolatedPrompt const& sent, std::optional<double> reused) {
+  bool const told = tallies_.size() < common::constants::isolation_tenants_told || tallies_.count(prompt.tenant) > 0;
   TenantTally& tally = told ? tallies_[prompt.tenant] : others_;
   ++tally.queries;
   tally.cold += sent.cold ? 1 : 0;
--- a/source/scheduling/prompt_isolation/prompt_isolation.hpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.hpp
@@ -27,7 +27,7 @@
 [[nodiscard]] std::vector<NamedPart> named_parts(std::string_view text);
 
 /// Rules that tests switch off to show that they are needed.
-struct WallGuards {
+struct IsolationGuards {
   bool tenant_in_key = true;   ///< off: ids go out as callers sent them
   bool version_in_key = true;  ///< off: new weights find what old ones computed
 };
@@ -41,14 +41,14 @@
   std::string realm = {};           ///< in which the tenant's name stands
 };
 /// What goes to one worker.
-struct Walled {
+struct IsolatedPrompt {
   std::string header;      ///< the parts under the ids that the worker keeps them by
   bool cold = false;       ///< tenant's parts have ids that are used once
   double most_reused = 0;  ///< tokens that can be kept there by right
   std::string version;     ///< of the weights that it was keyed for; empty: unknown
 };
 /// What a worker said of a walled query.
-struct WallAnswer {
+struct IsolationAnswer {
   std::string worker;
   std::string version;           ///< empty: not told
   std::optional<double> reused;  ///< tokens that it did not read again
@@ -72,7 +72,7 @@
   std::string worker;
   std::string expected;
 };
-using WallAction = std::variant<ForgetWorker, GaveUp, Crossed, RanOtherWeights>;
+using IsolationAction = std::variant<ForgetWorker, GaveUp, Crossed, RanOtherWeights>;
 
 struct TenantTally {
   std::uint64_t queries = 0;
@@ -83,17 +83,18 @@
 
 /// The walls of one furrow (section 14): secrets, versions of weights as
 /// workers told them, and what each tenant reused. Plain state.
-class Walls {
+class PromptIsolation {
  public:
-  explicit Walls(WallGuards guards = {}) : guards_(guards) {}
+  explicit PromptIsolation(IsolationGuards guards = {}) : guards_(guards) {}
   void take(Secrets secrets) { secrets_ = std::move(secrets); }
   [[nodiscard]] bool keyed() const { return secrets_.has_value(); }
   /// Parts for placement and record; none where nothing can be reused.
   [[nodiscard]] std::vector<Part> place(Prompt const& prompt) const;
   /// `once`: never handed in before; from it come ids that are used once.
-  [[nodiscard]] Walled send(Prompt const& prompt, std::string const& worker,
-                            std::array<std::uint64_t, 2> const& once) const;
-  [[nodiscard]] std::vector<WallAction> heard(WallAnswer const& answer, Walled const& sent, double predicted);
+  [[nodiscard]] IsolatedPrompt send(Prompt const& prompt, std::string const& worker,
+                                    std::array<std::uint64_t, 2> const& once) const;
+  [[nodiscard]] std::vector<IsolationAction> heard(IsolationAnswer const& answer, IsolatedPrompt const& sent,
+                                                   double predicted);
   /// A worker that left, or came back: its version is unknown again.
   void forget(std::string const& worker) {
     versions_.erase(worker);
@@ -107,7 +108,7 @@
       return !keep(entry.first);
     });
   }
-  void count(Prompt const& prompt, Walled const& sent, std::optional<double> reused);
+  void count(Prompt const& prompt, IsolatedPrompt const& sent, std::optional<double> reused);
   [[nodiscard]] tsl::robin_map<std::string, TenantTally> const& tallies() const { return tallies_; }
   [[nodiscard]] TenantTally const& others() const { return others_; }
   [[nodiscard]] std::uint64_t crossings() const { return crossings_; }
@@ -117,7 +118,7 @@
   [[nodiscard]] std::optional<std::string> version_of(std::string const& worker) const;
   [[nodiscard]] std::size_t public_count(Prompt const& prompt) const;
 
-  WallGuards guards_;
+  IsolationGuards guards_;
   std::optional<Secrets> secrets_;
   std::map<std::string, std::string> versions_;
   /// Versions whose ids a worker may have filled by other weights: cold there.
--- a/source/scheduling/prompt_isolation/record.cpp
+++ b/source/scheduling/prompt_isolation/record.cpp
@@ -6,9 +6,9 @@
 
 namespace finchlink::scheduling {
 
-double WallRecord::match(std::vector<WallEntry> const& entries) const {
+double IsolationRecord::match(std::vector<IsolationEntry> const& entries) const {
   double tokens = 0;
-  for (WallEntry const& entry : entries) {
+  for (IsolationEntry const& entry : entries) {
     if (places_.count(entry.key) == 0) {
       break;
     }
@@ -17,7 +17,7 @@
   return tokens;
 }
 
-void WallRecord::unlist(std::uint64_t holder) {
+void IsolationRecord::unlist(std::uint64_t holder) {
   Holder const& entry = holders_[holder];
   if (!entry.by_use.empty()) {
     by_weight_.erase({entry.weight, holder});
@@ -25,7 +25,7 @@
   }
 }
 
-void WallRecord::list(std::uint64_t holder) {
+void IsolationRecord::list(std::uint64_t holder) {
   Holder const& entry = holders_.at(holder);
   if (entry.by_use.empty()) {
     tokens_ -= entry.weight;  // what rounding left over
@@ -36,7 +36,7 @@
   }
 }
 
-void WallRecord::drop(std::uint64_t key) {
+void IsolationRecord::drop(std::uint64_t key) {
   tsl::robin_map<std::uint64_t, Place>::const_iterator const found = places_.find(key);
   if (found == places_.end()) {
     return;
@@ -51,15 +51,15 @@
   list(place.holder);
 }
 
-void WallRecord::drop_oldest_of(std::uint64_t holder) {
+void IsolationRecord::drop_oldest_of(std::uint64_t holder) {
   drop(holders_.at(holder).by_use.begin()->second);
 }
 
-void WallRecord::remember(std::vector<WallEntry> const& entries, double most) {
+void IsolationRecord::remember(std::vector<IsolationEntry> const& entries, double most) {
   // Last part first: of one prompt the end gives way before the beginning.
-  for (std::vector<WallEntry>::const_reverse_iterator entry = entries.rbegin(); entry != entries.rend(); ++entry) {
+  for (std::vector<IsolationEntry>::const_reverse_iterator entry = entries.rbegin(); entry != entries.rend(); ++entry) {
     drop(entry->key);
-    double const weight = std::max(entry->tokens, common::constants::wall_entry_tokens);
+    double const weight = std::max(entry->tokens, common::constants::isolation_entry_tokens);
     if (weight > most) {
       continue;
     }
@@ -74,14 +74,14 @@
   while (tokens_ > most && !by_weight_.empty()) {
     std::pair<double, std::uint64_t> const heaviest = *by_weight_.rbegin();
     bool const floods =
-        heaviest.first > common::constants::wall_shares_most * tokens_ / static_cast<double>(holders_.size());
+        heaviest.first > common::constants::isolation_shares_most * tokens_ / static_cast<double>(holders_.size());
     drop_oldest_of(floods ? heaviest.second : by_age_.begin()->second);
   }
 }
 
-void WallRecord::gave_up(std::vector<WallEntry> const& entries, double tokens) {
+void IsolationRecord::gave_up(std::vector<IsolationEntry> const& entries, double tokens) {
   double passed = 0;
-  for (WallEntry const& entry : entries) {
+  for (IsolationEntry const& entry : entries) {
     passed += entry.tokens;
     tsl::robin_map<std::uint64_t, Place>::const_iterator const found = places_.find(entry.key);
     if (passed <= tokens || found == places_.end()) {
--- a/source/scheduling/prompt_isolation/record.hpp
+++ b/source/scheduling/prompt_isolation/record.hpp
@@ -12,7 +12,7 @@
 
 /// A part of a prompt as a record knows it: a key that covers all parts before
 /// it, who keeps it, and its tokens.
-struct WallEntry {
+struct IsolationEntry {
   std::uint64_t key = 0;
   std::uint64_t holder = 0;
   double tokens = 0;
@@ -23,14 +23,14 @@
 /// more than twice an even part gives up what it has not used for longest:
 /// nobody loses anything to a tenant that floods. Where nobody holds as much,
 /// what was unused longest goes, whoever holds it, as in the worker's memory.
-class WallRecord {
+class IsolationRecord {
  public:
   /// Tokens at the prompt's beginning that need not be read again.
-  [[nodiscard]] double match(std::vector<WallEntry> const& entries) const;
-  void remember(std::vector<WallEntry> const& entries, double most);
+  [[nodiscard]] double match(std::vector<IsolationEntry> const& entries) const;
+  void remember(std::vector<IsolationEntry> const& entries, double most);
   /// The worker had only `tokens` of these: what it has not used since the
   /// first one that is missing is forgotten with it.
-  void gave_up(std::vector<WallEntry> const& entries, double tokens);
+  void gave_up(std::vector<IsolationEntry> const& entries, double tokens);
   [[nodiscard]] double tokens() const { return tokens_; }
   [[nodiscard]] std::size_t size() const { return places_.size(); }
   [[nodiscard]] std::size_t holders() const { return holders_.size(); }
--- a/source/scheduling/prompt_isolation/tenant.cpp
+++ b/source/scheduling/prompt_isolation/tenant.cpp
@@ -81,9 +81,9 @@
   return reading;
 }
 
-std::string realm_of(schema::Tenancy const& tenancy, std::string_view lane) {
+std::string realm_of(schema::Tenancy const& tenancy, std::string_view route) {
   if (tenancy.header.empty()) {
-    return "path " + std::string(lane);
+    return "path " + std::string(route);
   }
   std::string realm = "header ";
   for (char const letter : tenancy.header) {
@@ -92,14 +92,14 @@
   return realm;
 }
 
-bool join_homes(std::vector<std::string> const& lane, std::vector<std::string> const& tenant,
+bool join_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
                 std::vector<std::string>& joined) {
-  if (tenant.empty() || lane.empty()) {
-    joined = tenant.empty() ? lane : tenant;
+  if (tenant.empty() || route.empty()) {
+    joined = tenant.empty() ? route : tenant;
     return true;
   }
   joined.clear();
-  for (std::string const& region : lane) {
+  for (std::string const& region : route) {
     if (std::find(tenant.begin(), tenant.end(), region) != tenant.end()) {
       joined.push_back(region);
     }
--- a/source/scheduling/proxy_count/proxy_count.cpp
+++ b/source/scheduling/proxy_count/proxy_count.cpp
@@ -6,7 +6,7 @@
 
 namespace finchlink::scheduling {
 
-void Census::told(std::vector<std::string> const& members, common::Moment now) {
+void ProxyCount::told(std::vector<std::string> const& members, common::Moment now) {
   std::vector<std::string> next = members;
   std::sort(next.begin(), next.end());
   next.erase(std::unique(next.begin(), next.end()), next.end());
@@ -19,15 +19,15 @@
     gone_.erase(name);
   }
   std::erase_if(gone_, [now](std::pair<std::string const, common::Moment> const& entry) {
-    return now - entry.second >= common::constants::census_memory;
+    return now - entry.second >= common::constants::proxy_count_memory;
   });
   members_ = std::move(next);
 }
 
-std::vector<std::string> Census::furrows(common::Moment now) const {
+std::vector<std::string> ProxyCount::proxies(common::Moment now) const {
   std::vector<std::string> names = members_;
   for (std::pair<std::string const, common::Moment> const& entry : gone_) {
-    if (now - entry.second < common::constants::census_memory) {
+    if (now - entry.second < common::constants::proxy_count_memory) {
       names.push_back(entry.first);
     }
   }
--- a/source/scheduling/query_state/first_hold.hpp
+++ b/source/scheduling/query_state/first_hold.hpp
@@ -20,8 +20,8 @@
     return longest;
   }
   common::Span const part =
-      static_cast<common::Span>(static_cast<double>(*left) * common::constants::charter_hold_part);
-  return std::min(longest, std::max(common::constants::charter_hold_least, part));
+      static_cast<common::Span>(static_cast<double>(*left) * common::constants::routing_config_hold_part);
+  return std::min(longest, std::max(common::constants::routing_config_hold_least, part));
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/query_state/query_state_machine.cpp
+++ b/source/scheduling/query_state/query_state_machine.cpp
@@ -6,14 +6,14 @@
 
 namespace finchlink::scheduling {
 
-std::vector<QueryAction> Chart::advance(QueryMessage const& message, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::advance(QueryMessage const& message, common::Moment now) {
   if (settled()) {
     return {};
   }
   return std::visit([this, now](auto const& entry) { return on(entry, now); }, message);
 }
 
-std::vector<QueryAction> Chart::give_up(std::string const& reason, int status) {
+std::vector<QueryAction> QueryStateMachine::give_up(std::string const& reason, int status) {
   if (last_event_ > 0) {
     settle("broken");
     return {EndBroken{reason}};
@@ -27,7 +27,7 @@
   return {Refuse{reason}};
 }
 
-std::vector<QueryAction> Chart::place(bool again) {
+std::vector<QueryAction> QueryStateMachine::place(bool again) {
   state_ = Waitlisted{};
   if (standing_ == Standing::serve && (!repeats_ || may_repeat())) {
     return {Place{again}};
@@ -39,7 +39,7 @@
   return give_up("rule_changed", 502);
 }
 
-std::vector<QueryAction> Chart::on(Decided const& message, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(Decided const& message, common::Moment) {
   // What is under way keeps the form of its answer; whether it may run again
   // is asked of the newest rule (section 9.7).
   bool const may_be_running =
@@ -57,7 +57,7 @@
   return standing_ == Standing::serve && (!repeats_ || may_repeat()) ? std::vector<QueryAction>{} : place(false);
 }
 
-std::vector<QueryAction> Chart::try_again(std::string const& reason, int status, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::try_again(std::string const& reason, int status, common::Moment now) {
   if (standing_ != Standing::serve) {
     return place(true);  // ends it, and spends no right
   }
@@ -67,13 +67,13 @@
   return give_up(reason, status);
 }
 
-std::vector<QueryAction> Chart::on(Placed const& message, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(Placed const& message, common::Moment) {
   state_ = Connecting{message.worker};
   ++dispatches_;
   return {};
 }
 
-std::vector<QueryAction> Chart::on(NoRoom const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(NoRoom const&, common::Moment) {
   if (standing_ != Standing::serve) {
     return place(false);
   }
@@ -85,14 +85,14 @@
   return give_up("no_room", 502);
 }
 
-std::vector<QueryAction> Chart::on(Connected const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(Connected const&, common::Moment) {
   if (Connecting const* const connecting = std::get_if<Connecting>(&state_)) {
     state_ = Exposed{connecting->worker};
   }
   return {};
 }
 
-std::vector<QueryAction> Chart::on(Withdrawn const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(Withdrawn const&, common::Moment) {
   if (!std::holds_alternative<Connecting>(state_)) {
     return {};
   }
@@ -101,14 +101,14 @@
   return place(false);
 }
 
-std::vector<QueryAction> Chart::on(ConnectDefect const&, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::on(ConnectFailure const&, common::Moment now) {
   if (!std::holds_alternative<Connecting>(state_)) {
     return {};
   }
   return try_again("unreachable", 502, now);
 }
 
-std::vector<QueryAction> Chart::on(WorkerRefused const&, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::on(WorkerRefused const&, common::Moment now) {
   if (!std::holds_alternative<Exposed>(state_)) {
     return {};
   }
@@ -120,7 +120,7 @@
   return try_again("busy", 502, now);
 }
 
-std::vector<QueryAction> Chart::on(WorkerDefect const& message, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::on(WorkerFailure const& message, common::Moment now) {
   if (std::holds_alternative<Connecting>(state_) || std::holds_alternative<Waitlisted>(state_)) {
     return {};
   }
@@ -133,7 +133,7 @@
   return give_up(message.what, 502);
 }
 
-std::vector<QueryAction> Chart::on(WorkerAnswered const& message, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(WorkerAnswered const& message, common::Moment) {
   may_have_run_ = true;
   if (last_event_ > 0) {
     settle("broken");
@@ -143,7 +143,7 @@
   return {Apologise{message.status, "worker_error", true}};
 }
 
-std::vector<QueryAction> Chart::on(Event const& message, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::on(Event const& message, common::Moment now) {
   std::string worker;
   if (Exposed const* const exposed = std::get_if<Exposed>(&state_)) {
     worker = exposed->worker;
@@ -154,7 +154,7 @@
   }
   state_ = Streaming{worker};
   if (message.number != last_event_ + 1) {
-    return on(WorkerDefect{"numbering"}, now);
+    return on(WorkerFailure{"numbering"}, now);
   }
   last_event_ = message.number;
   position_known_ = message.resumable;
@@ -164,7 +164,7 @@
   return {Forward{message.number, message.last}};
 }
 
-std::vector<QueryAction> Chart::on(LegDone const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(LegDone const&, common::Moment) {
   if (!std::holds_alternative<Exposed>(state_)) {
     return {};
   }
@@ -176,7 +176,7 @@
   return place(false);
 }
 
-std::vector<QueryAction> Chart::on(Whole const&, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::on(Whole const&, common::Moment now) {
   if (std::holds_alternative<Streaming>(state_)) {
     settle("complete");  // a relayed stream ends where its worker ended it (section 13.8)
     return {};
@@ -186,13 +186,13 @@
   }
   if (last_event_ > 0) {
     // Part of a stream is with the caller: no other answer may follow it.
-    return on(WorkerDefect{"another_answer"}, now);
+    return on(WorkerFailure{"another_answer"}, now);
   }
   settle("complete");
   return {Deliver{}};
 }
 
-std::vector<QueryAction> Chart::on(StreamEnded const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(StreamEnded const&, common::Moment) {
   // A worker that goes on behind the last event has no event to give, only the end.
   if (last_event_ > 0 && (std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_))) {
     settle("complete");
@@ -200,17 +200,17 @@
   return {};
 }
 
-std::vector<QueryAction> Chart::on(Returned const& message, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(Returned const& message, common::Moment) {
   state_ = Streaming{message.worker};  // what runs there finishes, whatever the rule says by now (section 9.7)
   return {};
 }
 
-std::vector<QueryAction> Chart::on(CallerGone const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(CallerGone const&, common::Moment) {
   settle("abandoned");
   return {Abandon{}};
 }
 
-std::vector<QueryAction> Chart::on(DeadlinePassed const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(DeadlinePassed const&, common::Moment) {
   if (std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_)) {
     may_have_run_ = true;
   }
--- a/source/scheduling/query_state/query_state_machine.hpp
+++ b/source/scheduling/query_state/query_state_machine.hpp
@@ -32,12 +32,12 @@
 struct Placed {
   std::string worker;
 };
-struct NoRoom {};         ///< no worker of this region can take it
-struct Connected {};      ///< bytes go out from here on
-struct Withdrawn {};      ///< the place may not be used after all; nothing was tried
-struct ConnectDefect {};  ///< no byte has gone out
-struct WorkerRefused {};  ///< 429 or 503: certain that nothing ran
-struct WorkerDefect {     ///< reset, silence, wrong answer, cut
+struct NoRoom {};          ///< no worker of this region can take it
+struct Connected {};       ///< bytes go out from here on
+struct Withdrawn {};       ///< the place may not be used after all; nothing was tried
+struct ConnectFailure {};  ///< no byte has gone out
+struct WorkerRefused {};   ///< 429 or 503: certain that nothing ran
+struct WorkerFailure {     ///< reset, silence, wrong answer, cut
   std::string what;
 };
 struct WorkerAnswered {  ///< a final answer that is not a success
@@ -65,7 +65,7 @@
   Standing standing = Standing::serve;
 };
 using QueryMessage =
-    std::variant<Decided, Placed, NoRoom, Connected, Withdrawn, ConnectDefect, WorkerRefused, WorkerDefect,
+    std::variant<Decided, Placed, NoRoom, Connected, Withdrawn, ConnectFailure, WorkerRefused, WorkerFailure,
                  WorkerAnswered, Event, Whole, StreamEnded, LegDone, Returned, CallerGone, DeadlinePassed>;
 
 // What is to be done.
@@ -101,10 +101,11 @@
   int dispatches_most = 4;
 };
 
-class Chart {
+class QueryStateMachine {
  public:
   /// `retry` spends from the budget; it is asked only when a retry is due.
-  Chart(QueryTerms terms, std::function<bool(common::Moment)> retry) : terms_(terms), retry_(std::move(retry)) {}
+  QueryStateMachine(QueryTerms terms, std::function<bool(common::Moment)> retry)
+      : terms_(terms), retry_(std::move(retry)) {}
   [[nodiscard]] std::vector<QueryAction> begin() const { return {Place{}}; }
   [[nodiscard]] std::vector<QueryAction> advance(QueryMessage const& message, common::Moment now);
 
@@ -124,9 +125,9 @@
   [[nodiscard]] std::vector<QueryAction> on(NoRoom const& message, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> on(Connected const& message, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> on(Withdrawn const& message, common::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(ConnectDefect const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(ConnectFailure const& message, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> on(WorkerRefused const& message, common::Moment now);
-  [[nodiscard]] std::vector<QueryAction> on(WorkerDefect const& message, common::Moment now);
+  [[nodiscard]] std::vector<QueryAction> on(WorkerFailure const& message, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> on(WorkerAnswered const& message, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> on(Event const& message, common::Moment now);
   [[nodiscard]] std::vector<QueryAction> on(Whole const& message, common::Moment now);
--- a/source/scheduling/retry_budget/retry_budget.cpp
+++ b/source/scheduling/retry_budget/retry_budget.cpp
@@ -13,7 +13,7 @@
 constexpr double whole = 1.0 - 1e-9;
 }  // namespace
 
-void Budget::expire(common::Moment now) {
+void RetryBudget::expire(common::Moment now) {
   for (Slot& slot : slots_) {
     if (slot.begins + life_ > now) {
       break;
@@ -29,7 +29,7 @@
   }
 }
 
-void Budget::arrived(common::Moment now) {
+void RetryBudget::arrived(common::Moment now) {
   expire(now);
   if (slots_.empty() || slots_.back().begins + slot_span <= now) {
     slots_.push_back(Slot{now, 0, 0});
@@ -39,7 +39,7 @@
   last_ = now;
 }
 
-bool Budget::take(common::Moment now, bool keeps) {
+bool RetryBudget::take(common::Moment now, bool keeps) {
   expire(now);
   double young = 0;
   std::uint64_t arrivals = 0;
@@ -61,11 +61,11 @@
   return true;
 }
 
-bool keeps_right(std::string const& service, std::string const& self, std::vector<std::string> const& furrows) {
+bool keeps_right(std::string const& service, std::string const& self, std::vector<std::string> const& proxies) {
   std::uint64_t const own = mix(hash_text(self), hash_text(service));
   std::size_t before = 0;
-  for (std::string const& furrow : furrows) {
-    before += furrow != self && mix(hash_text(furrow), hash_text(service)) > own ? 1 : 0;
+  for (std::string const& proxy : proxies) {
+    before += proxy != self && mix(hash_text(proxy), hash_text(service)) > own ? 1 : 0;
   }
   return before < constants::retry_keepers;
 }
--- a/source/scheduling/retry_budget/retry_budget.hpp
+++ b/source/scheduling/retry_budget/retry_budget.hpp
@@ -16,9 +16,9 @@
 /// a few furrows, for services too small to earn one in so short a time; it
 /// counts only while its service still comes. There is no free minimum. Since every furrow keeps
 /// to its own arrivals, the sum holds.
-class Budget {
+class RetryBudget {
  public:
-  explicit Budget(double share = common::constants::retry_share, common::Span life = common::constants::retry_life)
+  explicit RetryBudget(double share = common::constants::retry_share, common::Span life = common::constants::retry_life)
       : share_(share), life_(life) {}
   void arrived(common::Moment now);
   /// `keeps`: this furrow is one of those that may spend a kept right.
@@ -40,6 +40,6 @@
 
 /// The few furrows that may keep a right of a service, by hash over all.
 [[nodiscard]] bool keeps_right(std::string const& service, std::string const& self,
-                               std::vector<std::string> const& furrows);
+                               std::vector<std::string> const& proxies);
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/retry_quota/retry_quota.cpp
+++ b/source/scheduling/retry_quota/retry_quota.cpp
@@ -8,25 +8,25 @@
 
 namespace constants = common::constants;
 
-void Rights::bound(double ratio, double slack, double furrows) {
-  earned_ = ratio * constants::rights_ratio_part;
-  most_ = std::max(1.0, slack * constants::rights_slack_part / std::max(1.0, furrows));
+void RetryQuota::bound(double ratio, double slack, double proxies) {
+  earned_ = ratio * constants::retry_quota_ratio_part;
+  most_ = std::max(1.0, slack * constants::retry_quota_slack_part / std::max(1.0, proxies));
   if (!begun_) {
     begun_ = true;
-    rights_ = most_ / 2;
+    retry_quota_ = most_ / 2;
   }
-  rights_ = std::min(rights_, most_);
+  retry_quota_ = std::min(retry_quota_, most_);
 }
 
-void Rights::arrived() {
-  rights_ = std::min(most_, rights_ + earned_);
+void RetryQuota::arrived() {
+  retry_quota_ = std::min(most_, retry_quota_ + earned_);
 }
 
-bool Rights::take() {
-  if (rights_ < 1) {
+bool RetryQuota::take() {
+  if (retry_quota_ < 1) {
     return false;
   }
-  rights_ -= 1;
+  retry_quota_ -= 1;
   return true;
 }
 
--- a/source/scheduling/route_table/route_table.cpp
+++ b/source/scheduling/route_table/route_table.cpp
@@ -12,26 +12,26 @@
 }
 }  // namespace
 
-LaneBook::LaneBook(schema::Charter charter) : charter_(std::move(charter)) {
-  for (std::size_t index = 0; index < charter_.lanes.size(); ++index) {
-    schema::Lane const& lane = charter_.lanes[index];
-    by_place_[lowered(lane.host) + " " + lane.prefix] = index;
-    walled_ = walled_ || lane.tenancy.has_value();
-    for (schema::Share const& share : lane.shares) {
-      if (share.weight > 0 && !lane.home_regions.empty()) {
-        claims_[share.service].insert(lane.home_regions.begin(), lane.home_regions.end());
+RouteTable::RouteTable(schema::Charter routing_config) : routing_config_(std::move(routing_config)) {
+  for (std::size_t index = 0; index < routing_config_.lanes.size(); ++index) {
+    schema::Lane const& route = routing_config_.lanes[index];
+    by_place_[lowered(route.host) + " " + route.prefix] = index;
+    isolated_ = isolated_ || route.tenancy.has_value();
+    for (schema::Share const& share : route.shares) {
+      if (share.weight > 0 && !route.home_regions.empty()) {
+        claims_[share.service].insert(route.home_regions.begin(), route.home_regions.end());
       }
     }
   }
-  for (std::size_t index = 0; index < charter_.services.size(); ++index) {
-    by_service_[charter_.services[index].name] = index;
+  for (std::size_t index = 0; index < routing_config_.services.size(); ++index) {
+    by_service_[routing_config_.services[index].name] = index;
   }
-  for (std::size_t index = 0; index < charter_.tenants.size(); ++index) {
-    by_tenant_[charter_.tenants[index].name] = index;
+  for (std::size_t index = 0; index < routing_config_.tenants.size(); ++index) {
+    by_tenant_[routing_config_.tenants[index].name] = index;
   }
 }
 
-schema::Lane const* LaneBook::find(std::string_view host, std::string_view path) const {
+schema::Lane const* RouteTable::find(std::string_view host, std::string_view path) const {
   std::string key = lowered(host) + " ";
   std::size_t const lead = key.size();
   key += path.substr(0, path.find('?'));
@@ -44,33 +44,33 @@
     key.resize(slash + 1);
     tsl::robin_map<std::string, std::size_t>::const_iterator const found = by_place_.find(key);
     if (found != by_place_.end()) {
-      return &charter_.lanes[found->second];
+      return &routing_config_.lanes[found->second];
     }
     key.resize(slash);
   }
   return nullptr;
 }
 
-schema::Lane const* LaneBook::unreachable() const {
-  for (schema::Lane const& lane : charter_.lanes) {
-    if (find(lane.host, lane.prefix) != &lane) {
-      return &lane;
+schema::Lane const* RouteTable::unreachable() const {
+  for (schema::Lane const& route : routing_config_.lanes) {
+    if (find(route.host, route.prefix) != &route) {
+      return &route;
     }
   }
   return nullptr;
 }
 
-schema::Service const* LaneBook::service(std::string_view name) const {
+schema::Service const* RouteTable::service(std::string_view name) const {
   tsl::robin_map<std::string, std::size_t>::const_iterator const found = by_service_.find(std::string(name));
-  return found == by_service_.end() ? nullptr : &charter_.services[found->second];
+  return found == by_service_.end() ? nullptr : &routing_config_.services[found->second];
 }
 
-schema::Tenant const* LaneBook::tenant(std::string_view name) const {
+schema::Tenant const* RouteTable::tenant(std::string_view name) const {
   if (by_tenant_.empty()) {
     return nullptr;
   }
   tsl::robin_map<std::string, std::size_t>::const_iterator const found = by_tenant_.find(std::string(name));
-  return found == by_tenant_.end() ? nullptr : &charter_.tenants[found->second];
+  return found == by_tenant_.end() ? nullptr : &routing_config_.tenants[found->second];
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/scaler/pools.cpp
+++ b/source/scheduling/scaler/pools.cpp
@@ -33,20 +33,20 @@
   return region + "/" + service;
 }
 
-std::map<std::string, Pool> pools_of(schema::PlatformList const& list, schema::Charter const& charter,
+std::map<std::string, Pool> pools_of(schema::PlatformList const& list, schema::Charter const& routing_config,
                                      std::map<std::string, std::string> const& regions,
                                      std::set<std::string> const& evacuated) {
   std::map<std::string, Pool> pools;
   std::map<std::string, schema::Service const*> services;
-  for (schema::Service const& service : charter.services) {
+  for (schema::Service const& service : routing_config.services) {
     services[service.name] = &service;
   }
   std::map<std::string, double> points;
-  for (schema::Lane const& lane : charter.lanes) {
-    for (schema::Share const& share : lane.shares) {
+  for (schema::Lane const& route : routing_config.lanes) {
+    for (schema::Share const& share : route.shares) {
       double& point = points[share.service];
-      if (lane.set_point_ms > 0 && share.weight > 0 && (point <= 0 || lane.set_point_ms / 1000 < point)) {
-        point = lane.set_point_ms / 1000;
+      if (route.set_point_ms > 0 && share.weight > 0 && (point <= 0 || route.set_point_ms / 1000 < point)) {
+        point = route.set_point_ms / 1000;
       }
     }
   }
@@ -134,7 +134,7 @@
   std::vector<common::Fault> faults;
   schema::read(tree->get(), "", split, faults);
   if (!faults.empty()) {
-    return common::defect(absl::StatusCode::kDataLoss, "split", common::describe(faults));
+    return common::make_error(absl::StatusCode::kDataLoss, "split", common::describe(faults));
   }
   return split;
 }
--- a/source/scheduling/scaler/pools.hpp
+++ b/source/scheduling/scaler/pools.hpp
@@ -28,7 +28,8 @@
 [[nodiscard]] std::string pool_name(std::string const& region, std::string const& service);
 
 /// By name.
-[[nodiscard]] std::map<std::string, Pool> pools_of(schema::PlatformList const& list, schema::Charter const& charter,
+[[nodiscard]] std::map<std::string, Pool> pools_of(schema::PlatformList const& list,
+                                                   schema::Charter const& routing_config,
                                                    std::map<std::string, std::string> const& regions,
                                                    std::set<std::string> const& evacuated);
 
--- a/source/scheduling/stall_detection/stall_detector.cpp
+++ b/source/scheduling/stall_detection/stall_detector.cpp
@@ -8,29 +8,29 @@
 
 namespace constants = common::constants;
 
-bool SilenceWatch::long_prompt() const {
+bool StallDetector::long_prompt() const {
   return terms_.prompt_tokens >= constants::owned_tokens;
 }
 
-common::Span SilenceWatch::bound() const {
+common::Span StallDetector::bound() const {
   double const point = terms_.set_point_ms > 0 ? terms_.set_point_ms : constants::silence_point_ms;
   return std::max(common::milliseconds(static_cast<std::int64_t>(point * constants::silence_part)),
                   static_cast<common::Span>(terms_.predicted_seconds * 2e6));
 }
 
-WaitUntil SilenceWatch::begin(SilenceTerms const& terms, common::Moment now) {
+WaitUntil StallDetector::begin(StallTerms const& terms, common::Moment now) {
   terms_ = terms;
   state_ = State::waiting;
   since_ = now;
   return wait_until(now + bound());
 }
 
-WaitUntil SilenceWatch::wait_until(common::Moment due) {
+WaitUntil StallDetector::wait_until(common::Moment due) {
   due_ = due;
   return WaitUntil{due};
 }
 
-SilenceAction SilenceWatch::rang(common::Moment heard_at, common::Moment now) {
+StallAction StallDetector::rang(common::Moment heard_at, common::Moment now) {
   if (now < due_) {
     return WaitUntil{due_};
   }
@@ -52,7 +52,7 @@
   return ProbeWorker{due_};
 }
 
-SilenceAction SilenceWatch::probed(bool connected, common::Moment now) {
+StallAction StallDetector::probed(bool connected, common::Moment now) {
   if (state_ != State::probing) {
     return WaitUntil{due_};
   }
--- a/source/scheduling/stall_detection/stall_detector.hpp
+++ b/source/scheduling/stall_detection/stall_detector.hpp
@@ -7,7 +7,7 @@
 namespace finchlink::scheduling {
 
 /// What is known of an attempt when the wait for its worker's next bytes begins (section 13.8).
-struct SilenceTerms {
+struct StallTerms {
   double set_point_ms = 0;       ///< of the lane, or of its pauses once a stream has begun; 0: not told
   double predicted_seconds = 0;  ///< to the first token, as placement predicted it
   double prompt_tokens = 0;      ///< whole prompt, kept parts included
@@ -15,7 +15,7 @@
 };
 
 /// Rules that tests and measurements switch off to show what they are worth.
-struct SilenceGuards {
+struct StallGuards {
   bool give_up = true;  ///< another worker may be asked
   bool probe = true;    ///< a long prompt's worker is connected to before it is given up
 };
@@ -30,7 +30,7 @@
 };
 /// Nothing more is waited for; another worker may be asked.
 struct GiveUp {};
-using SilenceAction = std::variant<WaitUntil, ProbeWorker, GiveUp>;
+using StallAction = std::variant<WaitUntil, ProbeWorker, GiveUp>;
 
 /// How long one attempt waits for a silent worker: plain state, every message carries its moment.
 ///
@@ -38,15 +38,15 @@
 /// silent too: under load such retries feed themselves. Hence the worker of a long prompt is connected to first. One
 /// that takes the connection is busy and is waited for, with a further probe after each bound, until only a request
 /// that is stuck explains the silence; one that doesn't is lost, and is given up at once.
-class SilenceWatch {
+class StallDetector {
  public:
-  explicit SilenceWatch(SilenceGuards guards = {}) : guards_(guards) {}
+  explicit StallDetector(StallGuards guards = {}) : guards_(guards) {}
   /// The request, or bytes of its answer, went through just now.
-  [[nodiscard]] WaitUntil begin(SilenceTerms const& terms, common::Moment now);
+  [[nodiscard]] WaitUntil begin(StallTerms const& terms, common::Moment now);
   /// The moment of the last action has come. `heard_at`: when any request had bytes from this worker.
-  [[nodiscard]] SilenceAction rang(common::Moment heard_at, common::Moment now);
+  [[nodiscard]] StallAction rang(common::Moment heard_at, common::Moment now);
   /// The probe ended before its moment; a late end of an earlier one changes nothing.
-  [[nodiscard]] SilenceAction probed(bool connected, common::Moment now);
+  [[nodiscard]] StallAction probed(bool connected, common::Moment now);
   [[nodiscard]] common::Moment since() const { return since_; }
 
  private:
@@ -55,8 +55,8 @@
   [[nodiscard]] bool long_prompt() const;
   WaitUntil wait_until(common::Moment due);
 
-  SilenceGuards guards_;
-  SilenceTerms terms_;
+  StallGuards guards_;
+  StallTerms terms_;
   State state_ = State::waiting;
   common::Moment since_ = 0;
   common::Moment due_ = 0;  ///< of the last action
--- a/source/simulator/control/acceptors.cpp
+++ b/source/simulator/control/acceptors.cpp
@@ -51,8 +51,8 @@
   machine.reader = consensus::MajorityReader(options_.guards);
   machine.fetching.clear();
   machine.fetching_image = false;
-  machine.news_sender = consensus::ValueSender(options_.inline_bytes == 0 ? constants::transfer_piece_bytes
-                                                                          : options_.inline_bytes / news_part);
+  machine.update_sender = consensus::ValueSender(options_.inline_bytes == 0 ? constants::transfer_piece_bytes
+                                                                            : options_.inline_bytes / update_part);
   machine.voter_looks.clear();
   machine.peers.clear();
   machine.departure.reset();
@@ -115,7 +115,7 @@
                ? std::optional<std::string>(value->second.content)
                : std::nullopt;
   };
-  reply(schema::Message(machine.news_sender.answer(request, source, network_.local_time(machine.process))));
+  reply(schema::Message(machine.update_sender.answer(request, source, network_.local_time(machine.process))));
 }
 
 void World::submit(Machine& machine, consensus::Outcome outcome, Reply const& reply) {
