--- a/source/simulator/control/checker.cpp
+++ b/source/simulator/control/checker.cpp
@@ -76,13 +76,13 @@
   }
 }
 
-void Checker::observe_service(std::string const& furrow, std::uint64_t revision, std::uint64_t shown) {
+void Checker::observe_service(std::string const& proxy, std::uint64_t revision, std::uint64_t shown) {
   if (revision < in_force_) {
-    violate(furrow + " serves by revision " + std::to_string(revision) + " though " + std::to_string(in_force_) +
+    violate(proxy + " serves by revision " + std::to_string(revision) + " though " + std::to_string(in_force_) +
             " was acknowledged");
   }
   if (revision < shown) {
-    violate(furrow + " slipped back from revision " + std::to_string(shown) + " to " + std::to_string(revision));
+    violate(proxy + " slipped back from revision " + std::to_string(shown) + " to " + std::to_string(revision));
   }
 }
 
--- a/source/simulator/control/checker.hpp
+++ b/source/simulator/control/checker.hpp
@@ -30,7 +30,7 @@
   /// A voter set that a node has learnt.
   void observe_voters(schema::VoterSet const& voters, std::string const& where);
   /// A furrow serves by this revision; before, it served by `shown`.
-  void observe_service(std::string const& furrow, std::uint64_t revision, std::uint64_t shown);
+  void observe_service(std::string const& proxy, std::uint64_t revision, std::uint64_t shown);
   /// Who holds the lease at this instant; none: 0.
   void observe_lease(std::uint64_t owner);
 
--- a/source/simulator/control/control.cpp
+++ b/source/simulator/control/control.cpp
@@ -22,7 +22,7 @@
   part.each = [world] { world->check_leases(); };
   part.end_day = [world](common::Moment at) { world->end_day(at); };
   part.finish = [world] { return world->finish(); };
-  part.vouched = [world](std::size_t furrow) { return world->vouched(furrow); };
+  part.confirmed = [world](std::size_t proxy) { return world->confirmed(proxy); };
   return part;
 }
 
--- a/source/simulator/control/control.hpp
+++ b/source/simulator/control/control.hpp
@@ -56,7 +56,7 @@
   std::uint64_t explained = 0;  ///< answers that one order explains (history)
   std::uint64_t reads = 0;
   std::uint64_t queries = 0;
-  std::uint64_t unvouched = 0;
+  std::uint64_t unconfirmed = 0;
   std::uint64_t repairs = 0;
   std::uint64_t lease_changes = 0;
   std::uint64_t replacements = 0;   ///< planned ones
@@ -79,14 +79,14 @@
   common::Span length = common::seconds(60);
   std::size_t disk_machines = 4;   ///< three founders and one that stands by
   std::size_t plain_machines = 2;  ///< trellises without a disk
-  std::size_t furrows = 6;
+  std::size_t proxies = 6;
   double operators_pause = 0.7;  ///< seconds between two asks of one operator
   std::size_t operators = 3;
   OperatorLoad orders;  ///< operators of charters and evacuations, beside those of the setup
   ControlFaults faults;
   consensus::Guards guards;
-  membership::FreshnessGuards vouch_guards;
-  membership::NewsGuards desk_guards;
+  membership::FreshnessGuards freshness_guards;
+  membership::UpdateGuards desk_guards;
   membership::DepartureGuards departure_guards;
   membership::JoiningGuards joining_guards;
   bool acknowledge_waits = true;
@@ -98,14 +98,14 @@
       0;  ///< of values in an answer, twice as many in a piece, a 16th for furrows; 0: as in the daemons
   common::Span catch_up_bound = common::seconds(12);  ///< for one that came back by a count of changes
   // --- where the query path runs beside it (section 10.1) ---
-  std::vector<std::string> furrow_names;  ///< empty: named by number
-  std::string first_setup;                ///< empty: a small one
+  std::vector<std::string> proxy_names;  ///< empty: named by number
+  std::string first_setup;               ///< empty: a small one
   /// A change that an operator wants, as a merge patch; `id` marks it.
   std::function<std::string(std::string const& id)> patch;
   std::function<void(std::uint64_t revision, std::string const& content)> seen;
-  std::function<void(std::size_t furrow, std::uint64_t revision)> adopted;
+  std::function<void(std::size_t proxy, std::uint64_t revision)> adopted;
   std::function<void(std::uint64_t revision)> acknowledged;
-  std::function<void(std::size_t furrow, bool alive)> lives;
+  std::function<void(std::size_t proxy, bool alive)> lives;
 };
 
 /// The control plane as a part of a larger world, on that world's kernel.
@@ -114,7 +114,7 @@
   std::function<void()> each;                   ///< after every event
   std::function<void(common::Moment)> end_day;  ///< faults stop, after a last one; all comes back; a last change
   std::function<ControlReport()> finish;
-  std::function<bool(std::size_t furrow)> vouched;
+  std::function<bool(std::size_t proxy)> confirmed;
 };
 [[nodiscard]] ControlPart control_part(ControlOptions const& options, Kernel& kernel);
 
--- a/source/simulator/control/controller_loops.cpp
+++ b/source/simulator/control/controller_loops.cpp
@@ -198,11 +198,11 @@
 }
 
 void World::answer_ask(Machine& machine, schema::NewsAsk const& ask, Moment arrival, Reply const& reply) {
-  membership::NewsBounds bounds;
+  membership::UpdateBounds bounds;
   if (options_.inline_bytes > 0) {
-    bounds.inline_bytes = options_.inline_bytes / news_part;
+    bounds.inline_bytes = options_.inline_bytes / update_part;
   }
-  membership::NewsDecision const decision =
+  membership::UpdateDecision const decision =
       membership::decide_answer(ask, arrival, machine.reader.confirmed_from(), machine.reader.values(), false,
                                 network_.local_time(machine.process), options_.desk_guards, bounds);
   if (decision.answer.has_value()) {
--- a/source/simulator/control/faults.cpp
+++ b/source/simulator/control/faults.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr double furrow_kills = 0.4;
+constexpr double proxy_kills = 0.4;
 constexpr double whole_herds = 0.3;
-constexpr double furrow_freezes = 0.5;
-constexpr double furrow_cuts = 0.3;
+constexpr double proxy_freezes = 0.5;
+constexpr double proxy_cuts = 0.3;
 constexpr double even = 0.5;
 constexpr Span longest_freeze = common::seconds(9);
 constexpr Span longest_cut = common::seconds(6);
@@ -61,13 +61,13 @@
   return *machines_[kernel_.below(options_.disk_machines)];
 }
 
-Furrow& World::any_furrow() {
-  return *furrows_[kernel_.below(furrows_.size())];
+Proxy& World::any_proxy() {
+  return *proxies_[kernel_.below(proxies_.size())];
 }
 
 void World::kill_any() {
-  if (kernel_.chance(furrow_kills)) {
-    kill_furrow(any_furrow());
+  if (kernel_.chance(proxy_kills)) {
+    kill_proxy(any_proxy());
     return;
   }
   Machine& machine = any_of_all();
@@ -75,15 +75,15 @@
   revive_later(machine, common::milliseconds(50), common::seconds(6));
 }
 
-void World::kill_furrow(Furrow& furrow) {
-  furrow.process.alive = false;
-  ++furrow.process.life;
+void World::kill_proxy(Proxy& proxy) {
+  proxy.process.alive = false;
+  ++proxy.process.life;
   if (options_.lives) {
-    options_.lives(furrow.number, false);
+    options_.lives(proxy.number, false);
   }
-  kernel_.after(kernel_.between(common::milliseconds(10), common::seconds(3)), [this, &furrow] {
-    if (!furrow.process.alive) {
-      begin_furrow(furrow);
+  kernel_.after(kernel_.between(common::milliseconds(10), common::seconds(3)), [this, &proxy] {
+    if (!proxy.process.alive) {
+      begin_proxy(proxy);
     }
   });
 }
@@ -100,13 +100,13 @@
 
 void World::freeze_any() {
   Span const span = kernel_.between(common::milliseconds(100), longest_freeze);
-  Process& process = kernel_.chance(furrow_freezes) ? any_furrow().process : any_of_all().process;
+  Process& process = kernel_.chance(proxy_freezes) ? any_proxy().process : any_of_all().process;
   process.frozen = true;
   kernel_.after(span, [this, &process] { network_.thaw(process); });
 }
 
 void World::cut_any_link() {
-  std::string const from = kernel_.chance(furrow_cuts) ? any_furrow().name : any_of_all().address;
+  std::string const from = kernel_.chance(proxy_cuts) ? any_proxy().name : any_of_all().address;
   std::string const to = any_of_all().address;
   std::pair<std::string, std::string> const link =
       kernel_.chance(even) ? std::make_pair(from, to) : std::make_pair(to, from);
@@ -121,9 +121,9 @@
       part.insert(machine->address);
     }
   }
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
     if (kernel_.chance(even)) {
-      part.insert(furrow->name);
+      part.insert(proxy->name);
     }
   }
   network_.split(part);
--- a/source/simulator/control/machine_faults.cpp
+++ b/source/simulator/control/machine_faults.cpp
@@ -155,12 +155,12 @@
     revive(*machine);
     write_next(*machine);
   }
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-    if (furrow->process.frozen) {
-      network_.thaw(furrow->process);
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+    if (proxy->process.frozen) {
+      network_.thaw(proxy->process);
     }
-    if (!furrow->process.alive) {
-      begin_furrow(*furrow);
+    if (!proxy->process.alive) {
+      begin_proxy(*proxy);
     }
   }
 }
--- a/source/simulator/control/nodes.hpp
+++ b/source/simulator/control/nodes.hpp
@@ -82,7 +82,7 @@
   std::map<std::string, membership::Peer> peers;  ///< by address, as gossip told of them
   std::set<std::string> fetching;                 ///< registers whose newest value is on its way
   bool fetching_image = false;                    ///< a value that images left out is on its way
-  consensus::ValueSender news_sender;             ///< of contents that furrows fetch
+  consensus::ValueSender update_sender;           ///< of contents that furrows fetch
 
   // --- departure ---
   std::optional<membership::Departure> departure;
@@ -91,7 +91,7 @@
 };
 
 /// One furrow, as far as news reach it.
-struct Furrow {
+struct Proxy {
   Process process;
   std::string name;
   std::size_t number = 0;
--- a/source/simulator/control/recovery_checks.cpp
+++ b/source/simulator/control/recovery_checks.cpp
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-bool World::vouched(std::size_t furrow) const {
-  Furrow const& one = *furrows_[furrow];
-  return one.process.alive && one.freshness.vouched(network_.local_time(one.process));
+bool World::confirmed(std::size_t proxy) const {
+  Proxy const& one = *proxies_[proxy];
+  return one.process.alive && one.freshness.confirmed(network_.local_time(one.process));
 }
 
 void World::check_leases() {
@@ -41,8 +41,8 @@
 void World::check_recovery(Moment since, std::function<void(Span)> const& done) {
   kernel_.after(look_pause, [this, since, done] {
     bool all = true;
-    for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-      all = all && vouched(furrow->number) && furrow->freshness.held().count(consensus::setup_register) > 0;
+    for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+      all = all && confirmed(proxy->number) && proxy->freshness.held().count(consensus::setup_register) > 0;
     }
     if (all) {
       done(kernel_.now() - since);
--- a/source/simulator/control/world.cpp
+++ b/source/simulator/control/world.cpp
@@ -54,8 +54,8 @@
   for (std::unique_ptr<Machine> const& machine : machines_) {
     boot(*machine);
   }
-  for (std::size_t number = 0; number < options_.furrows; ++number) {
-    add_furrow(number);
+  for (std::size_t number = 0; number < options_.proxies; ++number) {
+    add_proxy(number);
   }
   for (std::size_t number = 0; number < options_.operators; ++number) {
     operator_loop(number);
@@ -86,16 +86,16 @@
   return machine;
 }
 
-void World::add_furrow(std::size_t number) {
-  std::unique_ptr<Furrow> furrow = std::make_unique<Furrow>();
-  furrow->name =
-      number < options_.furrow_names.size() ? options_.furrow_names[number] : "furrow-" + std::to_string(number);
-  furrow->number = number;
-  furrow->process.clock_offset = kernel_.between(least_clock_offset, most_clock_offset);
-  furrow->process.clock_rate = 1.0 + options_.faults.clock_rate * (2 * kernel_.uniform() - 1);
-  furrow->turn = number;
-  furrows_.push_back(std::move(furrow));
-  begin_furrow(*furrows_.back());
+void World::add_proxy(std::size_t number) {
+  std::unique_ptr<Proxy> proxy = std::make_unique<Proxy>();
+  proxy->name =
+      number < options_.proxy_names.size() ? options_.proxy_names[number] : "furrow-" + std::to_string(number);
+  proxy->number = number;
+  proxy->process.clock_offset = kernel_.between(least_clock_offset, most_clock_offset);
+  proxy->process.clock_rate = 1.0 + options_.faults.clock_rate * (2 * kernel_.uniform() - 1);
+  proxy->turn = number;
+  proxies_.push_back(std::move(proxy));
+  begin_proxy(*proxies_.back());
 }
 
 Machine& World::any_machine() {
--- a/source/simulator/control/world.hpp
+++ b/source/simulator/control/world.hpp
@@ -32,7 +32,7 @@
 namespace finchlink::simulator::control {
 
 /// Contents are smaller than values with their marks by about as much.
-constexpr std::size_t news_part = 16;
+constexpr std::size_t update_part = 16;
 
 /// What becomes of a change of a register.
 using OnChangeEnd = std::function<void(ChangeEnd const& end)>;
@@ -83,7 +83,7 @@
   ControlReport finish();
   /// At most one machine holds the lease; asked after every event.
   void check_leases();
-  [[nodiscard]] bool vouched(std::size_t furrow) const;
+  [[nodiscard]] bool confirmed(std::size_t proxy) const;
 
  private:
   using Whole = std::function<void(std::optional<std::string> const& bytes)>;
@@ -92,7 +92,7 @@
   std::unique_ptr<Machine> new_machine(std::string const& address, bool disk);
   /// A new machine with a disk, started.
   Machine& add_machine();
-  void add_furrow(std::size_t number);
+  void add_proxy(std::size_t number);
   /// Any machine that is not gone for good.
   Machine& any_machine();
   Machine* machine_at(std::string const& address);
@@ -171,11 +171,11 @@
   void depart_loop(Machine& machine);
 
   // --- furrows ---
-  void begin_furrow(Furrow& furrow);
-  void ask_loop(Furrow& furrow);
-  void take_news(Furrow& furrow, schema::NewsAnswer const& news, common::Moment asked, std::string const& from);
-  void fetch_contents(Furrow& furrow, schema::NewsAnswer const& answer, std::string const& from);
-  void query_loop(Furrow& furrow);
+  void begin_proxy(Proxy& proxy);
+  void ask_loop(Proxy& proxy);
+  void take_update(Proxy& proxy, schema::NewsAnswer const& update, common::Moment asked, std::string const& from);
+  void fetch_contents(Proxy& proxy, schema::NewsAnswer const& answer, std::string const& from);
+  void query_loop(Proxy& proxy);
 
   // --- operators ---
   void operator_loop(std::size_t number);
@@ -198,7 +198,7 @@
   /// Any machine, also one that is gone.
   Machine& any_of_all();
   Machine& any_disk_machine();
-  Furrow& any_furrow();
+  Proxy& any_proxy();
   void kill_any();
   void kill_herd();
   void freeze_any();
@@ -211,7 +211,7 @@
   void strike_at_revision(std::uint64_t revision);
   void lose_power_everywhere();
   void kill(Machine& machine);
-  void kill_furrow(Furrow& furrow);
+  void kill_proxy(Proxy& proxy);
   void tear_write(Machine& machine);
   void revive(Machine& machine);
   void revive_later(Machine& machine, common::Span least, common::Span most);
@@ -242,7 +242,7 @@
   Network network_;
   Checker checker_;
   std::vector<std::unique_ptr<Machine>> machines_;
-  std::vector<std::unique_ptr<Furrow>> furrows_;
+  std::vector<std::unique_ptr<Proxy>> proxies_;
   std::vector<std::string> founders_;
   std::unique_ptr<OperatorModel> orders_;  ///< operators of charters and evacuations
   bool calm_ = false;
--- a/source/simulator/decisions/decisions.cpp
+++ b/source/simulator/decisions/decisions.cpp
@@ -25,7 +25,7 @@
 
 /// A worker as it truly is: it reads prompts in the order in which they come.
 struct Engine {
-  scheduling::Stand stand;
+  scheduling::WorkerSpec spec;
   common::Moment read_until = 0;
   std::uint64_t running = 0;
   std::set<std::uint64_t> kept;  ///< shared parts
@@ -33,14 +33,14 @@
 
 struct Proxy {
   std::string region;
-  scheduling::Grove grove;
+  scheduling::LoadBalancer balancer;
 };
 
 struct Request {
   std::size_t kind = 0;
   std::size_t proxy = 0;
   scheduling::Wanted wanted;
-  scheduling::Spot spot;
+  scheduling::Assignment assignment;
   common::Moment arrived = 0;
 };
 using RequestPointer = std::shared_ptr<Request>;
@@ -59,8 +59,8 @@
 
  private:
   void begin() {
-    for (scheduling::Stand const& stand : deployment_.workers) {
-      engines_[stand.id].stand = stand;
+    for (scheduling::WorkerSpec const& spec : deployment_.workers) {
+      engines_[spec.id].spec = spec;
     }
     for (std::size_t index = 0; index < deployment_.proxies.size(); ++index) {
       names_.push_back("proxy-" + std::to_string(index));
@@ -77,17 +77,17 @@
 
   void begin_proxy(std::size_t index) {
     std::size_t const zone = deployment_.proxies[index];
-    Proxy proxy{deployment_.regions[zone % deployment_.regions.size()], scheduling::Grove(options_.grove)};
-    scheduling::GroveTerms terms;
+    Proxy proxy{deployment_.regions[zone % deployment_.regions.size()], scheduling::LoadBalancer(options_.balancer)};
+    scheduling::LoadBalancerContext terms;
     terms.hall = deployment_.zones[zone];
     terms.region = proxy.region;
     terms.self = names_[index];
-    terms.furrows = names_;
+    terms.proxies = names_;
     terms.keep_long_apart = constants::keep_long_apart;
     for (RequestKind const& kind : deployment_.kinds) {
       terms.claims["model"].insert(kind.homes.begin(), kind.homes.end());
     }
-    proxy.grove.update(deployment_.workers, terms, 0);
+    proxy.balancer.update(deployment_.workers, terms, 0);
     proxies_.push_back(std::move(proxy));
   }
 
@@ -120,10 +120,10 @@
   }
 
   void place(RequestPointer const& request, common::Moment until) {
-    std::variant<scheduling::Spot, scheduling::NoSpot> const found =
-        proxies_[request->proxy].grove.choose(request->wanted, kernel_.now());
-    if (scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found)) {
-      request->spot = *spot;
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
+        proxies_[request->proxy].balancer.choose(request->wanted, kernel_.now());
+    if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found)) {
+      request->assignment = *assignment;
       check_homes(*request);
       kernel_.after(hop(*request), [this, request] { come(request); });
       return;
@@ -135,17 +135,17 @@
   }
 
   [[nodiscard]] common::Span hop(Request const& request) {
-    bool const near = engines_.at(request.spot.worker).stand.region == proxies_[request.proxy].region;
+    bool const near = engines_.at(request.assignment.worker).spec.region == proxies_[request.proxy].region;
     return near ? local_hop : span_of(deployment_.region_seconds);
   }
 
   void come(RequestPointer const& request) {
-    Engine& engine = engines_.at(request->spot.worker);
+    Engine& engine = engines_.at(request->assignment.worker);
     ++engine.running;
     double const shared = request->wanted.parts.front().tokens;
     std::uint64_t const subject = request->wanted.parts.front().key;
     bool const kept = !engine.kept.insert(subject).second;
-    bool const read_before = !read_[subject].insert(engine.stand.region).second;
+    bool const read_before = !read_[subject].insert(engine.spec.region).second;
     report_.kept_tokens += kept ? shared : 0;
     report_.read_again_tokens += !kept && read_before ? shared : 0;
     double const tokens = request->wanted.tokens - (kept ? shared : 0);
@@ -162,35 +162,35 @@
     double const waited = static_cast<double>(kernel_.now() - request->arrived) / 1e6;
     kind.in_set_point += waited <= entry.set_point_seconds ? 1 : 0;
     kind.served += waited <= entry.deadline_seconds ? 1 : 0;
-    scheduling::Grove& grove = proxies_[request->proxy].grove;
-    grove.heard(request->spot.worker, kernel_.now());
-    grove.first_token(request->spot, request->wanted.parts, waited);
+    scheduling::LoadBalancer& balancer = proxies_[request->proxy].balancer;
+    balancer.heard(request->assignment.worker, kernel_.now());
+    balancer.first_token(request->assignment, request->wanted.parts, waited);
   }
 
   void end(RequestPointer const& request) {
-    Engine& engine = engines_.at(request->spot.worker);
+    Engine& engine = engines_.at(request->assignment.worker);
     --engine.running;
-    scheduling::Grove& grove = proxies_[request->proxy].grove;
+    scheduling::LoadBalancer& balancer = proxies_[request->proxy].balancer;
     if (deployment_.tells_load) {
-      grove.told(request->spot.worker, static_cast<double>(engine.running), 0,
-                 static_cast<double>(engine.stand.capacity), kernel_.now());
+      balancer.told(request->assignment.worker, static_cast<double>(engine.running), 0,
+                    static_cast<double>(engine.spec.capacity), kernel_.now());
     }
-    grove.ended(request->spot, true, scheduling::Outcome::good, kernel_.now());
+    balancer.ended(request->assignment, true, scheduling::Outcome::good, kernel_.now());
   }
 
-  [[nodiscard]] static bool allows(Request const& request, scheduling::Stand const& stand) {
+  [[nodiscard]] static bool allows(Request const& request, scheduling::WorkerSpec const& spec) {
     std::vector<std::string> const& homes = request.wanted.homes;
-    return homes.empty() || std::find(homes.begin(), homes.end(), stand.region) != homes.end();
+    return homes.empty() || std::find(homes.begin(), homes.end(), spec.region) != homes.end();
   }
   void check_homes(Request const& request) {
-    if (!allows(request, engines_.at(request.spot.worker).stand)) {
-      report_.violations.push_back("a request was placed outside its homes, at " + request.spot.worker);
+    if (!allows(request, engines_.at(request.assignment.worker).spec)) {
+      report_.violations.push_back("a request was placed outside its homes, at " + request.assignment.worker);
     }
   }
   /// No place is held idle while work waits that may use it.
   void check_idle(Request const& request) {
     for (std::pair<std::string const, Engine> const& entry : engines_) {
-      if (allows(request, entry.second.stand) && entry.second.running == 0) {
+      if (allows(request, entry.second.spec) && entry.second.running == 0) {
         report_.violations.push_back("a request found no place while " + entry.first + " was idle");
         return;
       }
--- a/source/simulator/decisions/decisions.hpp
+++ b/source/simulator/decisions/decisions.hpp
@@ -12,7 +12,7 @@
 struct DecisionOptions {
   std::uint64_t seed = 1;
   common::Span length = common::seconds(12);
-  scheduling::GroveGuards grove;
+  scheduling::LoadBalancerGuards balancer;
   std::size_t requests_most = 20000;  ///< a run ends early behind these
 };
 
--- a/source/simulator/decisions/deployment.cpp
+++ b/source/simulator/decisions/deployment.cpp
@@ -49,16 +49,16 @@
   for (std::size_t zone = 0; zone < deployment.zones.size(); ++zone) {
     std::uint64_t const count = 1 + kernel.below(workers_each_most);
     for (std::uint64_t index = 0; index < count; ++index) {
-      scheduling::Stand stand;
-      stand.id = "worker-" + std::to_string(deployment.workers.size());
-      stand.address = stand.id;
-      stand.service = "model";
-      stand.hall = deployment.zones[zone];
-      stand.region = deployment.regions[zone % deployment.regions.size()];
-      stand.model = true;
-      stand.capacity = static_cast<std::uint64_t>(slots);
-      stand.kept_tokens = kept;
-      deployment.workers.push_back(stand);
+      scheduling::WorkerSpec spec;
+      spec.id = "worker-" + std::to_string(deployment.workers.size());
+      spec.address = spec.id;
+      spec.service = "model";
+      spec.hall = deployment.zones[zone];
+      spec.region = deployment.regions[zone % deployment.regions.size()];
+      spec.model = true;
+      spec.capacity = static_cast<std::uint64_t>(slots);
+      spec.kept_tokens = kept;
+      deployment.workers.push_back(spec);
     }
     deployment.proxies.insert(deployment.proxies.end(), 1 + kernel.below(proxies_each_most), zone);
   }
@@ -66,7 +66,7 @@
 
 double workers_for(Deployment const& deployment, RequestKind const& kind) {
   double count = 0;
-  for (scheduling::Stand const& worker : deployment.workers) {
+  for (scheduling::WorkerSpec const& worker : deployment.workers) {
     bool const allowed =
         kind.homes.empty() || std::find(kind.homes.begin(), kind.homes.end(), worker.region) != kind.homes.end();
     count += allowed ? 1 : 0;
--- a/source/simulator/decisions/deployment.hpp
+++ b/source/simulator/decisions/deployment.hpp
@@ -25,9 +25,9 @@
 /// A deployment as nobody has seen it: sizes, distances, engines, mixes and homes are drawn over wide ranges.
 struct Deployment {
   std::vector<std::string> regions;
-  std::vector<std::string> zones;          ///< zone `index` stands in region `index % regions`
-  std::vector<scheduling::Stand> workers;  ///< of the one service that generates text
-  std::vector<std::size_t> proxies;        ///< zone of each
+  std::vector<std::string> zones;               ///< zone `index` stands in region `index % regions`
+  std::vector<scheduling::WorkerSpec> workers;  ///< of the one service that generates text
+  std::vector<std::size_t> proxies;             ///< zone of each
   std::vector<RequestKind> kinds;
   double tokens_per_second = 0;  ///< that a worker reads
   double step_seconds = 0;       ///< for one token of each running request
--- a/source/simulator/main.cpp
+++ b/source/simulator/main.cpp
@@ -55,9 +55,9 @@
                                             {"image_before_vote", &run.guards.image_before_vote},
                                             {"lease_silence", &run.guards.lease_silence},
                                             {"tenant_stops_early", &run.guards.tenant_stops_early},
-                                            {"never_back", &run.vouch_guards.never_back},
-                                            {"count_from_ask", &run.vouch_guards.count_from_ask},
-                                            {"stop_unvouched", &run.vouch_guards.stop_unvouched},
+                                            {"never_back", &run.freshness_guards.never_back},
+                                            {"count_from_ask", &run.freshness_guards.count_from_ask},
+                                            {"stop_unvouched", &run.freshness_guards.stop_unvouched},
                                             {"confirm_after_arrival", &run.desk_guards.confirm_after_arrival},
                                             {"acknowledge_waits", &run.acknowledge_waits},
                                             {"learn_beyond_seeds", &run.learn_beyond_seeds},
@@ -78,7 +78,7 @@
   *found->second = false;
   return true;
 }
-bool switch_off_field(simulator::FieldOptions& run, std::string const& guard) {
+bool switch_off_field(simulator::QueryPathOptions& run, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"tend_cold", &run.tend_cold},
                                             {"doubt", &run.placement.doubt},
                                             {"finish_begun", &run.placement.finish_begun},
@@ -121,11 +121,11 @@
             << sum.reads << "; explained " << sum.explained << "\n";
 }
 
-int run_walls_scenario(std::uint64_t first, std::uint64_t last, options::variables_map const& found) {
-  simulator::WallsReport sum;
+int run_isolation_scenario(std::uint64_t first, std::uint64_t last, options::variables_map const& found) {
+  simulator::IsolationReport sum;
   std::uint64_t failed = 0;
   for (std::uint64_t seed = first; seed <= last; ++seed) {
-    simulator::WallsOptions run;
+    simulator::IsolationOptions run;
     run.seed = seed;
     run.length = static_cast<common::Span>(found["seconds"].as<double>() * 1e6);
     run.rate *= found["scale"].as<double>();
@@ -141,7 +141,7 @@
       *guards.at(guard) = false;
       off += " --off " + guard;
     }
-    simulator::WallsReport report = simulator::run_walls(run);
+    simulator::IsolationReport report = simulator::run_isolation(run);
     add_invariants(report.violations);
     sum.sent += report.sent;
     sum.ran += report.ran;
@@ -177,16 +177,16 @@
   return failed == 0 ? 0 : 1;
 }
 
-int run_field_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
-                       options::variables_map const& found) {
-  std::optional<simulator::FieldFaults> const faults =
-      simulator::field_scenario(simulator::is_whole(name) ? "field-calm" : name);
-  simulator::FieldOptions probe;
+int run_query_path_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
+                            options::variables_map const& found) {
+  std::optional<simulator::QueryPathFaults> const faults =
+      simulator::query_path_scenario(simulator::is_whole(name) ? "field-calm" : name);
+  simulator::QueryPathOptions probe;
   if (simulator::is_whole(name) && !simulator::apply_whole(name, probe)) {
     return usage("'" + name + "' is not a scenario; see --list");
   }
-  absl::StatusOr<simulator::FieldDeployment> deployment =
-      simulator::field_deployment(found["deployments"].as<std::string>() + "/" + found["deployment"].as<std::string>());
+  absl::StatusOr<simulator::QueryPathDeployment> deployment = simulator::query_path_deployment(
+      found["deployments"].as<std::string>() + "/" + found["deployment"].as<std::string>());
   if (!faults.has_value()) {
     return usage("'" + name + "' is not a scenario; see --list");
   }
@@ -204,14 +204,14 @@
   for (std::string const& variant : variants) {
     double good = 0, sent = 0, refused = 0, apologies = 0, broken = 0, reuse = 0, p50 = 0, p99 = 0, rate = 0,
            switches = 0, retries = 0, passes = 0, prefill_error = 0, decode_error = 0;
-    double acknowledged = 0, unknown = 0, explained = 0, furrows_lost = 0, unvouched = 0, recovery = 0,
+    double acknowledged = 0, unknown = 0, explained = 0, proxies_lost = 0, unconfirmed = 0, recovery = 0,
            decided_anew = 0, brought = 0, share = 0, calm_good = 0, crowd_good = 0, others_good = 1, after_crowd = 0,
            worst_refusal = 0;
     common::Span drain = 0;
     std::uint64_t failed = 0;
     std::string splits;
     for (std::uint64_t seed = first; seed <= last; ++seed) {
-      simulator::FieldOptions run;
+      simulator::QueryPathOptions run;
       run.seed = seed;
       run.length = static_cast<common::Span>(found["seconds"].as<double>() * 1e6);
       run.deployment = *deployment;
@@ -240,7 +240,7 @@
       if (!simulator::apply_variant(variant, run)) {
         return usage("'" + variant + "' is not a variant");
       }
-      simulator::FieldReport report = simulator::run_field(run);
+      simulator::QueryPathReport report = simulator::run_query_path(run);
       add_invariants(report.violations);
       if (first == last) {
         std::cout << "trace " << std::hex << report.trace_hash << std::dec << "\n";
@@ -267,8 +267,8 @@
       acknowledged += static_cast<double>(report.control.acknowledged);
       unknown += static_cast<double>(report.control.unknown);
       explained += static_cast<double>(report.control.explained);
-      furrows_lost += static_cast<double>(report.furrows_lost);
-      unvouched += static_cast<double>(report.unvouched);
+      proxies_lost += static_cast<double>(report.proxies_lost);
+      unconfirmed += static_cast<double>(report.unconfirmed);
       recovery = std::max(recovery, static_cast<double>(report.control.worst_recovery) / 1000);
       calm_good += report.calm_good;
       crowd_good += report.crowd_good;
@@ -302,7 +302,7 @@
               << ", fit error prefill " << prefill_error / runs << " decode " << decode_error / runs;
     if (simulator::is_whole(name)) {
       std::cout << ", control: acknowledged " << acknowledged / runs << " unknown " << unknown / runs << " explained "
-                << explained / runs << " furrows lost " << furrows_lost / runs << " unvouched " << unvouched / runs
+                << explained / runs << " furrows lost " << proxies_lost / runs << " unvouched " << unconfirmed / runs
                 << ", worst recovery " << recovery << " ms";
     }
     if (crowd_good > 0) {
@@ -453,7 +453,7 @@
     for (std::string const& name : simulator::control_scenarios()) {
       std::cout << name << "\n";
     }
-    for (std::string const& name : simulator::field_scenarios()) {
+    for (std::string const& name : simulator::query_path_scenarios()) {
       std::cout << name << "\n";
     }
     for (simulator::membership_model::Scenario const& scenario : simulator::membership_model::scenarios()) {
@@ -488,7 +488,7 @@
     }
     if (name == "walls" || name.rfind("relay-", 0) == 0) {
       int const outcome =
-          name == "walls" ? run_walls_scenario(first, last, found) : run_relay_scenario(name, first, last, found);
+          name == "walls" ? run_isolation_scenario(first, last, found) : run_relay_scenario(name, first, last, found);
       if (outcome == common::exit_usage) {
         return outcome;
       }
@@ -496,7 +496,7 @@
       continue;
     }
     if (name.rfind("field-", 0) == 0 || simulator::is_whole(name)) {
-      int const outcome = run_field_scenario(name, first, last, found);
+      int const outcome = run_query_path_scenario(name, first, last, found);
       if (outcome == common::exit_usage) {
         return outcome;
       }
@@ -533,7 +533,7 @@
       sum.unknown += report.unknown;
       sum.reads += report.reads;
       sum.queries += report.queries;
-      sum.unvouched += report.unvouched;
+      sum.unconfirmed += report.unconfirmed;
       sum.repairs += report.repairs;
       sum.lease_changes += report.lease_changes;
       sum.replacements += report.replacements;
@@ -559,7 +559,7 @@
     double const took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     std::cout << name << ": " << (last - first + 1) << " seeds, " << failed << " failed; acknowledged "
               << sum.acknowledged << ", rejected " << sum.rejected << ", unknown " << sum.unknown << ", reads "
-              << sum.reads << ", queries " << sum.queries << " (" << sum.unvouched << " not taken), repairs "
+              << sum.reads << ", queries " << sum.queries << " (" << sum.unconfirmed << " not taken), repairs "
               << sum.repairs << ", planned replacements " << sum.replacements << " (" << sum.grace_ends
               << " lasted all the grace, others at most " << sum.worst_departure / 1000 << " ms), lease changes "
               << sum.lease_changes << ", worst acknowledgement " << sum.worst_acknowledge / 1000
--- a/source/simulator/operators/operators.cpp
+++ b/source/simulator/operators/operators.cpp
@@ -17,7 +17,7 @@
 constexpr Span retry_pause_most = common::milliseconds(1000);
 /// An order about a zone is sent again for this long.
 constexpr Span evacuation_order_span = common::seconds(5);
-constexpr Span charter_order_span = common::seconds(8);
+constexpr Span routing_config_order_span = common::seconds(8);
 /// A charter is sent once more up to this long after its end.
 constexpr Span late_repeat_most = common::seconds(15);
 constexpr Span way_least = 200;
@@ -43,11 +43,11 @@
   std::optional<Moment> closed;
 };
 
-std::string charter_text(std::uint64_t number, std::string const& tag) {
+std::string routing_config_text(std::uint64_t number, std::string const& tag) {
   return "{\"number\":" + std::to_string(number) + ",\"lanes\":[{\"name\":\"l\",\"prefix\":\"/" + tag +
          "/\",\"shares\":[{\"service\":\"s\"}],\"deadline_ms\":1000}],\"services\":[{\"name\":\"s\"}]}";
 }
-std::string charter_patch(std::uint64_t number, std::string const& tag) {
+std::string routing_config_patch(std::uint64_t number, std::string const& tag) {
   return "{\"number\":" + std::to_string(number) + ",\"upsert\":{\"lanes\":[{\"name\":\"l\",\"prefix\":\"/" + tag +
          "/\",\"shares\":[{\"service\":\"s\"}],\"deadline_ms\":1000}]}}";
 }
@@ -67,20 +67,20 @@
   using Answer = std::function<void(AttemptEnd)>;
 
   void operate();
-  void order_charter();
+  void order_routing_config();
   void order_evacuation(std::string const& zone, bool evacuated);
   void read_all();
   // --- attempts ---
   void send(std::shared_ptr<Order> const& order, std::function<void(std::shared_ptr<Attempt> const&, Answer)> serve);
   void close(std::shared_ptr<Attempt> const& attempt);
   void end_attempt(std::shared_ptr<Attempt> const& attempt, AttemptEnd end);
-  void serve_charter(std::shared_ptr<Attempt> const& attempt, config::WantedCharter const& wanted,
-                     Answer const& answer);
+  void serve_routing_config(std::shared_ptr<Attempt> const& attempt, config::WantedRoutingConfig const& wanted,
+                            Answer const& answer);
   void serve_evacuation(std::shared_ptr<Attempt> const& attempt, std::string const& zone, bool evacuated,
                         Answer const& answer);
-  void send_charter(config::WantedCharter const& wanted, bool again);
-  void judge_charter(std::shared_ptr<Attempt> const& attempt, config::WantedCharter const& wanted,
-                     config::CharterProposalReport const& report, ChangeEnd const& end, Answer const& answer);
+  void send_routing_config(config::WantedRoutingConfig const& wanted, bool again);
+  void judge_routing_config(std::shared_ptr<Attempt> const& attempt, config::WantedRoutingConfig const& wanted,
+                            config::RoutingProposalReport const& report, ChangeEnd const& end, Answer const& answer);
   OperatorLoad load_;
   Kernel& kernel_;
   ClusterAccess access_;
@@ -105,7 +105,7 @@
     operate();
     double const kind = kernel_.uniform();
     if (kind < 0.4) {
-      order_charter();
+      order_routing_config();
     } else if (kind < 0.7) {
       order_evacuation("zone-" + std::to_string(kernel_.below(load_.zones)), kernel_.chance(0.5));
     } else {
@@ -176,13 +176,13 @@
 
 // --- charters ---
 
-void OperatorModel::State::order_charter() {
+void OperatorModel::State::order_routing_config() {
   // Built on what some node says is in force; at times on an older one, or on none.
   std::size_t const node = kernel_.below(access_.nodes());
   if (!access_.alive(node)) {
     return;
   }
-  schema::Value const known = access_.value(node, config::charter_register);
+  schema::Value const known = access_.value(node, config::routing_config_register);
   std::uint64_t current = config::number_of(known);
   if (!known.marks.empty() && kernel_.chance(0.15)) {
     current = known.marks[kernel_.below(known.marks.size())].revision;
@@ -192,20 +192,21 @@
   std::uint64_t const number = current + 1 + kernel_.below(3);
   std::string const tag = "t" + std::to_string(next_tag_++);
   bool const patch = current > 0 && kernel_.chance(0.5);
-  config::WantedCharter const wanted{patch ? charter_patch(number, tag) : charter_text(number, tag), patch, current};
+  config::WantedRoutingConfig const wanted{patch ? routing_config_patch(number, tag) : routing_config_text(number, tag),
+                                           patch, current};
   ++counts_.orders;
   ChangeRecord& change = ledger_.change(config::id_of(wanted));
   change.began = kernel_.now();
   change.expected = current;
-  send_charter(wanted, false);
+  send_routing_config(wanted, false);
 }
 
-void OperatorModel::State::send_charter(config::WantedCharter const& wanted, bool again) {
+void OperatorModel::State::send_routing_config(config::WantedRoutingConfig const& wanted, bool again) {
   std::shared_ptr<Order> const order = std::make_shared<Order>();
-  order->until = kernel_.now() + charter_order_span;
+  order->until = kernel_.now() + routing_config_order_span;
   order->send_attempt = [this, wanted](std::shared_ptr<Order> const& own) {
     send(own, [this, wanted](std::shared_ptr<Attempt> const& attempt, Answer const& answer) {
-      serve_charter(attempt, wanted, answer);
+      serve_routing_config(attempt, wanted, answer);
     });
   };
   order->done = [this, wanted, again](AttemptEnd) {
@@ -214,7 +215,7 @@
       kernel_.after(kernel_.between(0, late_repeat_most), [this, wanted] {
         if (!stopped_) {
           ledger_.change(config::id_of(wanted)).closed.reset();
-          send_charter(wanted, true);
+          send_routing_config(wanted, true);
         }
       });
     }
@@ -222,34 +223,35 @@
   order->send_attempt(order);
 }
 
-void OperatorModel::State::serve_charter(std::shared_ptr<Attempt> const& attempt, config::WantedCharter const& wanted,
-                                         Answer const& answer) {
-  std::shared_ptr<config::CharterProposalReport> const report = std::make_shared<config::CharterProposalReport>();
-  access_.change(attempt->node, config::charter_register,
-                 config::charter_proposal(wanted, config::own_notation(), report, load_.marks),
+void OperatorModel::State::serve_routing_config(std::shared_ptr<Attempt> const& attempt,
+                                                config::WantedRoutingConfig const& wanted, Answer const& answer) {
+  std::shared_ptr<config::RoutingProposalReport> const report = std::make_shared<config::RoutingProposalReport>();
+  access_.change(attempt->node, config::routing_config_register,
+                 config::routing_proposal(wanted, config::own_notation(), report, load_.marks),
                  [this, attempt, wanted, report, answer](ChangeEnd const& end) {
-                   judge_charter(attempt, wanted, *report, end, answer);
+                   judge_routing_config(attempt, wanted, *report, end, answer);
                  });
 }
 
-void OperatorModel::State::judge_charter(std::shared_ptr<Attempt> const& attempt, config::WantedCharter const& wanted,
-                                         config::CharterProposalReport const& report, ChangeEnd const& end,
-                                         Answer const& answer) {
+void OperatorModel::State::judge_routing_config(std::shared_ptr<Attempt> const& attempt,
+                                                config::WantedRoutingConfig const& wanted,
+                                                config::RoutingProposalReport const& report, ChangeEnd const& end,
+                                                Answer const& answer) {
   std::string const id = config::id_of(wanted);
   consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end);
   consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&end);
   if (chosen != nullptr) {
-    ledger_.observe(config::charter_register, chosen->value);
+    ledger_.observe(config::routing_config_register, chosen->value);
   } else if (rejected != nullptr) {
-    ledger_.observe(config::charter_register, rejected->current);
+    ledger_.observe(config::routing_config_register, rejected->current);
   }
   AttemptEnd told = AttemptEnd::unclear;
-  if (chosen != nullptr || (rejected != nullptr && report.end == config::CharterProposalOutcome::done)) {
+  if (chosen != nullptr || (rejected != nullptr && report.end == config::RoutingProposalOutcome::done)) {
     told = AttemptEnd::acknowledged;
     counts_.acknowledged_again += chosen == nullptr ? 1 : 0;
   } else if (rejected == nullptr) {
     ++counts_.unknown;
-  } else if (report.end == config::CharterProposalOutcome::forgotten) {
+  } else if (report.end == config::RoutingProposalOutcome::forgotten) {
     ++counts_.forgotten;
   } else {
     told = AttemptEnd::refused;
@@ -264,10 +266,10 @@
     ++counts_.refused;
     HistoryEntry refusal{Kind::refused, HistoryEntry::no_revision, attempt->began, kernel_.now()};
     refusal.change = id;
-    if (report.end == config::CharterProposalOutcome::expectation) {
+    if (report.end == config::RoutingProposalOutcome::expectation) {
       refusal.expected = wanted.expected;
     }
-    ledger_.add(config::charter_register, refusal);
+    ledger_.add(config::routing_config_register, refusal);
   }
   answer(told);
 }
@@ -330,8 +332,9 @@
   Moment const began = kernel_.now();
   access_.confirmed(node, [this, node, began] {
     ++counts_.reads;
-    for (std::string const& name : {std::string(config::charter_register), std::string(config::evacuated_register),
-                                    std::string(consensus::holders_register)}) {
+    for (std::string const& name :
+         {std::string(config::routing_config_register), std::string(config::evacuated_register),
+          std::string(consensus::holders_register)}) {
       schema::Value const value = access_.value(node, name);
       ledger_.observe(name, value);
       ledger_.add(name, HistoryEntry{Kind::read, value.revision, began, kernel_.now()});
--- a/source/simulator/operators/order_ledger.cpp
+++ b/source/simulator/operators/order_ledger.cpp
@@ -48,17 +48,17 @@
 }
 
 void OrderLedger::observe(std::string const& name, schema::Value const& value) {
-  if (value.revision > 0 && name == config::charter_register) {
-    observe_charter(value);
+  if (value.revision > 0 && name == config::routing_config_register) {
+    observe_routing_config(value);
   } else if (value.revision > 0 && name == config::evacuated_register) {
     observe_zones(value);
   }
 }
 
-void OrderLedger::observe_charter(schema::Value const& value) {
+void OrderLedger::observe_routing_config(schema::Value const& value) {
   std::uint64_t revision = config::dropped_marks(value);
   for (schema::ChangeMark const& mark : value.marks) {
-    std::string& owner = charter_of_[++revision];
+    std::string& owner = routing_config_of_[++revision];
     if (!owner.empty() && owner != mark.id) {
       violate_("charter revision " + std::to_string(revision) + " is of two changes");
     }
@@ -101,8 +101,8 @@
   histories_[config::evacuated_register].push_back(read);
 }
 
-void OrderLedger::add_charter_history() {
-  History& history = histories_[config::charter_register];
+void OrderLedger::add_routing_config_history() {
+  History& history = histories_[config::routing_config_register];
   std::map<std::uint64_t, std::uint64_t> revision_of;
   for (std::pair<std::uint64_t const, std::uint64_t> const& number : number_at_) {
     revision_of[number.second] = number.first;
@@ -115,7 +115,7 @@
                                                     : HistoryEntry::no_revision;
     }
   }
-  for (std::pair<std::uint64_t const, std::string> const& owner : charter_of_) {
+  for (std::pair<std::uint64_t const, std::string> const& owner : routing_config_of_) {
     ChangeRecord const& change = changes_[owner.second];
     HistoryEntry write{Kind::write, owner.first, change.began, change.ended};
     if (change.expected == 0 || revision_of.count(change.expected) > 0) {
@@ -128,7 +128,7 @@
   }
   for (std::pair<std::string const, ChangeRecord> const& change : changes_) {
     if (change.second.ended.has_value() &&
-        std::none_of(charter_of_.begin(), charter_of_.end(),
+        std::none_of(routing_config_of_.begin(), routing_config_of_.end(),
                      [&change](std::pair<std::uint64_t const, std::string> const& owner) {
                        return owner.second == change.first;
                      })) {
@@ -180,7 +180,7 @@
 }
 
 std::uint64_t OrderLedger::explain() {
-  add_charter_history();
+  add_routing_config_history();
   add_evacuation_history();
   check_zones();
   std::string const wrong = explain_histories(histories_);
--- a/source/simulator/operators/order_ledger.hpp
+++ b/source/simulator/operators/order_ledger.hpp
@@ -51,20 +51,20 @@
   [[nodiscard]] std::uint64_t explain();
 
  private:
-  void observe_charter(schema::Value const& value);
+  void observe_routing_config(schema::Value const& value);
   void observe_zones(schema::Value const& value);
-  void add_charter_history();
+  void add_routing_config_history();
   void add_evacuation_history();
   void check_zones();
 
   std::function<void(std::string const&)> violate_;
   Histories histories_;
-  std::map<std::string, ChangeRecord> changes_;           ///< of the charter, by id
-  std::map<std::uint64_t, ZoneRecord> zone_orders_;       ///< attempts about zones, by number
-  std::map<std::uint64_t, std::string> charter_of_;       ///< revision to the change that made it
-  std::map<std::uint64_t, std::uint64_t> number_at_;      ///< revision to the charter's number
-  std::map<std::uint64_t, std::uint64_t> zone_order_of_;  ///< revision to the attempt that made it
-  std::map<std::uint64_t, std::string> zones_at_;         ///< revision to the content
+  std::map<std::string, ChangeRecord> changes_;             ///< of the charter, by id
+  std::map<std::uint64_t, ZoneRecord> zone_orders_;         ///< attempts about zones, by number
+  std::map<std::uint64_t, std::string> routing_config_of_;  ///< revision to the change that made it
+  std::map<std::uint64_t, std::uint64_t> number_at_;        ///< revision to the charter's number
+  std::map<std::uint64_t, std::uint64_t> zone_order_of_;    ///< revision to the attempt that made it
+  std::map<std::uint64_t, std::string> zones_at_;           ///< revision to the content
 };
 
 }  // namespace finchlink::simulator
--- a/source/simulator/prompt_isolation/prompt_isolation.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -35,14 +35,14 @@
   std::uint64_t running = 0;
 };
 
-struct SimFurrow {
+struct SimProxy {
   std::string name;
   std::string hall;
   std::string region;
   bool up = true;
   std::uint64_t life = 1;
-  std::unique_ptr<scheduling::Walls> walls;
-  std::unique_ptr<scheduling::Grove> grove;
+  std::unique_ptr<scheduling::PromptIsolation> isolation;
+  std::unique_ptr<scheduling::LoadBalancer> balancer;
   /// What each tenant was sent from here in this life: nothing else may be predicted for it.
   std::set<std::string> known;
 };
@@ -61,12 +61,12 @@
 /// One dispatch on its way to a worker and back.
 struct Flight {
   std::shared_ptr<SimQuery> query;
-  std::size_t furrow = 0;
-  std::uint64_t furrow_life = 0;
+  std::size_t proxy = 0;
+  std::uint64_t proxy_life = 0;
   scheduling::Prompt prompt;
   scheduling::Wanted wanted;
-  scheduling::Spot spot;
-  scheduling::Walled walled;
+  scheduling::Assignment assignment;
+  scheduling::IsolatedPrompt isolated;
 };
 
 struct TenantCount {
@@ -76,7 +76,7 @@
 
 class World {
  public:
-  explicit World(WallsOptions const& options) : options_(options), kernel_(options.seed) {
+  explicit World(IsolationOptions const& options) : options_(options), kernel_(options.seed) {
     kernel_.print_trace(options.print);
     std::vector<std::pair<std::string, std::string>> const halls{{"one", "east"}, {"two", "east"}, {"three", "west"}};
     for (std::size_t index = 0; index < 6; ++index) {
@@ -86,16 +86,16 @@
     }
     for (std::size_t index = 0; index < 4; ++index) {
       std::pair<std::string, std::string> const& hall = halls[index % halls.size()];
-      SimFurrow furrow;
-      furrow.name = "f" + std::to_string(index);
-      furrow.hall = hall.first;
-      furrow.region = hall.second;
-      furrows_.push_back(std::move(furrow));
+      SimProxy proxy;
+      proxy.name = "f" + std::to_string(index);
+      proxy.hall = hall.first;
+      proxy.region = hall.second;
+      proxies_.push_back(std::move(proxy));
       start(index);
     }
   }
 
-  WallsReport run() {
+  IsolationReport run() {
     arrive();
     publish();
     if (options_.faults) {
@@ -103,8 +103,8 @@
       rotate();
     }
     kernel_.run(options_.length, nullptr);
-    for (SimFurrow const& furrow : furrows_) {
-      report_.named += furrow.walls->crossings();
+    for (SimProxy const& proxy : proxies_) {
+      report_.named += proxy.isolation->crossings();
     }
     for (std::pair<std::string const, TenantCount> const& entry : counts_) {
       if (entry.second.prompts < steady_prompts) {
@@ -137,50 +137,50 @@
   // --- furrows ---
 
   void start(std::size_t index) {
-    SimFurrow& furrow = furrows_[index];
-    furrow.up = true;
-    ++furrow.life;
-    report_.named += furrow.walls == nullptr ? 0 : furrow.walls->crossings();
-    furrow.walls = std::make_unique<scheduling::Walls>(options_.guards);
-    furrow.grove = std::make_unique<scheduling::Grove>();
-    furrow.known.clear();
-    follow_list(index, furrow.life);
-    follow_secrets(index, furrow.life);
+    SimProxy& proxy = proxies_[index];
+    proxy.up = true;
+    ++proxy.life;
+    report_.named += proxy.isolation == nullptr ? 0 : proxy.isolation->crossings();
+    proxy.isolation = std::make_unique<scheduling::PromptIsolation>(options_.guards);
+    proxy.balancer = std::make_unique<scheduling::LoadBalancer>();
+    proxy.known.clear();
+    follow_list(index, proxy.life);
+    follow_secrets(index, proxy.life);
   }
 
   /// Each looks at the secrets file at moments of its own.
   void follow_secrets(std::size_t index, std::uint64_t life) {
     kernel_.after(kernel_.between(50000, 1000000), [this, index, life] {
-      SimFurrow& furrow = furrows_[index];
-      if (!furrow.up || furrow.life != life) {
+      SimProxy& proxy = proxies_[index];
+      if (!proxy.up || proxy.life != life) {
         return;
       }
-      furrow.walls->take(secrets_);
+      proxy.isolation->take(secrets_);
       follow_secrets(index, life);
     });
   }
 
   void follow_list(std::size_t index, std::uint64_t life) {
-    SimFurrow& furrow = furrows_[index];
-    if (!furrow.up || furrow.life != life) {
+    SimProxy& proxy = proxies_[index];
+    if (!proxy.up || proxy.life != life) {
       return;
     }
-    scheduling::GroveTerms terms;
-    terms.hall = furrow.hall;
-    terms.region = furrow.region;
-    terms.self = furrow.name;
-    for (SimFurrow const& other : furrows_) {
-      terms.furrows.push_back(other.name);
+    scheduling::LoadBalancerContext terms;
+    terms.hall = proxy.hall;
+    terms.region = proxy.region;
+    terms.self = proxy.name;
+    for (SimProxy const& other : proxies_) {
+      terms.proxies.push_back(other.name);
     }
-    std::vector<scheduling::Stand> stands;
+    std::vector<scheduling::WorkerSpec> specs;
     std::set<std::string> listed;
-    for (scheduling::Stand const& stand : list_) {
-      stands.push_back(stand);
-      stands.back().evacuated = evacuated_.count(stand.hall) > 0;
-      listed.insert(stand.id);
+    for (scheduling::WorkerSpec const& spec : list_) {
+      specs.push_back(spec);
+      specs.back().evacuated = evacuated_.count(spec.hall) > 0;
+      listed.insert(spec.id);
     }
-    furrow.grove->update(stands, terms, kernel_.now());
-    furrow.walls->keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
+    proxy.balancer->update(specs, terms, kernel_.now());
+    proxy.isolation->keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
     kernel_.after(kernel_.between(200000, 500000), [this, index, life] { follow_list(index, life); });
   }
 
@@ -191,19 +191,19 @@
       if (!worker.up) {
         continue;
       }
-      scheduling::Stand stand;
-      stand.id = worker.id;
-      stand.address = worker.address;
-      stand.service = "model";
-      stand.hall = worker.hall;
-      stand.region = worker.region;
-      stand.model = true;
-      stand.capacity = 16;
-      stand.draining = worker.draining;
-      stand.cold_until = worker.cold_until > kernel_.now() ? worker.cold_until : 0;
-      stand.cold_rate = 20;
-      stand.kept_tokens = options_.kept_tokens;
-      list_.push_back(std::move(stand));
+      scheduling::WorkerSpec spec;
+      spec.id = worker.id;
+      spec.address = worker.address;
+      spec.service = "model";
+      spec.hall = worker.hall;
+      spec.region = worker.region;
+      spec.model = true;
+      spec.capacity = 16;
+      spec.draining = worker.draining;
+      spec.cold_until = worker.cold_until > kernel_.now() ? worker.cold_until : 0;
+      spec.cold_rate = 20;
+      spec.kept_tokens = options_.kept_tokens;
+      list_.push_back(std::move(spec));
     }
     kernel_.after(common::milliseconds(700), [this] { publish(); });
   }
@@ -230,7 +230,7 @@
       for (scheduling::NamedPart const& part : query->parts) {
         query->tokens += part.tokens;
       }
-      enter(query, kernel_.below(furrows_.size()));
+      enter(query, kernel_.below(proxies_.size()));
       arrive();
     });
   }
@@ -241,45 +241,45 @@
       return;
     }
     report_.moved += query->tries > 1 ? 1 : 0;
-    SimFurrow& furrow = furrows_[index];
-    if (!furrow.up) {
+    SimProxy& proxy = proxies_[index];
+    if (!proxy.up) {
       elsewhere(query);
       return;
     }
     std::shared_ptr<Flight> const flight = std::make_shared<Flight>();
     flight->query = query;
-    flight->furrow = index;
-    flight->furrow_life = furrow.life;
+    flight->proxy = index;
+    flight->proxy_life = proxy.life;
     flight->prompt = scheduling::Prompt{
         query->tenant, "m", query->parts,
         query->open ? std::vector<std::string>{public_part} : std::vector<std::string>(), "header customer"};
     flight->wanted.shares.push_back(schema::Share{"model", 1});
-    flight->wanted.parts = furrow.walls->place(flight->prompt);
+    flight->wanted.parts = proxy.isolation->place(flight->prompt);
     flight->wanted.tokens = query->tokens;
     flight->wanted.outputs = 12;
     flight->wanted.avoid = query->avoid;
     flight->wanted.draw = kernel_.uniform();
-    std::variant<scheduling::Spot, scheduling::NoSpot> const found =
-        furrow.grove->choose(flight->wanted, kernel_.now());
-    if (std::holds_alternative<scheduling::NoSpot>(found)) {
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
+        proxy.balancer->choose(flight->wanted, kernel_.now());
+    if (std::holds_alternative<scheduling::NoAssignment>(found)) {
       elsewhere(query);
       return;
     }
-    flight->spot = std::get<scheduling::Spot>(found);
-    double const predicted = query->tokens - flight->spot.uncached;
-    double const allowed = furrow.known.count(query->reader) > 0 ? query->tokens : query->open ? public_tokens : 0;
+    flight->assignment = std::get<scheduling::Assignment>(found);
+    double const predicted = query->tokens - flight->assignment.uncached;
+    double const allowed = proxy.known.count(query->reader) > 0 ? query->tokens : query->open ? public_tokens : 0;
     if (options_.guards.tenant_in_key && predicted > allowed + 0.5) {
-      violate("furrow " + furrow.name + " predicts " + std::to_string(predicted) + " kept tokens for " + query->reader +
+      violate("furrow " + proxy.name + " predicts " + std::to_string(predicted) + " kept tokens for " + query->reader +
               ", which sent none from there");
     }
-    SimWorker const* const worker = holder(flight->spot.worker);
-    kernel_.after(worker == nullptr ? common::milliseconds(1) : way(furrow.region, worker->region),
+    SimWorker const* const worker = holder(flight->assignment.worker);
+    kernel_.after(worker == nullptr ? common::milliseconds(1) : way(proxy.region, worker->region),
                   [this, flight] { send(flight); });
   }
 
   /// The caller asks another furrow, maybe in another region.
   void elsewhere(std::shared_ptr<SimQuery> const& query) {
-    kernel_.after(kernel_.between(1000, 200000), [this, query] { enter(query, kernel_.below(furrows_.size())); });
+    kernel_.after(kernel_.between(1000, 200000), [this, query] { enter(query, kernel_.below(proxies_.size())); });
   }
 
   [[nodiscard]] SimWorker* holder(std::string const& id) {
@@ -291,56 +291,57 @@
     return nullptr;
   }
   /// The furrow of a flight, if it still lives; its caller asks another one if not.
-  [[nodiscard]] SimFurrow* home(Flight const& flight) {
-    SimFurrow& furrow = furrows_[flight.furrow];
-    return furrow.up && furrow.life == flight.furrow_life ? &furrow : nullptr;
+  [[nodiscard]] SimProxy* home(Flight const& flight) {
+    SimProxy& proxy = proxies_[flight.proxy];
+    return proxy.up && proxy.life == flight.proxy_life ? &proxy : nullptr;
   }
 
   void send(std::shared_ptr<Flight> const& flight) {
-    SimFurrow* const furrow = home(*flight);
-    if (furrow == nullptr) {
+    SimProxy* const proxy = home(*flight);
+    if (proxy == nullptr) {
       elsewhere(flight->query);
       return;
     }
-    SimWorker* const worker = holder(flight->spot.worker);
+    SimWorker* const worker = holder(flight->assignment.worker);
     if (worker == nullptr || !worker->up) {
-      end(*flight, *furrow, false, scheduling::Outcome::unreachable);
+      end(*flight, *proxy, false, scheduling::Outcome::unreachable);
       again(flight);
       return;
     }
-    if (!furrow->grove->usable(flight->spot.worker)) {
-      furrow->grove->ended(flight->spot, false, scheduling::Outcome::abandoned, kernel_.now());
+    if (!proxy->balancer->usable(flight->assignment.worker)) {
+      proxy->balancer->ended(flight->assignment, false, scheduling::Outcome::abandoned, kernel_.now());
       again(flight);
       return;
     }
-    flight->walled = furrow->walls->send(flight->prompt, flight->spot.worker, {kernel_.draw(), kernel_.draw()});
-    report_.cold += flight->walled.cold ? 1 : 0;
-    furrow->known.insert(flight->query->reader);
-    kernel_.after(way(furrow->region, worker->region), [this, flight] { reach(flight); });
+    flight->isolated =
+        proxy->isolation->send(flight->prompt, flight->assignment.worker, {kernel_.draw(), kernel_.draw()});
+    report_.cold += flight->isolated.cold ? 1 : 0;
+    proxy->known.insert(flight->query->reader);
+    kernel_.after(way(proxy->region, worker->region), [this, flight] { reach(flight); });
   }
 
   void reach(std::shared_ptr<Flight> const& flight) {
-    SimWorker* const worker = holder(flight->spot.worker);
-    SimFurrow* const furrow = home(*flight);
+    SimWorker* const worker = holder(flight->assignment.worker);
+    SimProxy* const proxy = home(*flight);
     if (worker == nullptr || !worker->up) {  // it left, or has another id by now
-      if (furrow != nullptr) {
-        end(*flight, *furrow, false,
+      if (proxy != nullptr) {
+        end(*flight, *proxy, false,
             worker == nullptr ? scheduling::Outcome::misdirected : scheduling::Outcome::unreachable);
       }
       again(flight);
       return;
     }
-    if (!flight->walled.version.empty() && flight->walled.version != worker->weights) {
+    if (!flight->isolated.version.empty() && flight->isolated.version != worker->weights) {
       ++report_.misdirected;
-      if (furrow != nullptr) {
-        hear(*flight, *furrow, *worker, std::nullopt);
-        end(*flight, *furrow, false, scheduling::Outcome::refused);
+      if (proxy != nullptr) {
+        hear(*flight, *proxy, *worker, std::nullopt);
+        end(*flight, *proxy, false, scheduling::Outcome::refused);
       }
       again(flight);
       return;
     }
     std::vector<fake_workers::CachePart> parts;
-    for (scheduling::NamedPart const& part : scheduling::named_parts(flight->walled.header)) {
+    for (scheduling::NamedPart const& part : scheduling::named_parts(flight->isolated.header)) {
       parts.push_back(fake_workers::CachePart{part.id, part.tokens, flight->query->open && parts.empty()});
     }
     fake_workers::CacheReading const reading = worker->cache.read(flight->query->reader, worker->weights, parts);
@@ -351,8 +352,8 @@
     common::Span const took = 4000 + static_cast<common::Span>((reading.tokens - reading.reused) * 18) +
                               static_cast<common::Span>(worker->running) * 500;
     kernel_.after(took, [this, flight, life, weights, reading] {
-      SimWorker* const there = holder(flight->spot.worker);
-      SimFurrow* const origin = home(*flight);
+      SimWorker* const there = holder(flight->assignment.worker);
+      SimProxy* const origin = home(*flight);
       bool const cut = there == nullptr || there->life != life;
       if (!cut) {
         --there->running;
@@ -362,15 +363,16 @@
         return;
       }
       if (cut) {
-        end(*flight, *origin, false, scheduling::Outcome::defect);
+        end(*flight, *origin, false, scheduling::Outcome::failure);
         again(flight);
         return;
       }
-      double const predicted = flight->query->tokens - flight->spot.uncached;
+      double const predicted = flight->query->tokens - flight->assignment.uncached;
       report_.evicted += reading.reused < predicted ? 1 : 0;
       hear(*flight, *origin, *there, reading.reused, weights);
-      origin->grove->first_token(
-          flight->spot, flight->walled.version.empty() ? std::vector<scheduling::Part>() : flight->wanted.parts, 0.02);
+      origin->balancer->first_token(
+          flight->assignment, flight->isolated.version.empty() ? std::vector<scheduling::Part>() : flight->wanted.parts,
+          0.02);
       end(*flight, *origin, true, scheduling::Outcome::good);
     });
   }
@@ -396,29 +398,29 @@
     }
   }
 
-  void hear(Flight const& flight, SimFurrow& furrow, SimWorker const& worker, std::optional<double> reused,
+  void hear(Flight const& flight, SimProxy& proxy, SimWorker const& worker, std::optional<double> reused,
             std::string const& weights = "") {
-    scheduling::WallAnswer const answer{flight.spot.worker, weights.empty() ? worker.weights : weights, reused,
-                                        reused.has_value()};
-    for (scheduling::WallAction const& action :
-         furrow.walls->heard(answer, flight.walled, flight.query->tokens - flight.spot.uncached)) {
+    scheduling::IsolationAnswer const answer{flight.assignment.worker, weights.empty() ? worker.weights : weights,
+                                             reused, reused.has_value()};
+    for (scheduling::IsolationAction const& action :
+         proxy.isolation->heard(answer, flight.isolated, flight.query->tokens - flight.assignment.uncached)) {
       if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
-        furrow.grove->forget_walled(forget->worker);
+        proxy.balancer->forget_isolated(forget->worker);
       } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
-        furrow.grove->gave_up(gave_up->worker, flight.wanted.parts, gave_up->tokens);
+        proxy.balancer->gave_up(gave_up->worker, flight.wanted.parts, gave_up->tokens);
       }
     }
   }
-  void end(Flight const& flight, SimFurrow& furrow, bool first_seen, scheduling::Outcome outcome) {
-    furrow.grove->ended(flight.spot, first_seen, outcome, kernel_.now());
+  void end(Flight const& flight, SimProxy& proxy, bool first_seen, scheduling::Outcome outcome) {
+    proxy.balancer->ended(flight.assignment, first_seen, outcome, kernel_.now());
   }
   /// The same furrow tries another worker, or the caller another furrow.
   void again(std::shared_ptr<Flight> const& flight) {
-    flight->query->avoid.push_back(flight->spot.worker);
+    flight->query->avoid.push_back(flight->assignment.worker);
     if (home(*flight) == nullptr || kernel_.chance(0.2)) {
       elsewhere(flight->query);
     } else {
-      enter(flight->query, flight->furrow);
+      enter(flight->query, flight->proxy);
     }
   }
 
@@ -444,12 +446,12 @@
     kernel_.after(kernel_.between(200000, 900000), [this] {
       ++report_.faults;
       SimWorker& worker = workers_[kernel_.below(workers_.size())];
-      std::size_t const index = kernel_.below(furrows_.size());
+      std::size_t const index = kernel_.below(proxies_.size());
       std::string what;
       switch (kernel_.below(8)) {
         case 0:  // a furrow is lost and starts anew, without secrets or record
-          what = furrows_[index].name + " restarts";
-          furrows_[index].up = false;
+          what = proxies_[index].name + " restarts";
+          proxies_[index].up = false;
           kernel_.after(kernel_.between(10000, 2000000), [this, index] { start(index); });
           break;
         case 1:
@@ -495,9 +497,9 @@
               kernel_.after(kernel_.between(1000000, 3000000), [this, address] { revive(address, false); });
             }
           }
-          for (std::size_t place = 0; place < furrows_.size(); ++place) {
-            if (furrows_[place].region == region) {
-              furrows_[place].up = false;
+          for (std::size_t place = 0; place < proxies_.size(); ++place) {
+            if (proxies_[place].region == region) {
+              proxies_[place].up = false;
               kernel_.after(kernel_.between(1000000, 3000000), [this, place] { start(place); });
             }
           }
@@ -523,12 +525,12 @@
     }
   }
 
-  WallsOptions options_;
+  IsolationOptions options_;
   Kernel kernel_;
-  WallsReport report_;
+  IsolationReport report_;
   std::vector<SimWorker> workers_;
-  std::vector<SimFurrow> furrows_;
-  std::vector<scheduling::Stand> list_;
+  std::vector<SimProxy> proxies_;
+  std::vector<scheduling::WorkerSpec> list_;
   std::set<std::string> evacuated_;
   scheduling::Secrets secrets_{"secret-0" + std::string(32, 'x'), "", 100};
   std::map<std::string, TenantCount> counts_;
@@ -536,7 +538,7 @@
 
 }  // namespace
 
-WallsReport run_walls(WallsOptions const& options) {
+IsolationReport run_isolation(IsolationOptions const& options) {
   return World(options).run();
 }
 
--- a/source/simulator/prompt_isolation/prompt_isolation.hpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.hpp
@@ -12,7 +12,7 @@
 /// Tenants' walls on a fake clock (section 14): the furrows' real walls, record
 /// and placement, between callers that all send the same prompts and workers
 /// that keep parts for whoever names them.
-struct WallsOptions {
+struct IsolationOptions {
   std::uint64_t seed = 1;
   common::Span length = common::seconds(60);
   double rate = 120;  ///< queries a second
@@ -20,11 +20,11 @@
   double flood = 0.3;          ///< share of queries that one of them sends
   double kept_tokens = 30000;  ///< a worker's memory: too small for all
   bool faults = true;          ///< restarts, losses, weights, rotation, evacuations
-  scheduling::WallGuards guards;
+  scheduling::IsolationGuards guards;
   bool print = false;
 };
 
-struct WallsReport {
+struct IsolationReport {
   std::vector<std::string> violations;
   std::uint64_t sent = 0;
   std::uint64_t ran = 0;       ///< prompts that a worker read
@@ -49,6 +49,6 @@
 inline constexpr std::uint64_t steady_prompts = 40;
 inline constexpr double steady_own = 0.05;
 
-[[nodiscard]] WallsReport run_walls(WallsOptions const& options);
+[[nodiscard]] IsolationReport run_isolation(IsolationOptions const& options);
 
 }  // namespace finchlink::simulator
--- a/source/simulator/query_path/answers.cpp
+++ b/source/simulator/query_path/answers.cpp
@@ -24,7 +24,7 @@
     return;
   }
   kernel_.after(answer_delay, [this, job, number = job->produced, last] {
-    if (!job->gone && !job->query->chart->settled() && job->query->dispatch == job->dispatch) {
+    if (!job->gone && !job->query->state_machine->settled() && job->query->dispatch == job->dispatch) {
       take_event(job, number, last);
     }
   });
@@ -35,7 +35,7 @@
   QueryPointer const query = job->query;
   Moment const now = kernel_.now();
   bool const decoding = query->phase == scheduling::Phase::decode;
-  schema::WorkerFigures& figures = furrows_[query->furrow]->figures[query->worker + (decoding ? " d" : " p")];
+  schema::WorkerFigures& figures = proxies_[query->proxy]->figures[query->worker + (decoding ? " d" : " p")];
   figures.worker = query->worker;
   figures.phase = decoding ? "decode" : "prefill";
   if (query->leg_first == 0) {
@@ -65,10 +65,10 @@
 
 /// What the first event tells of the worker's prefill.
 void World::note_first(Query& query, schema::WorkerFigures& figures) {
-  Furrow& furrow = *furrows_[query.furrow];
+  Proxy& proxy = *proxies_[query.proxy];
   Moment const now = kernel_.now();
   query.leg_first = now;
-  furrow.placement.first_token(query.ticket, now);
+  proxy.placement.first_token(query.ticket, now);
   if (query.decode_leg) {
     return;
   }
@@ -77,34 +77,34 @@
   figures.uncached += uncached;
   figures.cached += query.go.cached;
   figures.pairs += scheduling::pairs(uncached, query.go.cached);
-  if (query.running_at_start <= 1 && furrow.samples.size() < constants::samples_most) {
+  if (query.running_at_start <= 1 && proxy.samples.size() < constants::samples_most) {
     schema::Sample sample;
     sample.worker = query.worker;
     sample.seconds = static_cast<double>(now - query.sent) / 1e6;
     sample.sure = query.go.cached > 0;
     sample.uncached = uncached;
     sample.pairs = scheduling::pairs(uncached, query.go.cached);
-    furrow.samples.push_back(sample);
+    proxy.samples.push_back(sample);
   }
 }
 
 /// What a whole answer tells of the worker's decode.
 void World::note_last(Query const& query, schema::WorkerFigures& figures) {
-  Furrow& furrow = *furrows_[query.furrow];
-  double& outputs = furrow.outputs[options_.deployment.mixes[query.mix].name];
+  Proxy& proxy = *proxies_[query.proxy];
+  double& outputs = proxy.outputs[options_.deployment.mixes[query.mix].name];
   outputs += outputs_smoothing * (static_cast<double>(query.outputs) - outputs);
   figures.iterations += query.iterations;
   figures.decodes += 1;
   figures.decode_seconds += static_cast<double>(kernel_.now() - query.leg_first) / 1e6;
-  if (query.iterations >= least_iterations && furrow.samples.size() < constants::samples_most) {
-    double const running = std::max(1.0, (query.running_at_start + furrow.placement.running_on(query.worker) + 1) / 2);
+  if (query.iterations >= least_iterations && proxy.samples.size() < constants::samples_most) {
+    double const running = std::max(1.0, (query.running_at_start + proxy.placement.running_on(query.worker) + 1) / 2);
     schema::Sample sample;
     sample.worker = query.worker;
     sample.decode = true;
     sample.seconds = scheduling::middle(query.gaps);
     sample.spread = scheduling::spread(options_.aims.experts_share, 1, running);
     sample.running = running;
-    furrow.samples.push_back(sample);
+    proxy.samples.push_back(sample);
   }
 }
 
@@ -114,11 +114,11 @@
     query->ticket = 0;
     tickets_.erase(ticket);
     query->job = nullptr;
-    obey(furrows_[query->furrow]->placement.finished(ticket, scheduling::Ending::good, kernel_.now()));
+    obey(proxies_[query->proxy]->placement.finished(ticket, scheduling::Ending::good, kernel_.now()));
   }
   std::uint64_t shown = number;
   if (!options_.checked_numbers) {  // the guard off: whatever comes is handed on as the next
-    shown = query->chart->last_event() + 1;
+    shown = query->state_machine->last_event() + 1;
     if (shown != number) {
       violate("a stream went on with event " + std::to_string(number) + " as if it were " + std::to_string(shown));
     }
--- a/source/simulator/query_path/arrivals.cpp
+++ b/source/simulator/query_path/arrivals.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-FieldMix World::mix_of(std::size_t index) const {
-  FieldMix mix = options_.deployment.mixes[index];
+QueryPathMix World::mix_of(std::size_t index) const {
+  QueryPathMix mix = options_.deployment.mixes[index];
   if (options_.faults.swing_at > 0 && kernel_.now() >= options_.faults.swing_at) {
     mix.own_tokens /= 4;
     mix.outputs *= 6;
@@ -47,16 +47,16 @@
 
 void World::arrive(std::size_t mix, std::string const& home, std::uint64_t tries, std::size_t hops,
                    std::optional<std::string> const& region) {
-  std::size_t furrow = kernel_.below(furrows_.size());
-  while (region.has_value() && options_.deployment.regions[furrows_[furrow]->region] != *region) {  // sent there by 307
-    furrow = kernel_.below(furrows_.size());
+  std::size_t proxy = kernel_.below(proxies_.size());
+  while (region.has_value() && options_.deployment.regions[proxies_[proxy]->region] != *region) {  // sent there by 307
+    proxy = kernel_.below(proxies_.size());
   }
-  if (!vouched(*furrows_[furrow])) {  // refused at once, or nobody listens there
-    ++report_.unvouched;
+  if (!confirmed(*proxies_[proxy])) {  // refused at once, or nobody listens there
+    ++report_.unconfirmed;
     return;
   }
-  scheduling::Plan const& plan = *furrows_[furrow]->plan;
-  config::Course const decided = course(plan.setup, plan.region, mix, home);
+  scheduling::Plan const& plan = *proxies_[proxy]->plan;
+  config::Disposition const decided = disposition(plan.setup, plan.region, mix, home);
   if (config::GoHome const* const there = std::get_if<config::GoHome>(&decided)) {
     if (hops < most_hops) {
       kernel_.after(hop_within_region(),
@@ -69,32 +69,32 @@
     return;
   }
   ++second(mix, kernel_.now()).arrived;
-  QueryPointer const query = make_query(mix, furrow, home, *serve, false);
+  QueryPointer const query = make_query(mix, proxy, home, *serve, false);
   query->tries = tries;
   query->hops = hops;
-  furrows_[furrow]->budgets.try_emplace(serve->rule).first->second.arrived(kernel_.now());
-  perform(query, query->chart->begin());
+  proxies_[proxy]->budgets.try_emplace(serve->rule).first->second.arrived(kernel_.now());
+  perform(query, query->state_machine->begin());
 }
 
-QueryPointer World::make_query(std::size_t mix, std::size_t furrow, std::string const& home, config::Serve const& serve,
+QueryPointer World::make_query(std::size_t mix, std::size_t proxy, std::string const& home, config::Serve const& serve,
                                bool passed) {
   QueryPointer const query = std::make_shared<Query>();
   query->id = next_query_++;
   query->mix = mix;
-  query->furrow = furrow;
+  query->proxy = proxy;
   query->home = home;
-  query->footing.plan = furrows_[furrow]->plan;
+  query->footing.plan = proxies_[proxy]->plan;
   query->footing.serve = serve;
   query->footing.rule = query->footing.plan->setup.rules.at(serve.rule);
   query->began = kernel_.now();
   Span const deadline = common::milliseconds(static_cast<std::int64_t>(query->footing.rule.deadline_ms));
   query->deadline = kernel_.now() + deadline;
   draw_prompt(*query);
-  query->chart = make_chart(*query, passed);
+  query->state_machine = make_state_machine(*query, passed);
   queries_.push_back(query);
   if (!passed) {
     kernel_.after(deadline, [this, query] {
-      if (!query->chart->settled()) {
+      if (!query->state_machine->settled()) {
         feed(query, scheduling::DeadlinePassed{});
       }
     });
@@ -103,7 +103,7 @@
 }
 
 void World::draw_prompt(Query& query) {
-  FieldMix const mix = mix_of(query.mix);
+  QueryPathMix const mix = mix_of(query.mix);
   query.tokens = mix.prefix_tokens + std::max(1.0, mix.own_tokens * (0.5 + kernel_.uniform()));
   query.outputs = static_cast<std::uint64_t>(std::max(2.0, mix.outputs * (0.5 + kernel_.uniform())));
   std::uint64_t const prefix = kernel_.below(std::max<std::uint64_t>(1, mix.prefixes));
@@ -117,7 +117,7 @@
   }
 }
 
-std::unique_ptr<scheduling::Chart> World::make_chart(Query const& query, bool passed) {
+std::unique_ptr<scheduling::QueryStateMachine> World::make_state_machine(Query const& query, bool passed) {
   schema::Rule const& rule = query.footing.rule;
   scheduling::QueryTerms terms;
   terms.repeatable = rule.repeatable || !options_.dispatch_once;
@@ -125,21 +125,21 @@
   terms.stream = rule.stream;
   terms.may_pass = !passed;
   std::string const name = options_.deployment.mixes[query.mix].name;
-  return std::make_unique<scheduling::Chart>(terms, [this, furrow = query.furrow, name](Moment now) {
+  return std::make_unique<scheduling::QueryStateMachine>(terms, [this, proxy = query.proxy, name](Moment now) {
     if (!options_.budget) {
       return true;
     }
-    return furrows_[furrow]->budgets.try_emplace(name).first->second.take(
-        now, scheduling::keeps_right(name, furrows_[furrow]->name, names_));
+    return proxies_[proxy]->budgets.try_emplace(name).first->second.take(
+        now, scheduling::keeps_right(name, proxies_[proxy]->name, names_));
   });
 }
 
 void World::pass_on(QueryPointer const& query) {
   (void)follow(query);
-  if (query->chart->settled()) {
+  if (query->state_machine->settled()) {
     return;
   }
-  Furrow const& from = *furrows_[query->furrow];
+  Proxy const& from = *proxies_[query->proxy];
   std::vector<schema::Member> const targets =
       scheduling::pass_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
   if (targets.empty()) {
@@ -151,18 +151,18 @@
   feed(query, scheduling::Connected{});
   std::string const chosen = targets[kernel_.below(targets.size())].name;
   std::size_t const target = static_cast<std::size_t>(std::find(names_.begin(), names_.end(), chosen) - names_.begin());
-  bool const far = furrows_[target]->region != from.region;
+  bool const far = proxies_[target]->region != from.region;
   kernel_.after(far ? options_.deployment.hop : hop_within_region(),
                 [this, query, target] { arrive_passed(query, target); });
 }
 
 void World::arrive_passed(QueryPointer const& query, std::size_t target) {
-  scheduling::Plan const& plan = *furrows_[target]->plan;
-  config::Course const decided = course(plan.setup, plan.region, query->mix, query->home);
-  if (query->chart->settled()) {
+  scheduling::Plan const& plan = *proxies_[target]->plan;
+  config::Disposition const decided = disposition(plan.setup, plan.region, query->mix, query->home);
+  if (query->state_machine->settled()) {
     return;
   }
-  if (!vouched(*furrows_[target]) || !std::holds_alternative<config::Serve>(decided)) {
+  if (!confirmed(*proxies_[target]) || !std::holds_alternative<config::Serve>(decided)) {
     feed(query, scheduling::NoRoom{});
     return;
   }
@@ -172,7 +172,7 @@
   child->chain = query->chain;
   child->outputs = query->outputs;
   child->deadline = query->deadline;
-  perform(child, child->chart->begin());
+  perform(child, child->state_machine->begin());
 }
 
 }  // namespace finchlink::simulator::query_path
--- a/source/simulator/query_path/control_plane.cpp
+++ b/source/simulator/query_path/control_plane.cpp
@@ -17,26 +17,26 @@
   ControlOptions control = *options_.control;
   control.seed = options_.seed;
   control.length = options_.length;
-  control.furrows = furrows_.size();
-  control.furrow_names = names_;
+  control.proxies = proxies_.size();
+  control.proxy_names = names_;
   control.first_setup = common::print_tree(common::Tree(schema::write(options_.deployment.setup)).get());
   control.patch = [this](std::string const& id) { return setup_patch(id); };
   control.seen = [this](std::uint64_t revision, std::string const& content) {
     setups_[revision] = config::read_setup(content).setup;
     newest_ = std::max(newest_, revision);
   };
-  control.adopted = [this](std::size_t furrow, std::uint64_t revision) {
-    Furrow& one = *furrows_[furrow];
+  control.adopted = [this](std::size_t proxy, std::uint64_t revision) {
+    Proxy& one = *proxies_[proxy];
     ++report_.faults;
     one.revision = revision;
     renew(one);
   };
   control.acknowledged = [this](std::uint64_t revision) { acknowledged_ = std::max(acknowledged_, revision); };
-  control.lives = [this](std::size_t furrow, bool alive) {
+  control.lives = [this](std::size_t proxy, bool alive) {
     if (alive) {
-      furrows_[furrow]->alive = true;
+      proxies_[proxy]->alive = true;
     } else {
-      lose(furrow);
+      lose(proxy);
     }
   };
   control_ = control_part(control, kernel_);
@@ -58,28 +58,28 @@
 /// A furrow is killed: its callers and the furrows that passed to it see their
 /// connections cut, its workers end what it had there; it comes back with nothing.
 void World::lose(std::size_t number) {
-  Furrow& furrow = *furrows_[number];
-  ++report_.furrows_lost;
-  furrow.alive = false;
+  Proxy& proxy = *proxies_[number];
+  ++report_.proxies_lost;
+  proxy.alive = false;
   std::vector<QueryPointer> open;
   for (QueryPointer const& query : queries_) {
-    if (query->furrow == number && !query->chart->settled()) {
+    if (query->proxy == number && !query->state_machine->settled()) {
       open.push_back(query);
     }
   }
   for (QueryPointer const& query : open) {
     if (query->parent != nullptr) {
-      settle_parent(query, scheduling::WorkerDefect{"pass_cut"});
+      settle_parent(query, scheduling::WorkerFailure{"pass_cut"});
     }
     ended(*query, false);
     feed(query, scheduling::CallerGone{});
   }
-  furrow.placement = scheduling::Placement(options_.placement);
-  furrow.budgets.clear();
-  furrow.outputs.clear();
-  furrow.revision = 0;
-  furrow.plan = std::make_shared<scheduling::Plan const>();
-  furrow.split = schema::Split{};
+  proxy.placement = scheduling::Placement(options_.placement);
+  proxy.budgets.clear();
+  proxy.outputs.clear();
+  proxy.revision = 0;
+  proxy.plan = std::make_shared<scheduling::Plan const>();
+  proxy.split = schema::Split{};
 }
 
 }  // namespace finchlink::simulator::query_path
--- a/source/simulator/query_path/deployment.cpp
+++ b/source/simulator/query_path/deployment.cpp
@@ -15,15 +15,15 @@
 
 using common::Span;
 
-std::size_t FieldDeployment::workers_of(std::size_t region) const {
+std::size_t QueryPathDeployment::workers_of(std::size_t region) const {
   std::size_t count = 0;
-  for (FieldHall const& hall : halls) {
+  for (QueryPathZone const& hall : halls) {
     count += hall.region == region ? hall.workers : 0;
   }
   return count;
 }
 
-absl::StatusOr<FieldDeployment> field_deployment(std::string const& folder) {
+absl::StatusOr<QueryPathDeployment> query_path_deployment(std::string const& folder) {
   std::map<std::string, std::string> texts;
   for (std::string const name : {"fleet.json", "setup.json"}) {
     std::ifstream file(folder + "/" + name);
@@ -46,7 +46,7 @@
   schema::Fleet fleet;
   std::vector<common::Fault> faults;
   schema::read(tree->get(), "", fleet, faults);
-  FieldDeployment deployment;
+  QueryPathDeployment deployment;
   deployment.setup = reading.setup;
   deployment.hop = static_cast<Span>(fleet.hop_ms * 1000);
   for (std::pair<std::string const, schema::FleetHall> const& hall : fleet.halls) {
@@ -56,7 +56,7 @@
     if (region == regions.size()) {
       regions.push_back(hall.second.region);
     }
-    deployment.halls.push_back(FieldHall{hall.first, region, hall.second.machines, hall.second.model_workers});
+    deployment.halls.push_back(QueryPathZone{hall.first, region, hall.second.machines, hall.second.model_workers});
     if (config::region_of(deployment.setup, hall.first) != hall.second.region) {
       faults.push_back(common::Fault{"/halls/" + hall.first, "stands in another region of setup.json, or in none"});
     }
@@ -64,10 +64,10 @@
   for (schema::Mix const& mix : fleet.mixes) {
     if (!mix.plain) {
       double const bytes = deployment.setup.workers.bytes_per_token;
-      deployment.mixes.push_back(FieldMix{mix.name, mix.method, mix.path, mix.rate,
-                                          static_cast<double>(mix.prefix_bytes) / bytes,
-                                          static_cast<double>(mix.own_bytes) / bytes, mix.prefixes,
-                                          std::ceil(static_cast<double>(mix.outputs) / 4), mix.homes});
+      deployment.mixes.push_back(QueryPathMix{mix.name, mix.method, mix.path, mix.rate,
+                                              static_cast<double>(mix.prefix_bytes) / bytes,
+                                              static_cast<double>(mix.own_bytes) / bytes, mix.prefixes,
+                                              std::ceil(static_cast<double>(mix.outputs) / 4), mix.homes});
       if (deployment.setup.rules.count(mix.name) == 0) {
         faults.push_back(common::Fault{"/mixes", mix.name + " is no rule of setup.json"});
       }
--- a/source/simulator/query_path/dispatch.cpp
+++ b/source/simulator/query_path/dispatch.cpp
@@ -21,7 +21,7 @@
 void World::send(QueryPointer const& query) {
   feed(query, scheduling::Placed{query->worker});
   kernel_.after(hop_within_region(), [this, query, dispatch = query->dispatch] {
-    if (!query->chart->settled() && query->dispatch == dispatch) {
+    if (!query->state_machine->settled() && query->dispatch == dispatch) {
       connect(query);
     }
   });
@@ -29,19 +29,19 @@
 
 /// The connection stands: the furrow looks once more whether bytes may go.
 void World::connect(QueryPointer const& query) {
-  Furrow const& furrow = *furrows_[query->furrow];
+  Proxy const& proxy = *proxies_[query->proxy];
   Worker* const worker = worker_of(query->worker);
   if (worker == nullptr || !worker->up) {
-    end_dispatch(query, scheduling::Ending::defect, scheduling::ConnectDefect{});
+    end_dispatch(query, scheduling::Ending::failure, scheduling::ConnectFailure{});
     return;
   }
-  if (!vouched(furrow)) {
-    ++report_.unvouched;
+  if (!confirmed(proxy)) {
+    ++report_.unconfirmed;
     end_dispatch(query, scheduling::Ending::abandoned, scheduling::Withdrawn{});
     return;
   }
   if (options_.decide_anew &&
-      (follow(query) || !scheduling::may_go(*furrow.plan, query->footing.serve.rule, worker->id))) {
+      (follow(query) || !scheduling::may_go(*proxy.plan, query->footing.serve.rule, worker->id))) {
     end_dispatch(query, scheduling::Ending::abandoned, scheduling::Withdrawn{});
     return;
   }
@@ -51,10 +51,10 @@
 void World::expose(QueryPointer const& query, Worker& worker) {
   feed(query, scheduling::Connected{});
   query->sent = kernel_.now();
-  query->running_at_start = furrows_[query->furrow]->placement.running_on(worker.id);
+  query->running_at_start = proxies_[query->proxy]->placement.running_on(worker.id);
   if (!query->decode_leg) {
     std::string const& name = options_.deployment.mixes[query->mix].name;
-    (query->chart->dispatches() <= 1 ? first_dispatches_ : retries_)[name].push_back(kernel_.now());
+    (query->state_machine->dispatches() <= 1 ? first_dispatches_ : retries_)[name].push_back(kernel_.now());
   }
   check_dispatch(*query, worker);
   if (worker.dark) {
@@ -91,13 +91,13 @@
 }
 
 /// Whether any setup since the acknowledged one lets the query go there.
-bool World::lawful(Query const& query, Worker const& worker, bool hall_only) const {
+bool World::lawful(Query const& query, Worker const& worker, bool zone_only) const {
   for (std::map<std::uint64_t, schema::Setup>::const_iterator entry = setups_.lower_bound(acknowledged_);
        entry != setups_.end(); ++entry) {
     schema::Setup const& setup = entry->second;
     std::map<std::string, schema::Hall>::const_iterator const hall = setup.halls.find(worker.hall);
     bool const emptied = hall != setup.halls.end() && hall->second.evacuated;
-    if (!emptied && (hall_only || std::holds_alternative<config::Serve>(course(
+    if (!emptied && (zone_only || std::holds_alternative<config::Serve>(disposition(
                                       setup, options_.deployment.regions[worker.region], query.mix, query.home)))) {
       return true;
     }
@@ -146,7 +146,7 @@
   job->tokens = query->tokens;
   job->chain = query->chain;
   job->outputs = query->outputs;
-  job->skip = query->footing.rule.stream ? query->chart->last_event() : 0;
+  job->skip = query->footing.rule.stream ? query->state_machine->last_event() : 0;
   query->iterations = 0;
   query->gaps.clear();
   query->leg_first = 0;
@@ -157,17 +157,17 @@
 
 void World::break_later(QueryPointer const& query, Span span, std::string const& reason) {
   kernel_.after(span, [this, query, dispatch = query->dispatch, reason] {
-    if (!query->chart->settled() && query->dispatch == dispatch) {
-      end_dispatch(query, scheduling::Ending::defect, scheduling::WorkerDefect{reason});
+    if (!query->state_machine->settled() && query->dispatch == dispatch) {
+      end_dispatch(query, scheduling::Ending::failure, scheduling::WorkerFailure{reason});
     }
   });
 }
 
 void World::cut_later(QueryPointer const& query) {
   kernel_.after(kernel_.between(least_cut, most_cut), [this, query, dispatch = query->dispatch] {
-    if (!query->chart->settled() && query->dispatch == dispatch && query->job != nullptr) {
+    if (!query->state_machine->settled() && query->dispatch == dispatch && query->job != nullptr) {
       query->job->gone = true;
-      end_dispatch(query, scheduling::Ending::defect, scheduling::WorkerDefect{"cut"});
+      end_dispatch(query, scheduling::Ending::failure, scheduling::WorkerFailure{"cut"});
     }
   });
 }
--- a/source/simulator/query_path/faults.cpp
+++ b/source/simulator/query_path/faults.cpp
@@ -9,7 +9,7 @@
 using common::Span;
 
 void World::schedule_faults() {
-  FieldFaults const& mix = options_.faults;
+  QueryPathFaults const& mix = options_.faults;
   repeat(mix.crash, [this] { crash_any(); });
   repeat(mix.dark, [this] { darken_any(); });
   repeat(mix.setups, [this] { apply_setup(changed_setup(setups_.at(newest_))); });
@@ -103,8 +103,8 @@
   worker.draining = draining;
   worker.draining_since = kernel_.now();
   std::uint64_t const shown = ++worker.shown;
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-    Furrow* const one = furrow.get();
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+    Proxy* const one = proxy.get();
     kernel_.after(kernel_.between(common::milliseconds(30), common::milliseconds(1400)),
                   [this, one, id = worker.id, draining, shown] {
                     if (shown > one->list_seen[id]) {
--- a/source/simulator/query_path/nodes.hpp
+++ b/source/simulator/query_path/nodes.hpp
@@ -68,7 +68,7 @@
   [[nodiscard]] std::size_t open() const { return waiting.size() + running.size(); }
 };
 
-struct Furrow {
+struct Proxy {
   std::string name;
   std::string hall;
   std::size_t region = 0;
@@ -76,7 +76,7 @@
   std::uint64_t revision = 1;  ///< of the setup in force here; 0: none yet
   std::shared_ptr<scheduling::Plan const> plan = std::make_shared<scheduling::Plan const>();
   scheduling::Placement placement;
-  std::map<std::string, scheduling::Budget> budgets;
+  std::map<std::string, scheduling::RetryBudget> budgets;
   std::map<std::string, double> outputs;
   std::map<std::string, bool> drained;  ///< as the list told here
   std::map<std::string, bool> listed;
@@ -91,10 +91,10 @@
 struct Query {
   std::uint64_t id = 0;
   std::size_t mix = 0;
-  std::size_t furrow = 0;
+  std::size_t proxy = 0;
   std::string home;  ///< as its caller names it
   scheduling::Footing footing;
-  std::unique_ptr<scheduling::Chart> chart;
+  std::unique_ptr<scheduling::QueryStateMachine> state_machine;
   std::uint64_t ticket = 0;
   std::uint64_t dispatch = 0;
   std::string worker;
--- a/source/simulator/query_path/placement.cpp
+++ b/source/simulator/query_path/placement.cpp
@@ -11,9 +11,9 @@
 }  // namespace
 
 void World::place(QueryPointer const& query) {
-  Furrow& furrow = *furrows_[query->furrow];
+  Proxy& proxy = *proxies_[query->proxy];
   (void)follow(query);
-  if (query->chart->settled()) {
+  if (query->state_machine->settled()) {
     return;
   }
   scheduling::Ticket ticket;
@@ -22,7 +22,7 @@
   ticket.allowed = scheduling::allowed_for(*query->footing.plan, ticket.rule);
   ticket.chain = query->chain;
   ticket.tokens = query->tokens;
-  ticket.outputs = furrow.outputs.try_emplace(ticket.rule, first_guess_of_outputs).first->second;
+  ticket.outputs = proxy.outputs.try_emplace(ticket.rule, first_guess_of_outputs).first->second;
   bool const paired = query->has_kv || options_.aims.manner == "paired";
   query->decode_leg = paired && query->has_kv;
   ticket.phase =
@@ -33,7 +33,7 @@
   ticket.waitlist_bound = query->footing.rule.waitlist;
   query->ticket = ticket.id;
   tickets_[ticket.id] = query;
-  obey(furrow.placement.enqueue(ticket, kernel_.now()));
+  obey(proxy.placement.enqueue(ticket, kernel_.now()));
 }
 
 void World::obey(std::vector<scheduling::PlacementAction> const& actions) {
@@ -62,7 +62,7 @@
   query->ticket = 0;
   query->wait = denied.expected_seconds;
   kernel_.after(0, [this, query, deadline = denied.reason == "deadline"] {
-    if (!query->chart->settled()) {
+    if (!query->state_machine->settled()) {
       feed(query, deadline ? scheduling::QueryMessage{scheduling::DeadlinePassed{}}
                            : scheduling::QueryMessage{scheduling::NoRoom{}});
     }
@@ -76,7 +76,7 @@
   query->job = nullptr;
   ++query->dispatch;
   tickets_.erase(ticket);
-  obey(furrows_[query->furrow]->placement.finished(ticket, ending, kernel_.now()));
+  obey(proxies_[query->proxy]->placement.finished(ticket, ending, kernel_.now()));
   feed(query, message);
 }
 
--- a/source/simulator/query_path/proxy_loops.cpp
+++ b/source/simulator/query_path/proxy_loops.cpp
@@ -23,45 +23,45 @@
 
 }  // namespace
 
-bool World::vouched(Furrow const& furrow) const {
-  if (!furrow.alive || furrow.revision == 0) {
+bool World::confirmed(Proxy const& proxy) const {
+  if (!proxy.alive || proxy.revision == 0) {
     return false;
   }
   std::size_t const number =
-      static_cast<std::size_t>(std::find(names_.begin(), names_.end(), furrow.name) - names_.begin());
-  return !control_.vouched || control_.vouched(number);
+      static_cast<std::size_t>(std::find(names_.begin(), names_.end(), proxy.name) - names_.begin());
+  return !control_.confirmed || control_.confirmed(number);
 }
 
-void World::refresh(Furrow& furrow) {
-  renew(furrow);
-  obey(furrow.placement.tick(kernel_.now()));
-  kernel_.after(refresh_pause, [this, &furrow] { refresh(furrow); });
+void World::refresh(Proxy& proxy) {
+  renew(proxy);
+  obey(proxy.placement.tick(kernel_.now()));
+  kernel_.after(refresh_pause, [this, &proxy] { refresh(proxy); });
 }
 
 /// The plan anew, by the same rules as a furrow's; whoever waits follows it.
-void World::renew(Furrow& furrow) {
-  if (!furrow.alive || furrow.revision == 0) {
+void World::renew(Proxy& proxy) {
+  if (!proxy.alive || proxy.revision == 0) {
     return;
   }
-  std::shared_ptr<scheduling::Plan> const plan = make_plan(furrow);
-  bool const turned = plan->decided != furrow.plan->decided || plan->allowed != furrow.plan->allowed;
-  furrow.plan = plan;
-  obey(furrow.placement.update(plan->wishes["model"], options_.bounds, options_.aims, plan->furrows_here,
-                               kernel_.now()));
+  std::shared_ptr<scheduling::Plan> const plan = make_plan(proxy);
+  bool const turned = plan->decided != proxy.plan->decided || plan->allowed != proxy.plan->allowed;
+  proxy.plan = plan;
+  obey(proxy.placement.update(plan->desired_workers["model"], options_.bounds, options_.aims, plan->proxies_here,
+                              kernel_.now()));
   if (turned && options_.decide_anew) {
-    follow_waiting(furrow);
+    follow_waiting(proxy);
   }
 }
 
-std::shared_ptr<scheduling::Plan> World::make_plan(Furrow& furrow) {
+std::shared_ptr<scheduling::Plan> World::make_plan(Proxy& proxy) {
   std::shared_ptr<scheduling::Plan> const plan = std::make_shared<scheduling::Plan>();
   plan->has_setup = true;
-  plan->decided = furrow.revision;
-  plan->setup = setups_.at(furrow.revision);
+  plan->decided = proxy.revision;
+  plan->setup = setups_.at(proxy.revision);
   plan->setup.scaler = options_.aims;
   plan->setup.workers = options_.bounds;
-  plan->splits[options_.deployment.regions[furrow.region]] = furrow.split;
-  for (std::unique_ptr<Furrow> const& other : furrows_) {
+  plan->splits[options_.deployment.regions[proxy.region]] = proxy.split;
+  for (std::unique_ptr<Proxy> const& other : proxies_) {
     if (other->alive) {
       schema::Member member;
       member.name = other->name;
@@ -74,69 +74,69 @@
     }
   }
   for (std::unique_ptr<Worker> const& worker : workers_) {
-    if (furrow.listed[worker->id]) {
-      bool const draining = options_.drop_drained && furrow.drained[worker->id];
+    if (proxy.listed[worker->id]) {
+      bool const draining = options_.drop_drained && proxy.drained[worker->id];
       plan->list.workers.push_back(schema::WorkerEntry{worker->id, worker->id, worker->hall, "model", draining, {}});
     }
   }
-  scheduling::derive(*plan, furrow.name, furrow.hall);
-  bool const usable = vouched(furrow);
-  for (scheduling::WorkerWish& wish : plan->wishes["model"]) {
-    wish.usable = wish.usable && usable;
+  scheduling::derive(*plan, proxy.name, proxy.hall);
+  bool const usable = confirmed(proxy);
+  for (scheduling::DesiredWorker& desired : plan->desired_workers["model"]) {
+    desired.usable = desired.usable && usable;
     if (!options_.tend_cold) {
-      wish.warm_boots.push_back(boot_of(*worker_of(wish.id)));
+      desired.warm_boots.push_back(boot_of(*worker_of(desired.id)));
     }
   }
   return plan;
 }
 
-void World::follow_waiting(Furrow& furrow) {
+void World::follow_waiting(Proxy& proxy) {
   std::vector<QueryPointer> waiting;
   for (std::pair<std::uint64_t const, QueryPointer> const& entry : tickets_) {
-    if (furrows_[entry.second->furrow].get() == &furrow &&
-        std::holds_alternative<scheduling::Waitlisted>(entry.second->chart->state())) {
+    if (proxies_[entry.second->proxy].get() == &proxy &&
+        std::holds_alternative<scheduling::Waitlisted>(entry.second->state_machine->state())) {
       waiting.push_back(entry.second);
     }
   }
   for (QueryPointer const& query : waiting) {
-    if (query->ticket != 0 && std::holds_alternative<scheduling::Waitlisted>(query->chart->state()) && follow(query) &&
-        !query->chart->settled()) {
+    if (query->ticket != 0 && std::holds_alternative<scheduling::Waitlisted>(query->state_machine->state()) &&
+        follow(query) && !query->state_machine->settled()) {
       std::uint64_t const ticket = query->ticket;
       query->ticket = 0;
       tickets_.erase(ticket);
-      obey(furrow.placement.cancel(ticket, kernel_.now()));
+      obey(proxy.placement.cancel(ticket, kernel_.now()));
       place(query);
     }
   }
 }
 
-void World::look(Furrow& furrow) {
+void World::look(Proxy& proxy) {
   for (std::unique_ptr<Worker> const& worker : workers_) {
-    if (worker->region != furrow.region || !furrow.listed[worker->id]) {
+    if (worker->region != proxy.region || !proxy.listed[worker->id]) {
       continue;
     }
     if (worker->up && !worker->dark) {
-      obey(furrow.placement.load(worker->id, static_cast<double>(worker->running.size()),
-                                 static_cast<double>(worker->waiting.size()), boot_of(*worker), kernel_.now()));
+      obey(proxy.placement.load(worker->id, static_cast<double>(worker->running.size()),
+                                static_cast<double>(worker->waiting.size()), boot_of(*worker), kernel_.now()));
     } else {
-      obey(furrow.placement.load_missed(worker->id, kernel_.now()));
+      obey(proxy.placement.load_missed(worker->id, kernel_.now()));
     }
   }
-  kernel_.after(constants::load_pause + kernel_.between(0, load_jitter), [this, &furrow] { look(furrow); });
+  kernel_.after(constants::load_pause + kernel_.between(0, load_jitter), [this, &proxy] { look(proxy); });
 }
 
-void World::report_loop(Furrow& furrow) {
-  kernel_.after(constants::report_span, [this, &furrow] {
+void World::report_loop(Proxy& proxy) {
+  kernel_.after(constants::report_span, [this, &proxy] {
     schema::FurrowReport report;
-    report.slice = ++furrow.slice;
-    for (std::pair<std::string const, schema::WorkerFigures> const& figures : furrow.figures) {
+    report.slice = ++proxy.slice;
+    for (std::pair<std::string const, schema::WorkerFigures> const& figures : proxy.figures) {
       report.figures.push_back(figures.second);
     }
-    report.samples = std::move(furrow.samples);
-    furrow.samples.clear();
-    furrow.figures.clear();
-    regions_[furrow.region].scaler.report(report, options_.aims, kernel_.now());
-    report_loop(furrow);
+    report.samples = std::move(proxy.samples);
+    proxy.samples.clear();
+    proxy.figures.clear();
+    regions_[proxy.region].scaler.report(report, options_.aims, kernel_.now());
+    report_loop(proxy);
   });
 }
 
@@ -163,9 +163,9 @@
 }
 
 void World::tell_split(std::size_t region) {
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-    if (furrow->region == region) {
-      Furrow* const one = furrow.get();
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+    if (proxy->region == region) {
+      Proxy* const one = proxy.get();
       kernel_.after(kernel_.between(least_split_delay, most_split_delay),
                     [one, split = regions_[region].split] { one->split = split; });
     }
--- a/source/simulator/query_path/queries.cpp
+++ b/source/simulator/query_path/queries.cpp
@@ -17,7 +17,7 @@
 }  // namespace
 
 void World::feed(QueryPointer const& query, scheduling::QueryMessage const& message) {
-  perform(query, query->chart->advance(message, kernel_.now()));
+  perform(query, query->state_machine->advance(message, kernel_.now()));
 }
 
 /// What became of a query that was passed on goes back to the furrow that passed it.
@@ -30,7 +30,7 @@
   for (scheduling::QueryAction const& action : actions) {
     perform_one(query, action);
   }
-  if (query->chart->settled()) {
+  if (query->state_machine->settled()) {
     withdraw(query);
   }
 }
@@ -130,7 +130,7 @@
 
 void World::end_broken(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::WorkerDefect{"pass_cut"});
+    settle_parent(query, scheduling::WorkerFailure{"pass_cut"});
     return;
   }
   ++report_.broken;
@@ -146,7 +146,7 @@
     std::uint64_t const ticket = query->ticket;
     query->ticket = 0;
     tickets_.erase(ticket);
-    obey(furrows_[query->furrow]->placement.cancel(ticket, kernel_.now()));
+    obey(proxies_[query->proxy]->placement.cancel(ticket, kernel_.now()));
   }
 }
 
--- a/source/simulator/query_path/query_path.cpp
+++ b/source/simulator/query_path/query_path.cpp
@@ -6,8 +6,8 @@
 
 namespace finchlink::simulator {
 
-FieldReport run_field(FieldOptions const& options) {
-  field::World world(options);
+QueryPathReport run_query_path(QueryPathOptions const& options) {
+  query_path::World world(options);
   return world.run();
 }
 
--- a/source/simulator/query_path/query_path.hpp
+++ b/source/simulator/query_path/query_path.hpp
@@ -16,7 +16,7 @@
 namespace finchlink::simulator {
 
 /// One service of a deployment, in tokens; what is done with it says the setup.
-struct FieldMix {
+struct QueryPathMix {
   std::string name;
   std::string method;
   std::string path;
@@ -27,22 +27,22 @@
   double outputs = 16;             ///< iterations of decode
   std::vector<std::string> homes;  ///< named by callers in turn; empty: none
 };
-struct FieldHall {
+struct QueryPathZone {
   std::string name;
   std::size_t region = 0;  ///< place among the deployment's regions
-  std::size_t furrows = 0;
+  std::size_t proxies = 0;
   std::size_t workers = 0;
 };
-struct FieldDeployment {
+struct QueryPathDeployment {
   std::vector<std::string> regions;
-  std::vector<FieldHall> halls;
+  std::vector<QueryPathZone> halls;
   common::Span hop = common::milliseconds(8);  ///< between the regions
-  std::vector<FieldMix> mixes;                 ///< of model workers; plain services are left out
+  std::vector<QueryPathMix> mixes;             ///< of model workers; plain services are left out
   schema::Setup setup;
   [[nodiscard]] std::size_t workers_of(std::size_t region) const;
 };
 
-struct FieldFaults {
+struct QueryPathFaults {
   double crash = 0;  ///< mean seconds between two; back cold after a while
   double dark = 0;
   double blink = 0;  ///< dark without closing anything, back cold within a second
@@ -58,11 +58,11 @@
   double cut = 0;                ///< connections to workers cut at any point
 };
 
-struct FieldOptions {
+struct QueryPathOptions {
   std::uint64_t seed = 1;
   common::Span length = common::seconds(60);
-  FieldDeployment deployment;
-  FieldFaults faults;
+  QueryPathDeployment deployment;
+  QueryPathFaults faults;
   schema::ScalerAims aims;
   schema::WorkerBounds bounds;
   double scale = 1;
@@ -81,7 +81,7 @@
   std::optional<ControlOptions> control;
 };
 
-struct FieldReport {
+struct QueryPathReport {
   std::vector<std::string> violations;
   std::uint64_t sent = 0;
   std::uint64_t good = 0;
@@ -110,23 +110,23 @@
   std::uint64_t trace_hash = 0;
   std::uint64_t events = 0;
   ControlReport control;
-  std::uint64_t unvouched = 0;  ///< queries refused, or withdrawn, for want of a vouch
-  std::uint64_t furrows_lost = 0;
+  std::uint64_t unconfirmed = 0;  ///< queries refused, or withdrawn, for want of a vouch
+  std::uint64_t proxies_lost = 0;
 };
 
 /// Runs placement, charts, budgets and scalers over simulated workers.
-[[nodiscard]] FieldReport run_field(FieldOptions const& options);
+[[nodiscard]] QueryPathReport run_query_path(QueryPathOptions const& options);
 
 /// Reads fleet.json and setup.json of a deployment; says what is wrong.
-[[nodiscard]] absl::StatusOr<FieldDeployment> field_deployment(std::string const& folder);
+[[nodiscard]] absl::StatusOr<QueryPathDeployment> query_path_deployment(std::string const& folder);
 /// Fault mixes by name; nothing for an unknown one.
-[[nodiscard]] std::optional<FieldFaults> field_scenario(std::string const& name);
-[[nodiscard]] std::vector<std::string> field_scenarios();
+[[nodiscard]] std::optional<QueryPathFaults> query_path_scenario(std::string const& name);
+[[nodiscard]] std::vector<std::string> query_path_scenarios();
 /// "whole-X": all of it in one world, the control plane under scenario X, the
 /// query path under crashes and drains; false for an unknown one.
 [[nodiscard]] bool is_whole(std::string const& name);
-[[nodiscard]] bool apply_whole(std::string const& name, FieldOptions& options);
+[[nodiscard]] bool apply_whole(std::string const& name, QueryPathOptions& options);
 /// Own earlier or lesser ways, to compare with: false for an unknown one.
-[[nodiscard]] bool apply_variant(std::string const& name, FieldOptions& options);
+[[nodiscard]] bool apply_variant(std::string const& name, QueryPathOptions& options);
 
 }  // namespace finchlink::simulator
--- a/source/simulator/query_path/results.cpp
+++ b/source/simulator/query_path/results.cpp
@@ -73,7 +73,7 @@
 
 void World::check_queries() {
   for (QueryPointer const& query : queries_) {
-    if (!query->chart->settled() && query->parent == nullptr) {
+    if (!query->state_machine->settled() && query->parent == nullptr) {
       violate("query " + std::to_string(query->id) + " was never settled");
     }
     if (query->told_refused && query->runs > 0) {
@@ -135,8 +135,8 @@
   report_.reuse = prompt_tokens_ > 0 ? cached_tokens_ / prompt_tokens_ : 0;
   report_.good_rate = static_cast<double>(good_late_) / (static_cast<double>(options_.length) / 2e6);
   weigh_fit();
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-    report_.moved += furrow->placement.moved();
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+    report_.moved += proxy->placement.moved();
   }
   report_.trace_hash = kernel_.trace_hash();
   report_.events = kernel_.events();
--- a/source/simulator/query_path/scenarios.cpp
+++ b/source/simulator/query_path/scenarios.cpp
@@ -6,14 +6,14 @@
 
 namespace finchlink::simulator {
 
-std::vector<std::string> field_scenarios() {
+std::vector<std::string> query_path_scenarios() {
   return {"field-calm", "field-crashes", "field-dark",  "field-blinks", "field-drains",   "field-replace",
           "field-cuts", "field-setups",  "field-swing", "field-crowd",  "field-overload", "field-storm"};
 }
 
-std::optional<FieldFaults> field_scenario(std::string const& name) {
-  FieldFaults faults;
-  std::vector<std::string> const names = field_scenarios();
+std::optional<QueryPathFaults> query_path_scenario(std::string const& name) {
+  QueryPathFaults faults;
+  std::vector<std::string> const names = query_path_scenarios();
   if (std::find(names.begin(), names.end(), name) == names.end()) {
     return std::nullopt;
   }
@@ -64,7 +64,7 @@
   return name.rfind("whole-", 0) == 0;
 }
 
-bool apply_whole(std::string const& name, FieldOptions& options) {
+bool apply_whole(std::string const& name, QueryPathOptions& options) {
   std::optional<ControlFaults> const faults = control_scenario(name.substr(6));
   if (!faults.has_value()) {
     return false;
@@ -72,7 +72,7 @@
   options.control.emplace();
   options.control->faults = *faults;
   options.control->operators_pause = 2;
-  options.faults = *field_scenario(name == "whole-storm" ? "field-storm" : "field-calm");
+  options.faults = *query_path_scenario(name == "whole-storm" ? "field-storm" : "field-calm");
   options.faults.setups = 0;  // they come by the register
   if (name != "whole-calm") {
     options.faults.crash = 8;
@@ -81,7 +81,7 @@
   return true;
 }
 
-bool apply_variant(std::string const& name, FieldOptions& options) {
+bool apply_variant(std::string const& name, QueryPathOptions& options) {
   if (name == "ours") {
     return true;
   }
--- a/source/simulator/query_path/setups.cpp
+++ b/source/simulator/query_path/setups.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 char const* const home_header = "Finchlink-Home";
-constexpr common::Span least_news_delay = common::milliseconds(20);
+constexpr common::Span least_update_delay = common::milliseconds(20);
 constexpr double fixed_homes = 0.6;
 
 /// The one header that rules of these deployments read.
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-config::Course World::course(schema::Setup const& setup, std::string const& region, std::size_t mix,
-                             std::string const& home) const {
-  FieldMix const& service = options_.deployment.mixes[mix];
+config::Disposition World::disposition(schema::Setup const& setup, std::string const& region, std::size_t mix,
+                                       std::string const& home) const {
+  QueryPathMix const& service = options_.deployment.mixes[mix];
   return config::decide(setup, region, service.method, service.path, headers_with(home), 0);
 }
 
@@ -33,9 +33,9 @@
   if (!options_.decide_anew) {
     return false;
   }
-  FieldMix const& mix = options_.deployment.mixes[query->mix];
+  QueryPathMix const& mix = options_.deployment.mixes[query->mix];
   scheduling::Header const header{mix.method, mix.path, headers_with(query->home), 0};
-  scheduling::Followed followed = scheduling::follow(query->footing, furrows_[query->furrow]->plan, header);
+  scheduling::Followed followed = scheduling::follow(query->footing, proxies_[query->proxy]->plan, header);
   report_.decided_anew += followed.changed ? 1 : 0;
   if (followed.decided.has_value()) {
     followed.decided->repeatable = followed.decided->repeatable || !options_.dispatch_once;
@@ -49,9 +49,9 @@
   setups_[revision] = setup;
   ++report_.faults;
   kernel_.trace("setup " + std::to_string(revision));
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-    Furrow* const one = furrow.get();
-    kernel_.after(kernel_.between(least_news_delay, constants::vouch_bound), [this, one, revision] {
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+    Proxy* const one = proxy.get();
+    kernel_.after(kernel_.between(least_update_delay, constants::confirmation_bound), [this, one, revision] {
       if (revision > one->revision) {
         one->revision = revision;
         renew(*one);
--- a/source/simulator/query_path/workers.cpp
+++ b/source/simulator/query_path/workers.cpp
@@ -107,8 +107,8 @@
 void World::crash(Worker& worker) {
   kernel_.trace("crash " + worker.id);
   if (options_.hear_closing) {
-    for (std::unique_ptr<Furrow> const& furrow : furrows_) {  // kept connections close
-      Furrow* const one = furrow.get();
+    for (std::unique_ptr<Proxy> const& proxy : proxies_) {  // kept connections close
+      Proxy* const one = proxy.get();
       kernel_.after(hop_within_region(), [this, one, id = worker.id] { obey(one->placement.lost(id, kernel_.now())); });
     }
   }
@@ -130,9 +130,9 @@
 }
 
 void World::lose_job(JobPointer const& job, std::string const& reason) {
-  if (!job->gone && !job->query->chart->settled() && job->query->dispatch == job->dispatch) {
+  if (!job->gone && !job->query->state_machine->settled() && job->query->dispatch == job->dispatch) {
     job->gone = true;
-    end_dispatch(job->query, scheduling::Ending::defect, scheduling::WorkerDefect{reason});
+    end_dispatch(job->query, scheduling::Ending::failure, scheduling::WorkerFailure{reason});
   }
 }
 
--- a/source/simulator/query_path/world.cpp
+++ b/source/simulator/query_path/world.cpp
@@ -15,22 +15,22 @@
 
 }  // namespace
 
-World::World(FieldOptions const& options) : options_(options), kernel_(options.seed) {
+World::World(QueryPathOptions const& options) : options_(options), kernel_(options.seed) {
   kernel_.print_trace(options.print);
 }
 
-FieldReport World::run() {
+QueryPathReport World::run() {
   regions_.resize(options_.deployment.regions.size());
   if (!options_.control.has_value()) {
     setups_[1] = options_.deployment.setup;
   }
-  for (FieldHall const& hall : options_.deployment.halls) {
-    add_hall(hall);
+  for (QueryPathZone const& hall : options_.deployment.halls) {
+    add_zone(hall);
   }
   if (options_.control.has_value()) {
     newest_ = acknowledged_ = 0;
-    for (std::unique_ptr<Furrow> const& furrow : furrows_) {
-      furrow->revision = 0;
+    for (std::unique_ptr<Proxy> const& proxy : proxies_) {
+      proxy->revision = 0;
     }
     join_control();
     control_.begin();
@@ -47,7 +47,7 @@
   return report_;
 }
 
-void World::add_hall(FieldHall const& hall) {
+void World::add_zone(QueryPathZone const& hall) {
   for (std::size_t number = 1; number <= hall.workers; ++number) {
     std::unique_ptr<Worker> worker = std::make_unique<Worker>();
     worker->id = "model-" + hall.name + "-" + std::to_string(number);
@@ -55,25 +55,25 @@
     worker->region = hall.region;
     workers_.push_back(std::move(worker));
   }
-  for (std::size_t number = 1; number <= hall.furrows; ++number) {
-    std::unique_ptr<Furrow> furrow = std::make_unique<Furrow>();
-    furrow->name = "furrow-" + hall.name + "-" + std::to_string(number);
-    furrow->hall = hall.name;
-    furrow->region = hall.region;
-    furrow->placement = scheduling::Placement(options_.placement);
-    names_.push_back(furrow->name);
-    furrows_.push_back(std::move(furrow));
+  for (std::size_t number = 1; number <= hall.proxies; ++number) {
+    std::unique_ptr<Proxy> proxy = std::make_unique<Proxy>();
+    proxy->name = "furrow-" + hall.name + "-" + std::to_string(number);
+    proxy->hall = hall.name;
+    proxy->region = hall.region;
+    proxy->placement = scheduling::Placement(options_.placement);
+    names_.push_back(proxy->name);
+    proxies_.push_back(std::move(proxy));
   }
 }
 
 void World::begin_loops() {
-  for (std::unique_ptr<Furrow> const& furrow : furrows_) {
+  for (std::unique_ptr<Proxy> const& proxy : proxies_) {
     for (std::unique_ptr<Worker> const& worker : workers_) {
-      furrow->listed[worker->id] = true;
+      proxy->listed[worker->id] = true;
     }
-    refresh(*furrow);
-    look(*furrow);
-    report_loop(*furrow);
+    refresh(*proxy);
+    look(*proxy);
+    report_loop(*proxy);
   }
   for (std::size_t region = 0; region < regions_.size(); ++region) {
     scale(region);
--- a/source/simulator/query_path/world.hpp
+++ b/source/simulator/query_path/world.hpp
@@ -27,12 +27,12 @@
 
 class World {
  public:
-  explicit World(FieldOptions const& options);
-  FieldReport run();
+  explicit World(QueryPathOptions const& options);
+  QueryPathReport run();
 
  private:
   // --- construction ---
-  void add_hall(FieldHall const& hall);
+  void add_zone(QueryPathZone const& hall);
   void begin_loops();
 
   // --- callers ---
@@ -40,14 +40,14 @@
   [[nodiscard]] double rate_of(std::size_t mix) const;
   void arrive(std::size_t mix, std::string const& home, std::uint64_t tries, std::size_t hops,
               std::optional<std::string> const& region);
-  QueryPointer make_query(std::size_t mix, std::size_t furrow, std::string const& home, config::Serve const& serve,
+  QueryPointer make_query(std::size_t mix, std::size_t proxy, std::string const& home, config::Serve const& serve,
                           bool passed);
   void draw_prompt(Query& query);
-  [[nodiscard]] std::unique_ptr<scheduling::Chart> make_chart(Query const& query, bool passed);
+  [[nodiscard]] std::unique_ptr<scheduling::QueryStateMachine> make_state_machine(Query const& query, bool passed);
   void pass_on(QueryPointer const& query);
   void arrive_passed(QueryPointer const& query, std::size_t target);
   /// A service, as its queries are at this time.
-  [[nodiscard]] FieldMix mix_of(std::size_t index) const;
+  [[nodiscard]] QueryPathMix mix_of(std::size_t index) const;
 
   // --- what a chart orders ---
   void feed(QueryPointer const& query, scheduling::QueryMessage const& message);
@@ -74,7 +74,7 @@
   void send(QueryPointer const& query);
   void connect(QueryPointer const& query);
   void check_dispatch(Query const& query, Worker const& worker);
-  [[nodiscard]] bool lawful(Query const& query, Worker const& worker, bool hall_only) const;
+  [[nodiscard]] bool lawful(Query const& query, Worker const& worker, bool zone_only) const;
   void expose(QueryPointer const& query, Worker& worker);
   /// Whether the worker refuses for want of room; one that is cold must not be flooded.
   [[nodiscard]] bool is_full(Worker const& worker);
@@ -106,20 +106,20 @@
   void stream_event(QueryPointer const& query, std::uint64_t number, bool last);
 
   // --- furrows ---
-  [[nodiscard]] bool vouched(Furrow const& furrow) const;
-  void refresh(Furrow& furrow);
-  void renew(Furrow& furrow);
-  [[nodiscard]] std::shared_ptr<scheduling::Plan> make_plan(Furrow& furrow);
-  void follow_waiting(Furrow& furrow);
-  void look(Furrow& furrow);
-  void report_loop(Furrow& furrow);
+  [[nodiscard]] bool confirmed(Proxy const& proxy) const;
+  void refresh(Proxy& proxy);
+  void renew(Proxy& proxy);
+  [[nodiscard]] std::shared_ptr<scheduling::Plan> make_plan(Proxy& proxy);
+  void follow_waiting(Proxy& proxy);
+  void look(Proxy& proxy);
+  void report_loop(Proxy& proxy);
   void scale(std::size_t region);
   void tell_split(std::size_t region);
 
   // --- the setup in force ---
   bool follow(QueryPointer const& query);
-  [[nodiscard]] config::Course course(schema::Setup const& setup, std::string const& region, std::size_t mix,
-                                      std::string const& home) const;
+  [[nodiscard]] config::Disposition disposition(schema::Setup const& setup, std::string const& region, std::size_t mix,
+                                                std::string const& home) const;
   [[nodiscard]] schema::Setup changed_setup(schema::Setup setup);
   void move_home(schema::Rule& rule);
   void empty_or_refill(schema::Setup& setup);
@@ -129,7 +129,7 @@
   /// The register and the news of the control plane in place of apply_setup.
   void join_control();
   [[nodiscard]] std::string setup_patch(std::string const& id);
-  void lose(std::size_t furrow);
+  void lose(std::size_t proxy);
 
   // --- faults ---
   void schedule_faults();
@@ -154,11 +154,11 @@
 
   [[nodiscard]] common::Span hop_within_region() { return kernel_.between(200, 600); }
 
-  FieldOptions options_;
+  QueryPathOptions options_;
   Kernel kernel_;
-  FieldReport report_;
+  QueryPathReport report_;
   std::vector<std::unique_ptr<Worker>> workers_;
-  std::vector<std::unique_ptr<Furrow>> furrows_;
+  std::vector<std::unique_ptr<Proxy>> proxies_;
   std::vector<Region> regions_;
   ControlPart control_;
   std::map<std::uint64_t, schema::Setup> setups_;  ///< by revision
--- a/source/simulator/relay/relay.cpp
+++ b/source/simulator/relay/relay.cpp
@@ -34,7 +34,7 @@
 struct Sickness {
   Illness kind = Illness::none;
   double part = 0;           ///< of its queries
-  std::string callers_hall;  ///< only for these; empty: for all
+  std::string callers_zone;  ///< only for these; empty: for all
 };
 
 /// A worker as it truly is.
@@ -59,32 +59,32 @@
 /// What the platform's list showed at a moment.
 struct Image {
   common::Moment at = 0;
-  std::vector<scheduling::Stand> stands;
+  std::vector<scheduling::WorkerSpec> specs;
 };
 
-struct Furrow {
+struct Proxy {
   std::string name;
   std::size_t hall = 0;
   std::uint64_t life = 1;
-  scheduling::Grove grove;
-  std::map<std::string, scheduling::Rights> rights;
+  scheduling::LoadBalancer balancer;
+  std::map<std::string, scheduling::RetryQuota> retry_quota;
   std::set<std::string> evacuated;
 };
 
 struct Flight {
   std::string id;
-  std::size_t furrow = 0;
+  std::size_t proxy = 0;
   std::uint64_t life = 0;  ///< of its furrow
-  schema::Lane lane;
-  std::optional<scheduling::Chart> chart;
+  schema::Lane route;
+  std::optional<scheduling::QueryStateMachine> state_machine;
   scheduling::Wanted wanted;
-  scheduling::Spot spot;
+  scheduling::Assignment assignment;
   std::string service;
   common::Moment arrived = 0;
   common::Moment deadline = 0;
   std::uint64_t dispatch = 0;  ///< grows: what belongs to an earlier one is not heard
   std::uint64_t watch = 0;     ///< the same for its silence alarm
-  scheduling::SilenceWatch silence;
+  scheduling::StallDetector silence;
   int connects = 0;
   std::uint64_t runs = 0;  ///< that workers began, in truth
   std::uint64_t arrivals = 0;
@@ -105,7 +105,8 @@
 
 class World {
  public:
-  explicit World(RelayOptions const& options) : options_(options), kernel_(options.seed), book_(charter()) {
+  explicit World(RelayOptions const& options)
+      : options_(options), kernel_(options.seed), route_table_(routing_config()) {
     kernel_.print_trace(options.print);
   }
 
@@ -119,9 +120,9 @@
   }
 
  private:
-  static schema::Charter charter() {
-    schema::Charter charter;
-    charter.number = 1;
+  static schema::Charter routing_config() {
+    schema::Charter routing_config;
+    routing_config.number = 1;
     for (std::string const& name : {"pool", "web"}) {
       schema::Service service;
       service.name = name;
@@ -129,7 +130,7 @@
       service.connections = 400;
       service.capacity = service.model ? 48 : 6;
       service.kept_tokens = 300000;
-      charter.services.push_back(service);
+      routing_config.services.push_back(service);
     }
     struct Kind {
       char const* name;
@@ -146,26 +147,26 @@
                              Kind{"whole", "web", true, false, false, 2, 400, 2500},
                              Kind{"paid", "web", false, false, false, 2, 500, 4000},
                              Kind{"at-home", "pool", true, true, true, 2, 800, 4000}}) {
-      schema::Lane lane;
-      lane.name = kind.name;
-      lane.host = "relay.example";
-      lane.prefix = "/" + lane.name + "/";
-      lane.shares = {schema::Share{kind.service, 1}};
-      lane.repeatable = kind.repeatable;
-      lane.stream = kind.stream;
-      lane.resumable = kind.resumable;
-      lane.dispatches = kind.dispatches;
-      lane.set_point_ms = kind.set_point;
-      lane.gap_set_point_ms = kind.stream ? 500 : 0;
-      lane.deadline_ms = kind.deadline;
-      if (lane.name == "at-home") {
-        lane.home_regions = {"east"};
+      schema::Lane route;
+      route.name = kind.name;
+      route.host = "relay.example";
+      route.prefix = "/" + route.name + "/";
+      route.shares = {schema::Share{kind.service, 1}};
+      route.repeatable = kind.repeatable;
+      route.stream = kind.stream;
+      route.resumable = kind.resumable;
+      route.dispatches = kind.dispatches;
+      route.set_point_ms = kind.set_point;
+      route.gap_set_point_ms = kind.stream ? 500 : 0;
+      route.deadline_ms = kind.deadline;
+      if (route.name == "at-home") {
+        route.home_regions = {"east"};
       }
-      charter.lanes.push_back(lane);
+      routing_config.lanes.push_back(route);
     }
-    return charter;
+    return routing_config;
   }
-  static std::string hall_name(std::size_t hall) { return "hall-" + std::to_string(hall); }
+  static std::string zone_name(std::size_t hall) { return "hall-" + std::to_string(hall); }
   static std::string region_of(std::size_t hall) { return hall % 2 == 0 ? "east" : "west"; }
 
   void violation(std::string const& text) {
@@ -189,28 +190,28 @@
     return entry;
   }
 
-  std::vector<scheduling::Stand> listed() const {
-    std::vector<scheduling::Stand> stands;
+  std::vector<scheduling::WorkerSpec> listed() const {
+    std::vector<scheduling::WorkerSpec> specs;
     for (std::unique_ptr<Life> const& life : lives_) {
       if (!life->up && gone_.count(life->id) > 0) {
         continue;
       }
-      scheduling::Stand stand;
-      stand.id = life->id;
-      stand.address = life->address;
-      stand.service = life->service;
-      stand.hall = hall_name(life->hall);
-      stand.region = region_of(life->hall);
-      stand.model = life->model;
-      stand.draining = life->drains_at > 0;
-      stand.capacity = life->model ? 48 : 6;
-      stand.connections = 400;
-      stand.cold_until = life->cold_until;
-      stand.cold_rate = options_.cold_rate;
-      stand.kept_tokens = 300000;
-      stands.push_back(stand);
+      scheduling::WorkerSpec spec;
+      spec.id = life->id;
+      spec.address = life->address;
+      spec.service = life->service;
+      spec.hall = zone_name(life->hall);
+      spec.region = region_of(life->hall);
+      spec.model = life->model;
+      spec.draining = life->drains_at > 0;
+      spec.capacity = life->model ? 48 : 6;
+      spec.connections = 400;
+      spec.cold_until = life->cold_until;
+      spec.cold_rate = options_.cold_rate;
+      spec.kept_tokens = 300000;
+      specs.push_back(spec);
     }
-    return stands;
+    return specs;
   }
 
   void publish() {
@@ -223,49 +224,49 @@
 
   /// A furrow hears of workers and evacuations; news are up to some 1.5 s old.
   void hear(std::size_t index) {
-    Furrow& furrow = *furrows_[index];
+    Proxy& proxy = *proxies_[index];
     common::Moment const shown = kernel_.now() - list_lag;
     Image const* image = &images_.front();
     for (Image const& entry : images_) {
       image = entry.at <= shown ? &entry : image;
     }
-    furrow.evacuated = evacuated_;
-    std::vector<scheduling::Stand> stands = image->stands;
-    for (scheduling::Stand& stand : stands) {
-      stand.draining = stand.draining && options_.drop_drained;
-      stand.evacuated = options_.drop_evacuated && furrow.evacuated.count(stand.hall) > 0;
-      stand.cold_until = stand.cold_until <= kernel_.now() ? 0 : stand.cold_until;
+    proxy.evacuated = evacuated_;
+    std::vector<scheduling::WorkerSpec> specs = image->specs;
+    for (scheduling::WorkerSpec& spec : specs) {
+      spec.draining = spec.draining && options_.drop_drained;
+      spec.evacuated = options_.drop_evacuated && proxy.evacuated.count(spec.hall) > 0;
+      spec.cold_until = spec.cold_until <= kernel_.now() ? 0 : spec.cold_until;
     }
-    scheduling::GroveTerms terms;
-    terms.hall = hall_name(furrow.hall);
-    terms.region = region_of(furrow.hall);
-    terms.self = furrow.name;
+    scheduling::LoadBalancerContext terms;
+    terms.hall = zone_name(proxy.hall);
+    terms.region = region_of(proxy.hall);
+    terms.self = proxy.name;
     terms.cold_overshoot = cold_overshoot;
     terms.cold_slack = cold_slack;
     terms.keep_long_apart = constants::keep_long_apart;
-    for (std::unique_ptr<Furrow> const& entry : furrows_) {
-      terms.furrows.push_back(entry->name);
+    for (std::unique_ptr<Proxy> const& entry : proxies_) {
+      terms.proxies.push_back(entry->name);
     }
-    furrow.grove.update(stands, terms, kernel_.now());
-    check_resting(furrow, stands);
+    proxy.balancer.update(specs, terms, kernel_.now());
+    check_resting(proxy, specs);
     kernel_.after(kernel_.between(common::milliseconds(250), common::milliseconds(700)),
-                  [this, index, life = furrow.life] {
-                    if (furrows_[index]->life == life) {
+                  [this, index, life = proxy.life] {
+                    if (proxies_[index]->life == life) {
                       hear(index);
                     }
                   });
   }
 
   /// Never all of a pool rest, and no more than a part.
-  void check_resting(Furrow const& furrow, std::vector<scheduling::Stand> const& stands) {
+  void check_resting(Proxy const& proxy, std::vector<scheduling::WorkerSpec> const& specs) {
     std::map<std::string, std::pair<std::size_t, std::size_t>> pools;
-    for (scheduling::Stand const& stand : stands) {
-      if (stand.draining || stand.evacuated) {
+    for (scheduling::WorkerSpec const& spec : specs) {
+      if (spec.draining || spec.evacuated) {
         continue;
       }
-      std::pair<std::size_t, std::size_t>& pool = pools[stand.region + "/" + stand.service];
+      std::pair<std::size_t, std::size_t>& pool = pools[spec.region + "/" + spec.service];
       ++pool.first;
-      pool.second += furrow.grove.ejected(stand.id, kernel_.now()) ? 1 : 0;
+      pool.second += proxy.balancer.ejected(spec.id, kernel_.now()) ? 1 : 0;
     }
     for (std::pair<std::string const, std::pair<std::size_t, std::size_t>> const& pool : pools) {
       if (pool.second.first < constants::ejection_pool_least) {
@@ -274,7 +275,7 @@
       double const part = static_cast<double>(pool.second.second) / static_cast<double>(pool.second.first);
       report_.worst_resting = std::max(report_.worst_resting, part);
       if (part > constants::ejection_share + 1e-9) {
-        violation("for " + furrow.name + " " + std::to_string(pool.second.second) + " of " +
+        violation("for " + proxy.name + " " + std::to_string(pool.second.second) + " of " +
                   std::to_string(pool.second.first) + " of " + pool.first + " rest");
       }
     }
@@ -290,13 +291,13 @@
       }
     }
     publish();
-    for (std::size_t index = 0; index < options_.furrows; ++index) {
-      furrows_.push_back(std::make_unique<Furrow>());
-      furrows_.back()->name = "furrow-" + std::to_string(index);
-      furrows_.back()->hall = index % halls;
-      furrows_.back()->grove = scheduling::Grove(options_.grove);
+    for (std::size_t index = 0; index < options_.proxies; ++index) {
+      proxies_.push_back(std::make_unique<Proxy>());
+      proxies_.back()->name = "furrow-" + std::to_string(index);
+      proxies_.back()->hall = index % halls;
+      proxies_.back()->balancer = scheduling::LoadBalancer(options_.balancer);
     }
-    for (std::size_t index = 0; index < options_.furrows; ++index) {
+    for (std::size_t index = 0; index < options_.proxies; ++index) {
       hear(index);
       kernel_.after(static_cast<common::Span>(kernel_.exponential(1e6)), [this, index] { arrive(index); });
     }
@@ -345,7 +346,7 @@
     if (life != nullptr) {
       static constexpr Illness kinds[] = {Illness::errors, Illness::reset, Illness::mute, Illness::slow, Illness::shed};
       Sickness sick{kinds[kernel_.below(5)], 0.3 + 0.4 * kernel_.uniform(),
-                    kernel_.chance(0.4) ? hall_name(kernel_.below(halls)) : ""};
+                    kernel_.chance(0.4) ? zone_name(kernel_.below(halls)) : ""};
       kernel_.trace("ill " + life->id);
       for_a_while(
           *life, common::seconds(6), [sick](Life& entry) { entry.sick = sick; },
@@ -462,11 +463,11 @@
       return;
     }
     std::size_t const hall = kernel_.below(halls);
-    kernel_.trace("evacuates " + hall_name(hall));
-    evacuated_.insert(hall_name(hall));
+    kernel_.trace("evacuates " + zone_name(hall));
+    evacuated_.insert(zone_name(hall));
     evacuated_at_[hall] = kernel_.now();
     kernel_.after(kernel_.between(common::seconds(6), common::seconds(9)), [this, hall] {
-      evacuated_.erase(hall_name(hall));
+      evacuated_.erase(zone_name(hall));
       evacuated_at_.erase(hall);
       for (std::unique_ptr<Life> const& life : lives_) {
         if (life->hall == hall && life->up) {  // the list tells a little later
@@ -476,15 +477,15 @@
     });
   }
   void restart() {
-    std::size_t const index = kernel_.below(furrows_.size());
-    Furrow& furrow = *furrows_[index];
-    kernel_.trace("restarts " + furrow.name);
-    ++furrow.life;
-    furrow.grove = scheduling::Grove(options_.grove);
-    furrow.rights.clear();
-    furrow.evacuated.clear();
-    kernel_.after(common::milliseconds(500), [this, index, life = furrow.life] {
-      if (furrows_[index]->life == life) {
+    std::size_t const index = kernel_.below(proxies_.size());
+    Proxy& proxy = *proxies_[index];
+    kernel_.trace("restarts " + proxy.name);
+    ++proxy.life;
+    proxy.balancer = scheduling::LoadBalancer(options_.balancer);
+    proxy.retry_quota.clear();
+    proxy.evacuated.clear();
+    kernel_.after(common::milliseconds(500), [this, index, life = proxy.life] {
+      if (proxies_[index]->life == life) {
         hear(index);
         arrive(index);
       }
@@ -494,11 +495,11 @@
   // --- queries, as data_plane/relay has them ---
 
   void arrive(std::size_t index) {
-    Furrow& furrow = *furrows_[index];
+    Proxy& proxy = *proxies_[index];
     kernel_.after(
-        static_cast<common::Span>(kernel_.exponential(1e6 * static_cast<double>(options_.furrows) / options_.rate)),
-        [this, index, life = furrow.life] {
-          if (furrows_[index]->life == life) {
+        static_cast<common::Span>(kernel_.exponential(1e6 * static_cast<double>(options_.proxies) / options_.rate)),
+        [this, index, life = proxy.life] {
+          if (proxies_[index]->life == life) {
             arrive(index);
           }
         });
@@ -508,15 +509,15 @@
                              : which < 0.75 ? "whole"
                              : which < 0.9  ? "paid"
                                             : "at-home";
-    schema::Lane const* const lane = book_.find("relay.example", "/" + name + "/x");
+    schema::Lane const* const route = route_table_.find("relay.example", "/" + name + "/x");
     FlightPointer const flight = std::make_shared<Flight>();
     flight->id = "q" + std::to_string(++last_query_);
-    flight->furrow = index;
-    flight->life = furrow.life;
-    flight->lane = *lane;
+    flight->proxy = index;
+    flight->life = proxy.life;
+    flight->route = *route;
     flight->arrived = kernel_.now();
-    flight->deadline = kernel_.now() + common::milliseconds(static_cast<std::int64_t>(lane->deadline_ms));
-    if (lane->stream) {
+    flight->deadline = kernel_.now() + common::milliseconds(static_cast<std::int64_t>(route->deadline_ms));
+    if (route->stream) {
       bool const long_prompt = name == "once";
       flight->wanted.tokens = long_prompt ? 6000 : 300;
       flight->wanted.outputs = 40;
@@ -524,42 +525,42 @@
                               scheduling::Part{1000000 + last_query_, long_prompt ? 2000.0 : 200.0}};
     }
     scheduling::QueryTerms terms;
-    terms.resumable = lane->stream && lane->resumable;
-    terms.repeatable = lane->repeatable || terms.resumable || !options_.dispatch_once;
-    terms.stream = lane->stream;
-    terms.dispatches_most = options_.dispatch_once ? static_cast<int>(lane->dispatches) : 2;
-    flight->chart.emplace(terms, [this, flight = flight.get()](common::Moment) { return spend(*flight); });
+    terms.resumable = route->stream && route->resumable;
+    terms.repeatable = route->repeatable || terms.resumable || !options_.dispatch_once;
+    terms.stream = route->stream;
+    terms.dispatches_most = options_.dispatch_once ? static_cast<int>(route->dispatches) : 2;
+    flight->state_machine.emplace(terms, [this, flight = flight.get()](common::Moment) { return spend(*flight); });
     ++report_.sent;
-    perform(flight, flight->chart->begin());
+    perform(flight, flight->state_machine->begin());
     kernel_.at(flight->deadline, [this, flight] {
       if (live(*flight)) {
-        leave(*flight, scheduling::Outcome::defect);
+        leave(*flight, scheduling::Outcome::failure);
         feed(flight, scheduling::DeadlinePassed{});
       }
     });
   }
 
   [[nodiscard]] bool repeatable(Flight const& flight) const {
-    return flight.lane.repeatable || (flight.lane.stream && flight.lane.resumable);
+    return flight.route.repeatable || (flight.route.stream && flight.route.resumable);
   }
   [[nodiscard]] bool live(Flight const& flight) const {
-    return furrows_[flight.furrow]->life == flight.life && !flight.chart->settled();
+    return proxies_[flight.proxy]->life == flight.life && !flight.state_machine->settled();
   }
-  [[nodiscard]] Furrow& furrow_of(Flight const& flight) { return *furrows_[flight.furrow]; }
-  scheduling::Rights& rights(Flight const& flight) {
-    scheduling::Rights& rights = furrow_of(flight).rights[flight.service];
-    rights.bound(retry_ratio, options_.retry_slack, static_cast<double>(furrows_.size()));
-    return rights;
+  [[nodiscard]] Proxy& proxy_of(Flight const& flight) { return *proxies_[flight.proxy]; }
+  scheduling::RetryQuota& retry_quota(Flight const& flight) {
+    scheduling::RetryQuota& retry_quota = proxy_of(flight).retry_quota[flight.service];
+    retry_quota.bound(retry_ratio, options_.retry_slack, static_cast<double>(proxies_.size()));
+    return retry_quota;
   }
   bool spend(Flight& flight) {
-    bool const good = flight.reserved || !options_.rights || rights(flight).take();
+    bool const good = flight.reserved || !options_.retry_quota || retry_quota(flight).take();
     flight.reserved = false;
     report_.retries += good ? 1 : 0;
     return good;
   }
 
   void feed(FlightPointer const& flight, scheduling::QueryMessage const& message) {
-    perform(flight, flight->chart->advance(message, kernel_.now()));
+    perform(flight, flight->state_machine->advance(message, kernel_.now()));
   }
   void perform(FlightPointer const& flight, std::vector<scheduling::QueryAction> const& actions) {
     for (scheduling::QueryAction const& action : actions) {
@@ -585,7 +586,7 @@
     ++report_.refused;
     flight.refused = true;
     if (flight.runs > 0) {
-      violation(flight.id + " (" + flight.lane.name + ") was refused though it ran");
+      violation(flight.id + " (" + flight.route.name + ") was refused though it ran");
     }
   }
 
@@ -595,8 +596,8 @@
     ++flight.watch;
     if (flight.occupied) {
       flight.occupied = false;
-      furrow_of(flight).grove.ended(flight.spot, flight.first_seen, outcome, kernel_.now());
-      flight.wanted.avoid.push_back(flight.spot.worker);
+      proxy_of(flight).balancer.ended(flight.assignment, flight.first_seen, outcome, kernel_.now());
+      flight.wanted.avoid.push_back(flight.assignment.worker);
     }
   }
 
@@ -606,21 +607,22 @@
     }
     if (until == 0) {
       common::Span const hold =
-          common::milliseconds(static_cast<std::int64_t>(flight->lane.set_point_ms * constants::hold_part));
+          common::milliseconds(static_cast<std::int64_t>(flight->route.set_point_ms * constants::hold_part));
       common::Span const again =
-          flight->passed_on > 0 ? common::milliseconds(static_cast<std::int64_t>(flight->lane.gap_set_point_ms / 2))
-          : flight->chart->dispatches() > 0 ? constants::place_pause
-                                            : 0;
+          flight->passed_on > 0 ? common::milliseconds(static_cast<std::int64_t>(flight->route.gap_set_point_ms / 2))
+          : flight->state_machine->dispatches() > 0 ? constants::place_pause
+                                                    : 0;
       until = std::max(flight->arrived + hold, kernel_.now() + again);
     }
-    Furrow& furrow = furrow_of(*flight);
-    flight->wanted.shares = flight->lane.shares;
-    flight->wanted.homes = options_.keep_homes ? flight->lane.home_regions : std::vector<std::string>{};
+    Proxy& proxy = proxy_of(*flight);
+    flight->wanted.shares = flight->route.shares;
+    flight->wanted.homes = options_.keep_homes ? flight->route.home_regions : std::vector<std::string>{};
     flight->wanted.once = !repeatable(*flight);
     flight->wanted.draw = kernel_.uniform();
-    std::variant<scheduling::Spot, scheduling::NoSpot> const found = furrow.grove.choose(flight->wanted, kernel_.now());
-    scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found);
-    if (spot == nullptr) {
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
+        proxy.balancer.choose(flight->wanted, kernel_.now());
+    scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found);
+    if (assignment == nullptr) {
       if (kernel_.now() >= until) {
         feed(flight, scheduling::NoRoom{});
       } else {
@@ -628,20 +630,20 @@
       }
       return;
     }
-    flight->spot = *spot;
+    flight->assignment = *assignment;
     flight->occupied = true;
     flight->first_seen = false;
     if (flight->service.empty()) {
-      flight->service = flight->lane.shares.front().service;
-      rights(*flight).arrived();
+      flight->service = flight->route.shares.front().service;
+      retry_quota(*flight).arrived();
       firsts_[flight->service].push_back(kernel_.now());
     }
-    feed(flight, scheduling::Placed{spot->worker});
+    feed(flight, scheduling::Placed{assignment->worker});
     reach(flight);
   }
 
   [[nodiscard]] common::Span hop(Flight const& flight) const {
-    return flight.spot.near ? common::milliseconds(1) : common::milliseconds(40);
+    return flight.assignment.near ? common::milliseconds(1) : common::milliseconds(40);
   }
   [[nodiscard]] Life* at_address(std::string const& address) const {
     std::map<std::string, Life*>::const_iterator const found = by_address_.find(address);
@@ -650,10 +652,10 @@
 
   void reach(FlightPointer const& flight) {
     std::uint64_t const dispatch = flight->dispatch;
-    Life const* const life = at_address(flight->spot.address);
+    Life const* const life = at_address(flight->assignment.address);
     bool const dark = life != nullptr && life->dark;
     common::Span const takes =
-        dark ? (flight->spot.near ? constants::relay_connect_near : constants::relay_connect_deadline)
+        dark ? (flight->assignment.near ? constants::relay_connect_near : constants::relay_connect_deadline)
              : 2 * hop(*flight);
     bool const reached = life != nullptr && !dark;
     kernel_.after(takes, [this, flight, dispatch, reached] {
@@ -666,24 +668,24 @@
         if (flight->connects < constants::connects_most) {
           feed(flight, scheduling::Withdrawn{});
         } else {
-          feed(flight, scheduling::ConnectDefect{});
+          feed(flight, scheduling::ConnectFailure{});
         }
         return;
       }
-      if (!furrow_of(*flight).grove.usable(flight->spot.worker)) {
+      if (!proxy_of(*flight).balancer.usable(flight->assignment.worker)) {
         leave(*flight, scheduling::Outcome::abandoned);
         feed(flight, scheduling::Withdrawn{});
         return;
       }
       feed(flight, scheduling::Connected{});
-      watch(flight, flight->lane.set_point_ms);
+      watch(flight, flight->route.set_point_ms);
       kernel_.after(hop(*flight), [this, flight, dispatch] { come(flight, dispatch); });
     });
   }
 
   void watch(FlightPointer const& flight, double set_point_ms) {
-    scheduling::SilenceTerms const terms{set_point_ms, flight->spot.predicted_seconds, flight->wanted.tokens,
-                                         flight->spot.near};
+    scheduling::StallTerms const terms{set_point_ms, flight->assignment.predicted_seconds, flight->wanted.tokens,
+                                       flight->assignment.near};
     ++flight->watch;
     act(flight, flight->silence.begin(terms, kernel_.now()));
   }
@@ -693,7 +695,7 @@
       return;
     }
     ring_at(flight, probe.due);
-    Life const* const life = at_address(flight->spot.address);
+    Life const* const life = at_address(flight->assignment.address);
     if (life != nullptr && life->dark) {
       return;
     }
@@ -708,28 +710,29 @@
     if (!may_ask_another(*flight)) {
       return;
     }
-    flight->reserved = options_.rights && rights(*flight).take();
-    bool const slow = furrow_of(*flight).grove.heard_at(flight->spot.worker) >= flight->silence.since();
-    leave(*flight, slow ? scheduling::Outcome::abandoned : scheduling::Outcome::defect);
-    feed(flight, scheduling::WorkerDefect{"silent"});
+    flight->reserved = options_.retry_quota && retry_quota(*flight).take();
+    bool const slow = proxy_of(*flight).balancer.heard_at(flight->assignment.worker) >= flight->silence.since();
+    leave(*flight, slow ? scheduling::Outcome::abandoned : scheduling::Outcome::failure);
+    feed(flight, scheduling::WorkerFailure{"silent"});
   }
-  void perform(FlightPointer const& flight, scheduling::SilenceAction const& action) {
+  void perform(FlightPointer const& flight, scheduling::StallAction const& action) {
     std::visit([this, &flight](auto const& entry) { act(flight, entry); }, action);
   }
   void ring_at(FlightPointer const& flight, common::Moment due) {
     std::uint64_t const serial = flight->watch;
     kernel_.after(due - kernel_.now(), [this, flight, serial] {
       if (live(*flight) && flight->watch == serial) {
-        perform(flight, flight->silence.rang(furrow_of(*flight).grove.heard_at(flight->spot.worker), kernel_.now()));
+        perform(flight,
+                flight->silence.rang(proxy_of(*flight).balancer.heard_at(flight->assignment.worker), kernel_.now()));
       }
     });
   }
   [[nodiscard]] bool may_ask_another(Flight const& flight) {
     scheduling::Wanted elsewhere = flight.wanted;
-    elsewhere.avoid.push_back(flight.spot.worker);
-    return repeatable(flight) && flight.chart->dispatches() < static_cast<int>(flight.lane.dispatches) &&
-           (!options_.rights || rights(flight).available()) &&
-           furrow_of(flight).grove.alternative(elsewhere, kernel_.now());
+    elsewhere.avoid.push_back(flight.assignment.worker);
+    return repeatable(flight) && flight.state_machine->dispatches() < static_cast<int>(flight.route.dispatches) &&
+           (!options_.retry_quota || retry_quota(flight).available()) &&
+           proxy_of(flight).balancer.alternative(elsewhere, kernel_.now());
   }
 
   // --- at the worker ---
@@ -742,11 +745,11 @@
       }
     });
   }
-  void defect(FlightPointer const& flight, std::uint64_t dispatch, common::Span after) {
+  void failure(FlightPointer const& flight, std::uint64_t dispatch, common::Span after) {
     ++report_.met_ill;
     answer(flight, dispatch, after, [this, flight] {
-      leave(*flight, scheduling::Outcome::defect);
-      feed(flight, scheduling::WorkerDefect{"cut"});
+      leave(*flight, scheduling::Outcome::failure);
+      feed(flight, scheduling::WorkerFailure{"cut"});
     });
   }
   void turn_away(FlightPointer const& flight, std::uint64_t dispatch, scheduling::Outcome outcome) {
@@ -757,17 +760,17 @@
   }
 
   void come(FlightPointer const& flight, std::uint64_t dispatch) {
-    Life* const life = at_address(flight->spot.address);
+    Life* const life = at_address(flight->assignment.address);
     // Bytes are on their way even when the furrow has given up meanwhile.
     if (life == nullptr || life->dark) {
       if (life == nullptr) {
-        defect(flight, dispatch, 0);
+        failure(flight, dispatch, 0);
       }
       return;
     }
     ++flight->arrivals;
     arrivals_[flight->service].push_back(Arrival{kernel_.now(), flight->arrivals > 1});
-    if (life->id != flight->spot.worker && options_.name_worker) {
+    if (life->id != flight->assignment.worker && options_.name_worker) {
       ++report_.misdirected;
       turn_away(flight, dispatch, scheduling::Outcome::misdirected);
       return;
@@ -781,15 +784,15 @@
     }
     ++flight->runs;
     if (flight->runs > 1 && !repeatable(*flight)) {
-      violation(flight->id + " (" + flight->lane.name + ") ran twice");
+      violation(flight->id + " (" + flight->route.name + ") ran twice");
     }
     if (flight->refused) {
-      violation(flight->id + " (" + flight->lane.name + ") ran though it was refused");
+      violation(flight->id + " (" + flight->route.name + ") ran though it was refused");
     }
     double pace = 1 + static_cast<double>(life->running) / (life->model ? 48.0 : 6.0);
     if (ill_for(*life, *flight)) {
       if (life->sick.kind == Illness::errors || life->sick.kind == Illness::reset) {
-        defect(flight, dispatch, life->sick.kind == Illness::errors ? common::milliseconds(5) : 0);
+        failure(flight, dispatch, life->sick.kind == Illness::errors ? common::milliseconds(5) : 0);
         return;
       }
       if (life->sick.kind == Illness::mute) {
@@ -801,13 +804,13 @@
     bool const spoilt = kernel_.chance(life->garble);
     ++life->running;
     std::uint64_t const run = life->run;
-    if (!flight->lane.stream) {
+    if (!flight->route.stream) {
       common::Span const work = static_cast<common::Span>(pace * (20e3 + kernel_.exponential(40e3)));
       kernel_.after(
           work, [this, flight, dispatch, life, run, spoilt] { finish_whole(flight, dispatch, *life, run, spoilt); });
       return;
     }
-    common::Span const work = static_cast<common::Span>(pace * (20e3 + flight->spot.uncached * 20));
+    common::Span const work = static_cast<common::Span>(pace * (20e3 + flight->assignment.uncached * 20));
     std::uint64_t const cut_at = spoilt ? 1 + kernel_.below(5) : 0;
     kernel_.after(work, [this, flight, dispatch, life, run, cut_at, pace] {
       next_event(flight, dispatch, *life, run, 6, cut_at, pace);
@@ -816,7 +819,7 @@
 
   [[nodiscard]] bool ill_for(Life& life, Flight const& flight) {
     if (life.sick.kind == Illness::none ||
-        (!life.sick.callers_hall.empty() && hall_name(furrows_[flight.furrow]->hall) != life.sick.callers_hall)) {
+        (!life.sick.callers_zone.empty() && zone_name(proxies_[flight.proxy]->hall) != life.sick.callers_zone)) {
       return false;
     }
     return kernel_.chance(life.sick.part);
@@ -828,7 +831,7 @@
       return false;
     }
     if (!life.dark) {
-      defect(flight, dispatch, 0);
+      failure(flight, dispatch, 0);
     }
     return true;
   }
@@ -836,8 +839,8 @@
   void tell(Flight& flight, Life const& life) {
     double const slots = life.model ? 48 : 6;
     double const running = static_cast<double>(life.running);
-    furrow_of(flight).grove.told(flight.spot.worker, std::min(running, slots), std::max(0.0, running - slots), slots,
-                                 kernel_.now());
+    proxy_of(flight).balancer.told(flight.assignment.worker, std::min(running, slots), std::max(0.0, running - slots),
+                                   slots, kernel_.now());
   }
 
   void finish_whole(FlightPointer const& flight, std::uint64_t dispatch, Life& life, std::uint64_t run, bool spoilt) {
@@ -846,7 +849,7 @@
     }
     --life.running;
     if (spoilt) {
-      defect(flight, dispatch, 0);
+      failure(flight, dispatch, 0);
       return;
     }
     answer(flight, dispatch, 0, [this, flight, &life] {
@@ -868,23 +871,23 @@
     }
     if (cut_at == left) {
       --life.running;
-      defect(flight, dispatch, 0);
+      failure(flight, dispatch, 0);
       return;
     }
     bool const last = left == 1;
     answer(flight, dispatch, 0, [this, flight, &life, last] {
-      Furrow& furrow = furrow_of(*flight);
-      furrow.grove.heard(flight->spot.worker, kernel_.now());
+      Proxy& proxy = proxy_of(*flight);
+      proxy.balancer.heard(flight->assignment.worker, kernel_.now());
       if (!flight->first_seen) {
         flight->first_seen = true;
         report_.resumed += flight->passed_on > 0 ? 1 : 0;
         tell(*flight, life);
-        furrow.grove.first_token(flight->spot, flight->wanted.parts,
-                                 static_cast<double>(kernel_.now() - flight->silence.since()) / 1e6);
+        proxy.balancer.first_token(flight->assignment, flight->wanted.parts,
+                                   static_cast<double>(kernel_.now() - flight->silence.since()) / 1e6);
       }
       ++flight->passed_on;
-      watch(flight, flight->lane.gap_set_point_ms);
-      feed(flight, scheduling::Event{flight->chart->last_event() + 1, false});
+      watch(flight, flight->route.gap_set_point_ms);
+      feed(flight, scheduling::Event{flight->state_machine->last_event() + 1, false});
       if (last) {
         leave(*flight, scheduling::Outcome::good);
         feed(flight, scheduling::Whole{});
@@ -914,7 +917,7 @@
     if (evacuated != evacuated_at_.end() && now - evacuated->second > evacuate_bound) {
       violation(life.id + " got a query in an evacuated hall");
     }
-    if (!flight.lane.home_regions.empty() && flight.lane.home_regions.front() != region_of(life.hall)) {
+    if (!flight.route.home_regions.empty() && flight.route.home_regions.front() != region_of(life.hall)) {
       violation(flight.id + " came to a worker outside its homes");
     }
     if (now < life.cold_until) {
@@ -963,13 +966,13 @@
 
   RelayOptions options_;
   Kernel kernel_;
-  scheduling::LaneBook book_;
+  scheduling::RouteTable route_table_;
   RelayReport report_;
   std::vector<std::unique_ptr<Life>> lives_;
   std::map<std::string, Life*> by_address_;
   std::set<std::string> gone_;  ///< off the list
   std::vector<Image> images_;
-  std::vector<std::unique_ptr<Furrow>> furrows_;
+  std::vector<std::unique_ptr<Proxy>> proxies_;
   std::set<std::string> evacuated_;
   std::map<std::size_t, common::Moment> evacuated_at_;
   std::map<std::string, std::vector<common::Moment>> firsts_;
@@ -1030,16 +1033,16 @@
 bool switch_off_relay(RelayOptions& options, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"dispatch_once", &options.dispatch_once},
                                             {"honest_refusal", &options.honest_refusal},
-                                            {"rights", &options.rights},
+                                            {"rights", &options.retry_quota},
                                             {"drop_drained", &options.drop_drained},
                                             {"drop_evacuated", &options.drop_evacuated},
                                             {"keep_homes", &options.keep_homes},
                                             {"name_worker", &options.name_worker},
-                                            {"cold_bound", &options.grove.cold_bound},
-                                            {"suspect_returned", &options.grove.suspect_returned},
-                                            {"rest", &options.grove.rest},
-                                            {"hall_suspicion", &options.grove.hall_suspicion},
-                                            {"ejection_bound", &options.grove.ejection_bound}};
+                                            {"cold_bound", &options.balancer.cold_bound},
+                                            {"suspect_returned", &options.balancer.suspect_returned},
+                                            {"rest", &options.balancer.rest},
+                                            {"hall_suspicion", &options.balancer.zone_suspicion},
+                                            {"ejection_bound", &options.balancer.ejection_bound}};
   std::map<std::string, bool*>::const_iterator const found = guards.find(guard);
   if (found == guards.end()) {
     return false;
--- a/source/simulator/relay/relay.hpp
+++ b/source/simulator/relay/relay.hpp
@@ -27,15 +27,15 @@
 struct RelayOptions {
   std::uint64_t seed = 1;
   common::Span length = common::seconds(30);
-  std::size_t furrows = 9;
+  std::size_t proxies = 9;
   double rate = 120;      ///< queries a second over all furrows
   double cold_rate = 45;  ///< that a cold worker bears, a second
   double retry_slack = 64;
   RelayFaults faults;
-  scheduling::GroveGuards grove;
+  scheduling::LoadBalancerGuards balancer;
   bool dispatch_once = true;   ///< guard: what may not be repeated has one dispatch that bytes went to
   bool honest_refusal = true;  ///< guard: no refusal once it may have run
-  bool rights = true;          ///< guard: a further dispatch takes a right
+  bool retry_quota = true;     ///< guard: a further dispatch takes a right
   bool drop_drained = true;    ///< guard: a draining worker gets nothing new
   bool drop_evacuated = true;  ///< guard: an evacuated hall gets nothing new
   bool keep_homes = true;      ///< guard: a lane's homes bind
--- a/source/tests/common/followed_test.cpp
+++ b/source/tests/common/followed_test.cpp
@@ -166,7 +166,7 @@
     fleet.worker("w1");
     fleet.settings.bounds = wide_bounds();
     // The trellises it knows are gone, or answer.
-    std::string const before = fleet.trellis_address;
+    std::string const before = fleet.controller_address;
     if (!in_touch) {
       fleet.settings.seeds = {fleet.next_address()};
     }
@@ -182,7 +182,7 @@
     next.bounds.directory_ttl_ms = 1500;
     next.seeds = {before};
     file.write(next);
-    fleet.publish_charter(1);
+    fleet.publish_routing_config(1);
     Heard heard;
     ASSERT_EQ(raise(SIGHUP), 0);
     ASSERT_TRUE(fleet.until([&] { return heard.count("E1006") == 1; }));
--- a/source/tests/common/fuzz_test.cpp
+++ b/source/tests/common/fuzz_test.cpp
@@ -56,7 +56,7 @@
 
 TEST(Fuzz, FramesAreReadOrRefused) {
   schema::NewsAnswer answer;
-  answer.news.push_back(schema::NamedValue{"setup", 7, std::string(300, 'x')});
+  answer.updates.push_back(schema::NamedValue{"setup", 7, std::string(300, 'x')});
   answer.members.resize(3);
   answer.list.workers.resize(5);
   schema::Image image;
@@ -96,15 +96,15 @@
   ASSERT_NE(known, 0u);
   std::uint64_t const list_digest = teller.digest();
   std::uint64_t const members_digest = sessions.digest();
-  membership::ListCopy const list_before = [&] {
-    membership::ListCopy copy;
+  membership::ListReplica const list_before = [&] {
+    membership::ListReplica copy;
     (void)copy.take(teller.since(0), 0, 1000);
     return copy;
   }();
-  membership::MemberCopy const members_before = [&] {
-    membership::MemberCopy copy;
+  membership::MemberReplica const members_before = [&] {
+    membership::MemberReplica copy;
     schema::NewsAnswer answer;
-    answer.vouched = true;
+    answer.confirmed = true;
     answer.members = sessions.members();
     answer.members_digest = members_digest;
     (void)copy.take(answer);
@@ -117,13 +117,13 @@
   member.name = "i";
   (void)sessions.heard(member, 2000);
   schema::NewsAnswer good;
-  good.vouched = true;
-  membership::ListNews const news = teller.since(list_digest);
-  good.list_from = news.from;
-  good.list = news.list;
-  good.list_gone = news.gone;
-  good.list_digest = news.digest;
-  membership::MemberNews const joined = sessions.since(members_digest);
+  good.confirmed = true;
+  membership::ListUpdate const update = teller.since(list_digest);
+  good.list_from = update.from;
+  good.list = update.list;
+  good.list_gone = update.gone;
+  good.list_digest = update.digest;
+  membership::MemberUpdate const joined = sessions.since(members_digest);
   good.members_from = joined.from;
   good.members = joined.members;
   good.members_digest = joined.digest;
@@ -143,15 +143,15 @@
         common::unpack<schema::Message>(round == 0 ? answer_bytes : spoiled(answer_bytes, random));
     schema::NewsAnswer const* const answer = read.ok() ? std::get_if<schema::NewsAnswer>(&*read) : nullptr;
     if (answer != nullptr) {
-      membership::ListCopy lists = list_before;
-      bool const changed = lists.take(membership::list_news(*answer), answer->list_age, 2000);
+      membership::ListReplica lists = list_before;
+      bool const changed = lists.take(membership::list_update(*answer), answer->list_age, 2000);
       (changed ? taken : left) += 1;
       // One that was led on is the one that was named.
       if (changed && answer->list_from != 0) {
         EXPECT_EQ(membership::digest_of(lists.list()), answer->list_digest);
       }
       EXPECT_TRUE(changed || lists.list() == list_before.list());
-      membership::MemberCopy members = members_before;
+      membership::MemberReplica members = members_before;
       if (members.take(*answer) && answer->members_from != 0) {
         EXPECT_EQ(membership::digest_of(members.members()), answer->members_digest);
       }
@@ -171,14 +171,14 @@
 TEST(Frame, LargeOnesAreCompressedAndReadBackWhole) {
   std::mt19937_64 random(3);
   std::string content;
-  for (int lane = 0; lane < 1800; ++lane) {  // as charters are: the same fields with other names
+  for (int route = 0; route < 1800; ++route) {  // as charters are: the same fields with other names
     content +=
         "{\"name\":\"r-" + std::to_string(random() % 100000000) + "\",\"host\":\"ficu" +
         std::to_string(random() % 100) + ".example\",\"path_prefix\":\"/lohu" + std::to_string(random() % 1000000) +
         "/\",\"kind\":\"stream\",\"deadline_ms\":8000,\"priority\":1,\"tries\":1,\"sticky\":true,\"resumable\":false},";
   }
   schema::NewsAnswer answer;
-  answer.news.push_back(schema::NamedValue{"charter", 7, content});
+  answer.updates.push_back(schema::NamedValue{"charter", 7, content});
   std::string const large = common::frame(schema::Message(answer));
   EXPECT_LT(large.size(), content.size() / 5);
   std::string noise(5000, ' ');
@@ -186,7 +186,7 @@
     letter = static_cast<char>(random());
   }
   schema::NewsAnswer other;
-  other.news.push_back(schema::NamedValue{"charter", 8, noise});
+  other.updates.push_back(schema::NamedValue{"charter", 8, noise});
   for (schema::Message const& message :
        {schema::Message(answer), schema::Message(other), schema::Message(schema::Prepare{"setup", {1, 2, 3}})}) {
     std::string const whole = common::frame(message);
@@ -200,7 +200,7 @@
 
 TEST(Fuzz, CompressedFramesAreReadOrRefused) {
   schema::NewsAnswer answer;
-  answer.news.push_back(schema::NamedValue{"charter", 7, std::string(9000, 'x')});
+  answer.updates.push_back(schema::NamedValue{"charter", 7, std::string(9000, 'x')});
   std::string const good = common::frame(schema::Message(answer));
   std::mt19937_64 random(4);
   int refused = 0;
--- a/source/tests/config/setup_test.cpp
+++ b/source/tests/config/setup_test.cpp
@@ -102,8 +102,8 @@
   wanted.id = id;
   wanted.patch = true;
   wanted.content = R"({"halls":{"h":{"labels":{"mark":"x"}}}})";
-  consensus::Proposal const wish = config::setup_proposal(wanted, note)(value);
-  return std::holds_alternative<schema::Value>(wish) ? std::get<schema::Value>(wish) : value;
+  consensus::Proposal const desired = config::setup_proposal(wanted, note)(value);
+  return std::holds_alternative<schema::Value>(desired) ? std::get<schema::Value>(desired) : value;
 }
 
 TEST(Change, OutcomeAfterAStormIsTrueOrNoLongerKnown) {
--- a/source/tests/config/tenancy_test.cpp
+++ b/source/tests/config/tenancy_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string faults_of(std::string const& tenancy, std::string const& tenants = "[]") {
-  config::CharterReading const reading = config::own_notation().read(
+  config::RoutingConfigReading const reading = config::own_notation().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","prefix":"/a/b/","home_regions":["east"],"shares":[{"service":"s"}],"tenancy":)" +
       tenancy + "}],\"tenants\":" + tenants + "}");
   return common::describe(reading.faults);
@@ -37,7 +37,7 @@
 }
 
 TEST(Tenancy, TenantsWithoutALaneAreAFault) {
-  config::CharterReading const reading = config::own_notation().read(
+  config::RoutingConfigReading const reading = config::own_notation().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","shares":[{"service":"s"}]}],"tenants":[{"name":"t"}]})");
   EXPECT_NE(common::describe(reading.faults).find("/tenants"), std::string::npos);
 }
@@ -48,12 +48,12 @@
   absl::StatusOr<std::string> const merged = config::own_notation().merge(
       whole, R"({"number":2,"upsert":{"tenants":[{"name":"u","home_regions":["east"]}]},"remove":{"tenants":["t"]}})");
   ASSERT_TRUE(merged.ok());
-  config::CharterReading const reading = config::own_notation().read(*merged);
+  config::RoutingConfigReading const reading = config::own_notation().read(*merged);
   ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
-  scheduling::LaneBook const book(reading.charter);
-  EXPECT_EQ(book.tenant("t"), nullptr);
-  ASSERT_NE(book.tenant("u"), nullptr);
-  EXPECT_EQ(book.tenant("u")->home_regions, std::vector<std::string>{"east"});
+  scheduling::RouteTable const route_table(reading.routing_config);
+  EXPECT_EQ(route_table.tenant("t"), nullptr);
+  ASSERT_NE(route_table.tenant("u"), nullptr);
+  EXPECT_EQ(route_table.tenant("u")->home_regions, std::vector<std::string>{"east"});
 }
 
 schema::Tenancy by_header(bool required) {
--- a/source/tests/consensus/promise_record_test.cpp
+++ b/source/tests/consensus/promise_record_test.cpp
@@ -30,7 +30,7 @@
 
 TEST(PromiseRecord, APromiseWritesNoValue) {
   Trio trio;
-  trio.accept(noise(constants::charter_limit), 3, {0});
+  trio.accept(noise(constants::routing_config_limit), 3, {0});
   Outcome const promised = trio.acceptors[0].receive(schema::Prepare{"charter", Ballot{1, 4, 1}, {}}, 0);
   ASSERT_EQ(promised.records.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<schema::PromiseRecord>(promised.records[0]));
@@ -165,7 +165,7 @@
 };
 
 TEST(PromiseRecord, FiguresOfBytesAChange) {
-  for (std::size_t const size : {std::size_t{1000}, std::size_t{100000}, constants::charter_limit}) {
+  for (std::size_t const size : {std::size_t{1000}, std::size_t{100000}, constants::routing_config_limit}) {
     double bytes[2] = {0, 0};
     for (bool const alone : {false, true}) {
       std::string folder = testing::TempDir() + "log-XXXXXX";
@@ -210,7 +210,7 @@
   Logged logged(disk.device(), constants::ring_file_bytes, true);
   std::uint64_t const changes = changes_of(40);
   for (std::uint64_t round = 1; round <= changes; ++round) {
-    logged.change(round, noise(constants::charter_limit, round));
+    logged.change(round, noise(constants::routing_config_limit, round));
     if (round % 13 == 0 || round == changes) {
       disk.lose_power(0);
       WriteAheadLog again(disk.device(), constants::ring_files, constants::ring_file_bytes);
@@ -225,7 +225,7 @@
 TEST(PromiseRecord, TheLargestImageFitsIntoAFileWithRoomForAChange) {
   // The largest charter, the largest setup, and hundreds of splits and marks.
   Trio trio;
-  trio.accept(noise(constants::charter_limit), 3, {0});
+  trio.accept(noise(constants::routing_config_limit), 3, {0});
   schema::Value setup{1, noise(constants::setup_limit), {}};
   for (std::size_t mark = 0; mark < constants::marks_kept; ++mark) {
     setup.marks.push_back(schema::ChangeMark{std::string(64, 'x'), mark});
@@ -237,7 +237,7 @@
   }
   std::size_t const image = common::pack(trio.acceptors[0].image()).size();
   std::printf("[ figure ] the largest image: %zu B of %zu B\n", image, constants::ring_file_bytes);
-  EXPECT_LT(image + constants::charter_limit + 10000, constants::ring_file_bytes);
+  EXPECT_LT(image + constants::routing_config_limit + 10000, constants::ring_file_bytes);
 }
 
 }  // namespace
--- a/source/tests/consensus/transfer_test.cpp
+++ b/source/tests/consensus/transfer_test.cpp
@@ -15,7 +15,7 @@
 using namespace consensus_test;
 namespace constants = common::constants;
 
-std::size_t const large = constants::charter_limit;
+std::size_t const large = constants::routing_config_limit;
 schema::TransferKey const any_key{"charter", "a digest", 0};
 
 schema::TransferKey key_of(std::string const& bytes) {
--- a/source/tests/membership/cut_off_test.cpp
+++ b/source/tests/membership/cut_off_test.cpp
@@ -21,12 +21,12 @@
 
 using namespace consensus;
 
-constexpr std::size_t trellises = 3;
+constexpr std::size_t controllers = 3;
 char const* const name = "charter";
 
 struct Guards {
   FreshnessGuards freshness;
-  NewsGuards news;
+  UpdateGuards updates;
 };
 
 /// An answer to a majority read that stays on its way while its reader stands still.
@@ -39,11 +39,11 @@
  public:
   explicit World(Guards const& guards) : guards_(guards), lease_(guards.freshness) {
     std::vector<std::string> const founders{"a", "b", "c"};
-    for (std::size_t index = 0; index < trellises; ++index) {
+    for (std::size_t index = 0; index < controllers; ++index) {
       acceptors_.emplace_back(100 + index, founders[index], founders, now);
     }
-    for (std::size_t round = 0; round < trellises; ++round) {
-      for (std::size_t index = 0; index < trellises; ++index) {
+    for (std::size_t round = 0; round < controllers; ++round) {
+      for (std::size_t index = 0; index < controllers; ++index) {
         found(index);
       }
     }
@@ -55,29 +55,29 @@
   [[nodiscard]] bool reaches(std::size_t from, std::size_t to) const {
     return from == to || cuts_.count({from, to}) == 0;
   }
-  [[nodiscard]] bool reaches_majority(std::size_t trellis) const {
+  [[nodiscard]] bool reaches_majority(std::size_t controller) const {
     std::size_t reached = 0;
-    for (std::size_t other = 0; other < trellises; ++other) {
-      reached += reaches(trellis, other) && reaches(other, trellis) ? 1 : 0;
+    for (std::size_t other = 0; other < controllers; ++other) {
+      reached += reaches(controller, other) && reaches(other, controller) ? 1 : 0;
     }
-    return reached >= majority(trellises);
+    return reached >= majority(controllers);
   }
 
-  void freeze(std::size_t trellis) { frozen_.insert(trellis); }
+  void freeze(std::size_t controller) { frozen_.insert(controller); }
   /// What came meanwhile is read now, whenever it was sent.
-  void wake(std::size_t trellis) {
-    frozen_.erase(trellis);
+  void wake(std::size_t controller) {
+    frozen_.erase(controller);
     for (Underway const& entry : underway_) {
-      if (entry.reader == trellis) {
-        (void)readers_[trellis].receive(entry.message);
+      if (entry.reader == controller) {
+        (void)readers_[controller].receive(entry.message);
       }
     }
-    std::erase_if(underway_, [trellis](Underway const& entry) { return entry.reader == trellis; });
+    std::erase_if(underway_, [controller](Underway const& entry) { return entry.reader == controller; });
   }
   /// Its memory is gone, its disk stays.
-  void restart(std::size_t trellis) {
-    wake(trellis);
-    readers_[trellis] = MajorityReader();
+  void restart(std::size_t controller) {
+    wake(controller);
+    readers_[controller] = MajorityReader();
   }
 
   /// A change through one trellis; counted as chosen when its proposer knows.
@@ -97,7 +97,7 @@
         return;
       }
       Send const* const send = std::get_if<Send>(&action);
-      std::size_t const target = send == nullptr ? trellises : send->to.incarnation - 100;
+      std::size_t const target = send == nullptr ? controllers : send->to.incarnation - 100;
       if (send == nullptr || frozen_.count(target) > 0 || !reaches(through, target)) {
         continue;
       }
@@ -110,22 +110,22 @@
   }
 
   /// A majority read begins; one that is frozen in the middle gets its answers when it wakes.
-  void read(std::size_t trellis, bool frozen_in_the_middle = false) {
-    if (frozen_.count(trellis) > 0) {
+  void read(std::size_t controller, bool frozen_in_the_middle = false) {
+    if (frozen_.count(controller) > 0) {
       return;
     }
-    for (MajorityReaderAction const& action : readers_[trellis].begin(acceptors_[trellis].set(), now)) {
+    for (MajorityReaderAction const& action : readers_[controller].begin(acceptors_[controller].set(), now)) {
       SendRead const& send = std::get<SendRead>(action);
       std::size_t const target = send.to.incarnation - 100;
-      if (frozen_.count(target) == 0 && reaches(trellis, target) && reaches(target, trellis)) {
-        underway_.push_back(Underway{trellis, *acceptors_[target].receive(send.read, now).reply});
+      if (frozen_.count(target) == 0 && reaches(controller, target) && reaches(target, controller)) {
+        underway_.push_back(Underway{controller, *acceptors_[target].receive(send.read, now).reply});
       }
     }
-    frozen_in_the_middle ? freeze(trellis) : wake(trellis);
+    frozen_in_the_middle ? freeze(controller) : wake(controller);
   }
 
   /// The furrow starts anew and holds nothing.
-  void restart_furrow() {
+  void restart_proxy() {
     lease_ = FreshnessLease(guards_.freshness);
     chosen_at_start = newest_chosen;
   }
@@ -135,8 +135,8 @@
     std::uint64_t const chosen_before = newest_chosen;
     // All are asked at once: what each tells leads on from what was held before any answered.
     std::vector<std::optional<schema::NewsAnswer>> answers;
-    for (std::size_t const trellis : order) {
-      answers.push_back(answer_of(trellis));
+    for (std::size_t const controller : order) {
+      answers.push_back(answer_of(controller));
     }
     for (std::optional<schema::NewsAnswer> const& answer : answers) {
       if (!answer.has_value()) {
@@ -147,10 +147,10 @@
       if (held() < before) {
         broken.insert("a furrow went back");
       }
-      if (answer->vouched && held() < chosen_before) {
+      if (answer->confirmed && held() < chosen_before) {
         broken.insert("an answer vouched for what was older than its ask");
       }
-      if (answer->vouched) {
+      if (answer->confirmed) {
         return true;
       }
     }
@@ -170,7 +170,7 @@
  private:
   void found(std::size_t index) {
     std::vector<schema::FoundingAnswer> answers;
-    for (std::size_t other = 0; other < trellises; ++other) {
+    for (std::size_t other = 0; other < controllers; ++other) {
       if (other != index) {
         answers.push_back(
             std::get<schema::FoundingAnswer>(*acceptors_[other].receive(schema::FoundingAsk{}, now).reply));
@@ -179,8 +179,8 @@
     (void)acceptors_[index].founding(answers, now);
   }
   /// What a trellis answers to an ask that arrives now: at once when a read confirms, else after its patience.
-  std::optional<schema::NewsAnswer> answer_of(std::size_t trellis) {
-    if (frozen_.count(trellis) > 0) {
+  std::optional<schema::NewsAnswer> answer_of(std::size_t controller) {
+    if (frozen_.count(controller) > 0) {
       return std::nullopt;
     }
     schema::NewsAsk ask;
@@ -188,10 +188,11 @@
     common::Moment const arrival = now;
     for (common::Span const waited : {common::Span(0), common::constants::ask_patience}) {
       if (waited == 0) {
-        read(trellis);
+        read(controller);
       }
-      NewsDecision const decision = decide_answer(ask, arrival, readers_[trellis].confirmed_from(),
-                                                  readers_[trellis].values(), true, arrival + waited, guards_.news);
+      UpdateDecision const decision =
+          decide_answer(ask, arrival, readers_[controller].confirmed_from(), readers_[controller].values(), true,
+                        arrival + waited, guards_.updates);
       if (decision.answer.has_value()) {
         return decision.answer;
       }
@@ -201,7 +202,7 @@
 
   Guards guards_;
   std::vector<Acceptor> acceptors_;
-  std::vector<MajorityReader> readers_ = std::vector<MajorityReader>(trellises);
+  std::vector<MajorityReader> readers_ = std::vector<MajorityReader>(controllers);
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
   std::set<std::size_t> frozen_;
   std::vector<Underway> underway_;
@@ -217,8 +218,8 @@
   World world(guards);
   world.change(0);
   for (int step = 0; step < 60; ++step) {
-    std::size_t const one = random() % trellises;
-    std::size_t const other = (one + 1 + random() % (trellises - 1)) % trellises;
+    std::size_t const one = random() % controllers;
+    std::size_t const other = (one + 1 + random() % (controllers - 1)) % controllers;
     world.now += common::milliseconds(static_cast<std::int64_t>(1 + random() % 400));
     switch (random() % 10) {
       case 0:
@@ -252,7 +253,7 @@
         world.read(one);
         break;
       case 8:
-        world.restart_furrow();
+        world.restart_proxy();
         break;
       default:
         (void)world.ask({one, other, 3 - one - other});
@@ -281,7 +282,7 @@
   ExpectedViolations const expected({common::Invariant::adopted_revision_rises, common::Invariant::vouch_after_ask});
   EXPECT_GT(broken_seeds(back), 0u);
   Guards early;
-  early.news.confirm_after_arrival = false;
+  early.updates.confirm_after_arrival = false;
   EXPECT_GT(broken_seeds(early), 0u);
   EXPECT_GT(expected.count(common::Invariant::adopted_revision_rises), 0u);
   EXPECT_GT(expected.count(common::Invariant::vouch_after_ask), 0u);
@@ -303,14 +304,14 @@
   }
   world.now += common::seconds(1);
   world.change(2);
-  world.restart_furrow();
+  world.restart_proxy();
   return world;
 }
 
 TEST(CutOff, AFurrowThatHasJustStartedHoldsNothingOlderThanItsStart) {
   for (bool const guard : {true, false}) {
     Guards guards;
-    guards.freshness.wait_for_vouch = guard;
+    guards.freshness.wait_for_confirmation = guard;
     for (bool const one_way : {true, false}) {
       for (bool const restarted : {true, false}) {
         World world = cut_off_world(guards, one_way, restarted);
@@ -335,11 +336,11 @@
   World world = cut_off_world(Guards(), false, false);
   common::Moment const first = world.now;
   while (world.held() == 0) {
-    ASSERT_LE(world.now - first, common::constants::unvouched_wait + round_of_asks);
+    ASSERT_LE(world.now - first, common::constants::unconfirmed_wait + round_of_asks);
     EXPECT_FALSE(world.ask({0}));
     world.now += round_of_asks;
   }
-  EXPECT_GE(world.now - first, common::constants::unvouched_wait);
+  EXPECT_GE(world.now - first, common::constants::unconfirmed_wait);
   EXPECT_EQ(world.held(), 1u);
   EXPECT_TRUE(world.ask({1}));
   EXPECT_EQ(world.held(), 2u);
@@ -348,7 +349,7 @@
 TEST(CutOff, AReadBegunBeforeAFreezeVouchesForNoAskThatCameAfterIt) {
   for (bool const guard : {true, false}) {
     Guards guards;
-    guards.news.confirm_after_arrival = guard;
+    guards.updates.confirm_after_arrival = guard;
     ExpectedViolations const expected({common::Invariant::vouch_after_ask}, !guard);
     World world(guards);
     world.change(1);
@@ -359,7 +360,7 @@
     world.wake(0);  // and reads them now
     world.cut(0, 1);
     world.cut(0, 2);
-    world.restart_furrow();
+    world.restart_proxy();
     EXPECT_EQ(world.ask({0}), !guard);
     EXPECT_EQ(world.held(), guard ? 0u : 1u);
   }
--- a/source/tests/membership/freshness_lease_test.cpp
+++ b/source/tests/membership/freshness_lease_test.cpp
@@ -18,10 +18,10 @@
 
 namespace constants = common::constants;
 
-schema::NewsAnswer news(std::uint64_t revision, bool vouched) {
+schema::NewsAnswer update(std::uint64_t revision, bool confirmed) {
   schema::NewsAnswer answer;
-  answer.vouched = vouched;
-  answer.news.push_back(schema::NamedValue{"setup", revision, ""});
+  answer.confirmed = confirmed;
+  answer.updates.push_back(schema::NamedValue{"setup", revision, ""});
   answer.list_age = 0;
   return answer;
 }
@@ -31,40 +31,42 @@
     membership::FreshnessGuards guards;
     guards.never_back = guard;
     ExpectedViolations const expected({common::Invariant::adopted_revision_rises}, !guard);
-    membership::FreshnessLease vouch(guards);
-    EXPECT_EQ(vouch.take(news(5, true), 0, 10).size(), 1u);
+    membership::FreshnessLease freshness(guards);
+    EXPECT_EQ(freshness.take(update(5, true), 0, 10).size(), 1u);
     // A late answer of a trellis that lagged.
-    EXPECT_EQ(vouch.take(news(4, true), 5, 20).empty(), guard);
-    EXPECT_EQ(vouch.held().at("setup"), guard ? 5u : 4u);
+    EXPECT_EQ(freshness.take(update(4, true), 5, 20).empty(), guard);
+    EXPECT_EQ(freshness.held().at("setup"), guard ? 5u : 4u);
     EXPECT_EQ(expected.count(common::Invariant::adopted_revision_rises), guard ? 0u : 1u);
   }
 }
 
 TEST(FreshnessLease, CountsFromWhenTheAskWasSent) {
-  membership::FreshnessLease vouch;
+  membership::FreshnessLease freshness;
   // The answer is read 10 s after the ask: a freeze lay between.
-  (void)vouch.take(news(1, true), common::seconds(1), common::seconds(11));
-  EXPECT_FALSE(vouch.vouched(common::seconds(11)));
-  EXPECT_FALSE(vouch.list_fresh(common::seconds(11)));
-  (void)vouch.take(news(1, true), common::seconds(12), common::seconds(12));
-  EXPECT_TRUE(vouch.vouched(common::seconds(12) + constants::vouch_bound - 1));
-  EXPECT_FALSE(vouch.vouched(common::seconds(12) + constants::vouch_bound));
+  (void)freshness.take(update(1, true), common::seconds(1), common::seconds(11));
+  EXPECT_FALSE(freshness.confirmed(common::seconds(11)));
+  EXPECT_FALSE(freshness.list_fresh(common::seconds(11)));
+  (void)freshness.take(update(1, true), common::seconds(12), common::seconds(12));
+  EXPECT_TRUE(freshness.confirmed(common::seconds(12) + constants::confirmation_bound - 1));
+  EXPECT_FALSE(freshness.confirmed(common::seconds(12) + constants::confirmation_bound));
 }
 
 TEST(FreshnessLease, OneThatHasJustStartedWaitsForAVouchedWord) {
   for (bool const guard : {true, false}) {
     membership::FreshnessGuards guards;
-    guards.wait_for_vouch = guard;
+    guards.wait_for_confirmation = guard;
     membership::FreshnessLease lease(guards);
     common::Moment const first = common::seconds(10);
     // A trellis that is cut off holds revision 4, the others have gone on to 5.
-    EXPECT_EQ(lease.take(news(4, false), first, first).empty(), guard);
+    EXPECT_EQ(lease.take(update(4, false), first, first).empty(), guard);
     EXPECT_EQ(lease.held().empty(), guard) << "so that it is told all by who knows";
-    EXPECT_EQ(lease.take(news(4, false), first + constants::unvouched_wait - 1, first + common::seconds(60)).empty(),
-              true)
+    EXPECT_EQ(
+        lease.take(update(4, false), first + constants::unconfirmed_wait - 1, first + common::seconds(60)).empty(),
+        true)
         << "counted by asks: an answer that is read after a freeze is no newer for it";
-    EXPECT_EQ(lease.take(news(5, true), first + constants::unvouched_wait, first + constants::unvouched_wait).size(),
-              1u);
+    EXPECT_EQ(
+        lease.take(update(5, true), first + constants::unconfirmed_wait, first + constants::unconfirmed_wait).size(),
+        1u);
     EXPECT_EQ(lease.held().at("setup"), 5u);
   }
 }
@@ -72,10 +74,10 @@
 TEST(FreshnessLease, WithoutAMajorityForLongItTakesWhatIsKnown) {
   membership::FreshnessLease lease;
   common::Moment const first = common::seconds(10);
-  EXPECT_TRUE(lease.take(news(4, false), first, first).empty());
-  common::Moment const later = first + constants::unvouched_wait;
-  EXPECT_EQ(lease.take(news(4, false), later, later).size(), 1u);
-  EXPECT_FALSE(lease.vouched(later));
+  EXPECT_TRUE(lease.take(update(4, false), first, first).empty());
+  common::Moment const later = first + constants::unconfirmed_wait;
+  EXPECT_EQ(lease.take(update(4, false), later, later).size(), 1u);
+  EXPECT_FALSE(lease.confirmed(later));
   EXPECT_FALSE(lease.confirmed_within(common::seconds(600), later));
 }
 
@@ -83,40 +85,40 @@
   // Whatever a trellis knows was chosen once, so what is newer than a vouched word is no step back.
   membership::FreshnessLease lease;
   common::Moment const first = common::seconds(10);
-  EXPECT_EQ(lease.take(news(4, true), first, first).size(), 1u);
-  EXPECT_EQ(lease.take(news(5, false), first + 1, first + 1).size(), 1u);
-  EXPECT_TRUE(lease.take(news(4, false), first + 2, first + 2).empty());
+  EXPECT_EQ(lease.take(update(4, true), first, first).size(), 1u);
+  EXPECT_EQ(lease.take(update(5, false), first + 1, first + 1).size(), 1u);
+  EXPECT_TRUE(lease.take(update(4, false), first + 2, first + 2).empty());
 }
 
 TEST(FreshnessLease, IsConfirmedFromWhenTheAskWasSent) {
   membership::FreshnessLease lease;
   EXPECT_FALSE(lease.confirmed_within(common::seconds(1), 0));
   // Read 20 s after the ask: a freeze lay between.
-  (void)lease.take(news(1, true), common::seconds(1), common::seconds(21));
-  EXPECT_FALSE(lease.confirmed_within(constants::charter_confirmed_bound, common::seconds(21)));
-  (void)lease.take(news(1, true), common::seconds(22), common::seconds(22));
-  (void)lease.take(news(1, true), common::seconds(2), common::seconds(23));  // a late answer takes nothing back
-  EXPECT_TRUE(lease.confirmed_within(constants::charter_confirmed_bound, common::seconds(24)));
+  (void)lease.take(update(1, true), common::seconds(1), common::seconds(21));
+  EXPECT_FALSE(lease.confirmed_within(constants::routing_config_confirmed_bound, common::seconds(21)));
+  (void)lease.take(update(1, true), common::seconds(22), common::seconds(22));
+  (void)lease.take(update(1, true), common::seconds(2), common::seconds(23));  // a late answer takes nothing back
+  EXPECT_TRUE(lease.confirmed_within(constants::routing_config_confirmed_bound, common::seconds(24)));
 }
 
-TEST(NewsResponder, VouchesOnlyForReadsBegunAfterTheAsk) {
+TEST(UpdateResponder, VouchesOnlyForReadsBegunAfterTheAsk) {
   std::map<std::string, schema::Value> const values{{"setup", schema::Value{3, "x", {}}}};
   schema::NewsAsk ask;
   EXPECT_FALSE(membership::decide_answer(ask, 1000, 999, values, false, 2000).answer.has_value());
-  membership::NewsDecision const now = membership::decide_answer(ask, 1000, 1000, values, false, 2000);
+  membership::UpdateDecision const now = membership::decide_answer(ask, 1000, 1000, values, false, 2000);
   ASSERT_TRUE(now.answer.has_value());
-  EXPECT_TRUE(now.answer->vouched);
-  EXPECT_EQ(now.answer->news.size(), 1u);
+  EXPECT_TRUE(now.answer->confirmed);
+  EXPECT_EQ(now.answer->updates.size(), 1u);
   // No majority within the patience: an answer, but no vouch.
-  membership::NewsDecision const late =
+  membership::UpdateDecision const late =
       membership::decide_answer(ask, 1000, 999, values, false, 1000 + constants::ask_patience);
   ASSERT_TRUE(late.answer.has_value());
-  EXPECT_FALSE(late.answer->vouched);
+  EXPECT_FALSE(late.answer->confirmed);
   ask.member.held["setup"] = 3;
   EXPECT_FALSE(membership::decide_answer(ask, 1000, 1000, values, false, 2000).answer.has_value());  // held until news
 }
 
-TEST(NewsResponder, HurriesTheReadForAnAskerThatHoldsNothing) {
+TEST(UpdateResponder, HurriesTheReadForAnAskerThatHoldsNothing) {
   std::map<std::string, schema::Value> const values{{"setup", schema::Value{3, "x", {}}}};
   schema::NewsAsk ask;
   EXPECT_TRUE(membership::decide_answer(ask, 1000, 999, values, false, 2000).hurry);
@@ -127,20 +129,21 @@
 
 TEST(Bounds, AddUpToWhatIsAllowed) {
   // design.md section 4: every furrow has stopped or changed before yes is said.
-  EXPECT_GE(constants::acknowledge_wait, constants::vouch_bound + constants::vouch_bound / 10 + constants::ask_retry);
+  EXPECT_GE(constants::acknowledge_wait,
+            constants::confirmation_bound + constants::confirmation_bound / 10 + constants::ask_retry);
   EXPECT_LE(constants::acknowledge_wait, common::milliseconds(2500));
   // Two failed asks and a good one fit into the vouch bound.
   EXPECT_LE(constants::ask_deadline + constants::ask_retry + constants::ask_hold + common::milliseconds(200),
-            constants::vouch_bound);
+            constants::confirmation_bound);
   // One that has just started hears a vouched word before it takes another: two rounds of asks.
-  EXPECT_GE(constants::unvouched_wait,
+  EXPECT_GE(constants::unconfirmed_wait,
             2 * (constants::lost_patience + constants::ask_retry + constants::relay_connect_deadline / 2));
   // In touch the newest vouch is younger: two asks held, one that failed, pauses between them, the ways.
-  EXPECT_GE(constants::charter_confirmed_bound, 2 * constants::wide_ask_hold + constants::wide_ask_deadline +
-                                                    2 * constants::ask_least + common::milliseconds(500));
+  EXPECT_GE(constants::routing_config_confirmed_bound, 2 * constants::wide_ask_hold + constants::wide_ask_deadline +
+                                                           2 * constants::ask_least + common::milliseconds(500));
   // Draining: last read of the list before it showed, its bound, clocks apart.
   EXPECT_LE(constants::list_bound + constants::list_bound / 10, common::milliseconds(4000));
-  EXPECT_GT(constants::session_bound, constants::vouch_bound);
+  EXPECT_GT(constants::session_bound, constants::confirmation_bound);
   EXPECT_GE(constants::lease_reserve, constants::lease_span / 10);
   EXPECT_GE(constants::lease_silence, constants::lease_span + constants::lease_span / 10);
   // Retries: 0.1 of the arrivals of fifteen seconds fall into ten.
--- a/source/tests/membership/gossip_schedule_test.cpp
+++ b/source/tests/membership/gossip_schedule_test.cpp
@@ -16,14 +16,14 @@
 constexpr common::Span step = common::milliseconds(10);
 constexpr common::Span patience = 2 * constants::wide_tell_pause;
 
-schema::TrellisEntry trellis(std::string const& name) {
+schema::TrellisEntry controller(std::string const& name) {
   schema::TrellisEntry entry;
   entry.name = name;
   entry.address = name;
   return entry;
 }
 
-schema::Member furrow() {
+schema::Member proxy() {
   schema::Member member;
   member.name = "furrow";
   member.incarnation = 1;
@@ -37,8 +37,8 @@
 /// How often a session that stands at one trellis ended at another one within
 /// a minute, while a third trellis is silent.
 std::size_t sessions_ended(Pace pace) {
-  Sessions teller(trellis("teller"), constants::wide_session_bound);
-  Sessions listener(trellis("listener"), constants::wide_session_bound);
+  Sessions teller(controller("teller"), constants::wide_session_bound);
+  Sessions listener(controller("listener"), constants::wide_session_bound);
   GossipSchedule schedule;
   std::uint64_t known_there = 0;
   common::Moment next_ask = 0;
@@ -46,7 +46,7 @@
   std::size_t ended = 0;
   for (common::Moment now = common::seconds(1); now < common::seconds(61); now += step) {
     if (now >= next_ask) {
-      (void)teller.heard(furrow(), now);
+      (void)teller.heard(proxy(), now);
       next_ask = now + constants::wide_ask_hold + constants::ask_least;
     }
     if (now >= next_round) {
