--- a/source/tests/membership/replica_test.cpp
+++ b/source/tests/membership/replica_test.cpp
@@ -33,7 +33,7 @@
   return entry;
 }
 
-schema::TrellisEntry trellis(std::string const& address) {
+schema::TrellisEntry controller(std::string const& address) {
   return schema::TrellisEntry{address, 1, "h", address, "", false, false, 0};
 }
 
@@ -41,15 +41,15 @@
 schema::NewsAnswer answer_of(membership::Listing const& listing, membership::Sessions const& sessions,
                              std::uint64_t list, std::uint64_t members, common::Moment now) {
   schema::NewsAnswer answer;
-  answer.vouched = true;
-  membership::ListNews const told = listing.since(list);
+  answer.confirmed = true;
+  membership::ListUpdate const told = listing.since(list);
   answer.list_same = told.same;
   answer.list_from = told.from;
   answer.list = told.list;
   answer.list_gone = told.gone;
   answer.list_digest = told.digest;
   answer.list_age = listing.age(now);
-  membership::MemberNews const known = sessions.since(members);
+  membership::MemberUpdate const known = sessions.since(members);
   answer.members_same = known.same;
   answer.members_from = known.from;
   answer.members = known.members;
@@ -59,7 +59,7 @@
   return std::get<schema::NewsAnswer>(*read);
 }
 
-bool take(membership::ListCopy& copy, membership::Listing const& teller, common::Moment now) {
+bool take(membership::ListReplica& copy, membership::Listing const& teller, common::Moment now) {
   return copy.take(teller.since(copy.digest()), teller.age(now), now);
 }
 
@@ -71,11 +71,11 @@
   return list;
 }
 
-TEST(ListCopy, IsToldOnlyWhatChanged) {
+TEST(ListReplica, IsToldOnlyWhatChanged) {
   membership::Listing teller;
   schema::PlatformList list = many(600);
   ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(2)));
   EXPECT_EQ(copy.list(), teller.list());
   EXPECT_EQ(copy.as_of(), common::seconds(1));
@@ -83,21 +83,21 @@
   list.workers.erase(list.workers.begin() + 9);
   list.workers.push_back(worker("worker-0001"));
   ASSERT_TRUE(teller.keep(list, common::seconds(3), common::seconds(3)));
-  membership::ListNews const news = teller.since(copy.digest());
-  EXPECT_EQ(news.from, copy.digest());
-  EXPECT_EQ(news.list.workers.size(), 2u);
-  EXPECT_EQ(news.gone, std::vector<std::string>{"worker-1009"});
-  ASSERT_TRUE(copy.take(news, 0, common::seconds(3)));
+  membership::ListUpdate const update = teller.since(copy.digest());
+  EXPECT_EQ(update.from, copy.digest());
+  EXPECT_EQ(update.list.workers.size(), 2u);
+  EXPECT_EQ(update.gone, std::vector<std::string>{"worker-1009"});
+  ASSERT_TRUE(copy.take(update, 0, common::seconds(3)));
   EXPECT_EQ(copy.list(), teller.list());
   EXPECT_TRUE(teller.since(copy.digest()).same);
 }
 
-TEST(ListCopy, ATellerThatDoesNotKnowTheListHeldTellsAll) {
+TEST(ListReplica, ATellerThatDoesNotKnowTheListHeldTellsAll) {
   membership::Listing teller;
   membership::Listing other;
   schema::PlatformList list = many(5);
   ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   list.workers[0].draining = true;
   ASSERT_TRUE(other.keep(list, common::seconds(2), common::seconds(2)));  // it never held the first one
@@ -106,7 +106,7 @@
   EXPECT_EQ(copy.list(), other.list());
 }
 
-TEST(ListCopy, ATellerThatHoldsTheSameListByAnotherWayLeadsOn) {
+TEST(ListReplica, ATellerThatHoldsTheSameListByAnotherWayLeadsOn) {
   membership::Listing teller;
   membership::Listing other;
   schema::PlatformList list = many(5);
@@ -114,7 +114,7 @@
   ASSERT_TRUE(teller.keep(many(5), common::seconds(1), common::seconds(1)));
   ASSERT_TRUE(other.keep(many(9), common::milliseconds(500), common::seconds(1)));
   ASSERT_TRUE(other.keep(list, common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   EXPECT_TRUE(other.since(copy.digest()).same);
   list.workers[2].capacity = 9;
@@ -124,7 +124,7 @@
   EXPECT_EQ(copy.list(), other.list());
 }
 
-TEST(ListCopy, AnOlderListIsNotAdopted) {
+TEST(ListReplica, AnOlderListIsNotAdopted) {
   membership::Listing teller;
   membership::Listing behind;
   schema::PlatformList list = many(3);
@@ -132,7 +132,7 @@
   ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
   list.workers[0].draining = true;
   ASSERT_TRUE(teller.keep(list, common::seconds(5), common::seconds(5)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(6)));
   std::uint64_t const digest = copy.digest();
   EXPECT_FALSE(take(copy, behind, common::seconds(7)));  // its age counts from this ask
@@ -141,18 +141,18 @@
   EXPECT_TRUE(copy.list().workers[0].draining);
 }
 
-TEST(ListCopy, WhatLeadsElsewhereIsLeftAndAllIsAskedFor) {
+TEST(ListReplica, WhatLeadsElsewhereIsLeftAndAllIsAskedFor) {
   membership::Listing teller;
   schema::PlatformList list = many(4);
   ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   schema::PlatformList const held = copy.list();
   list.workers[1].draining = true;
   ASSERT_TRUE(teller.keep(list, common::seconds(2), common::seconds(2)));
-  membership::ListNews news = teller.since(copy.digest());
-  news.list.workers[0].capacity = 77;
-  EXPECT_FALSE(copy.take(news, 0, common::seconds(2)));
+  membership::ListUpdate update = teller.since(copy.digest());
+  update.list.workers[0].capacity = 77;
+  EXPECT_FALSE(copy.take(update, 0, common::seconds(2)));
   EXPECT_EQ(copy.list(), held);  // in use meanwhile, and no fresher than it was
   EXPECT_EQ(copy.as_of(), common::seconds(1));
   EXPECT_EQ(copy.digest(), 0u);
@@ -161,15 +161,15 @@
   EXPECT_EQ(copy.list(), teller.list());
 }
 
-TEST(ListCopy, WhatLeadsOnFromAnotherListIsLeft) {
+TEST(ListReplica, WhatLeadsOnFromAnotherListIsLeft) {
   membership::Listing teller;
   schema::PlatformList list = many(4);
   ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   list.workers[1].draining = true;
   ASSERT_TRUE(teller.keep(list, common::seconds(2), common::seconds(2)));
-  membership::ListNews const late = teller.since(copy.digest());
+  membership::ListUpdate const late = teller.since(copy.digest());
   list.workers[2].draining = true;
   ASSERT_TRUE(teller.keep(list, common::seconds(3), common::seconds(3)));
   ASSERT_TRUE(take(copy, teller, common::seconds(3)));
@@ -180,7 +180,7 @@
   EXPECT_EQ(copy.as_of(), common::seconds(3));
   EXPECT_EQ(copy.list(), teller.list());
   // Neither does the word that another list is still the same.
-  membership::ListNews same;
+  membership::ListUpdate same;
   same.same = true;
   same.digest = digest + 1;
   EXPECT_FALSE(copy.take(same, 0, common::seconds(5)));
@@ -190,11 +190,11 @@
   EXPECT_EQ(copy.as_of(), common::seconds(5));
 }
 
-TEST(ListCopy, WhatCountsDownIsToldWithEachChange) {
+TEST(ListReplica, WhatCountsDownIsToldWithEachChange) {
   membership::Listing teller;
   schema::PlatformList list{0, {worker("a", 3000), worker("b"), worker("c")}};
   ASSERT_TRUE(teller.keep(list, common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   list.workers[0].cold_ms = 2900;  // it was cold anew between two lists
   ASSERT_TRUE(teller.keep(list, common::seconds(3), common::seconds(3)));
@@ -207,10 +207,10 @@
   EXPECT_EQ(teller.since(copy.digest()).same, true);
 }
 
-TEST(ListCopy, AListReadElsewhereIsNotLedOnFrom) {
+TEST(ListReplica, AListReadElsewhereIsNotLedOnFrom) {
   membership::Listing teller;
   ASSERT_TRUE(teller.keep(many(3), common::seconds(1), common::seconds(1)));
-  membership::ListCopy copy;
+  membership::ListReplica copy;
   ASSERT_TRUE(take(copy, teller, common::seconds(1)));
   copy.put(many(2), common::seconds(2));
   EXPECT_EQ(copy.digest(), 0u);
@@ -221,12 +221,12 @@
   EXPECT_EQ(copy.list(), teller.list());
 }
 
-TEST(ListCopy, AskersOfSeveralTellersEndEqual) {
+TEST(ListReplica, AskersOfSeveralTellersEndEqual) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 40; ++round) {
     membership::Listing tellers[3];
-    membership::Sessions nobody(trellis("t"));
-    membership::ListCopy copies[4];
+    membership::Sessions nobody(controller("t"));
+    membership::ListReplica copies[4];
     schema::PlatformList list;
     common::Moment now = common::seconds(10);
     std::size_t led = 0;
@@ -244,15 +244,15 @@
       (void)reader.keep(list, now, now);
       for (membership::Listing& other : tellers) {
         if (&other != &reader && random() % 3 != 0) {
-          membership::ListNews const news = reader.since(other.wanted());
-          (void)other.take(news, now - reader.age(now), now);
-          if (!news.same) {
+          membership::ListUpdate const update = reader.since(other.wanted());
+          (void)other.take(update, now - reader.age(now), now);
+          if (!update.same) {
             ASSERT_EQ(other.list(), reader.list());
           }
           ASSERT_EQ(other.digest(), reader.digest());
         }
       }
-      for (membership::ListCopy& copy : copies) {
+      for (membership::ListReplica& copy : copies) {
         membership::Listing const& teller = tellers[random() % 3];
         if (random() % 2 == 0 || teller.age(now) < 0) {
           continue;
@@ -261,7 +261,7 @@
         schema::NewsAnswer const answer = answer_of(teller, nobody, copy.digest(), 0, now);
         led += answer.list_from != 0 ? 1 : 0;
         bool const lost = random() % 5 == 0;
-        if (!lost && copy.take(membership::list_news(answer), answer.list_age, now)) {
+        if (!lost && copy.take(membership::list_update(answer), answer.list_age, now)) {
           ASSERT_EQ(copy.list(), teller.list());
         }
         ASSERT_GE(copy.as_of(), before);
@@ -282,11 +282,11 @@
   ASSERT_TRUE(other.take(teller.since(other.wanted()), common::seconds(1), common::seconds(1)));
   schema::PlatformList list = many(5);
   ASSERT_TRUE(teller.keep(list, common::seconds(2), common::seconds(2)));
-  membership::ListNews news = teller.since(other.wanted());
-  ASSERT_NE(news.from, 0u);
-  ASSERT_EQ(news.list.workers.size(), 1u);
-  news.list.workers[0].address = "spoiled";
-  EXPECT_FALSE(other.take(news, common::seconds(2), common::seconds(2)));
+  membership::ListUpdate update = teller.since(other.wanted());
+  ASSERT_NE(update.from, 0u);
+  ASSERT_EQ(update.list.workers.size(), 1u);
+  update.list.workers[0].address = "spoiled";
+  EXPECT_FALSE(other.take(update, common::seconds(2), common::seconds(2)));
   EXPECT_EQ(other.list().workers.size(), 4u);
   EXPECT_EQ(other.age(common::seconds(2)), common::seconds(1));
   EXPECT_EQ(other.wanted(), 0u);
@@ -295,15 +295,15 @@
   EXPECT_EQ(other.wanted(), teller.digest());
 }
 
-TEST(MemberCopy, FollowsOneAndTurnsToAnother) {
+TEST(MemberReplica, FollowsOneAndTurnsToAnother) {
   membership::Listing nothing;
-  membership::Sessions first(trellis("a"));
-  membership::Sessions second(trellis("b"));
+  membership::Sessions first(controller("a"));
+  membership::Sessions second(controller("b"));
   for (int index = 0; index < 40; ++index) {
     (void)first.heard(member("f" + std::to_string(100 + index)), 1000);
     (void)second.heard(member("f" + std::to_string(139 - index)), 900);
   }
-  membership::MemberCopy copy;
+  membership::MemberReplica copy;
   ASSERT_TRUE(copy.take(answer_of(nothing, first, copy.digest(), copy.digest(), 1000)));
   EXPECT_EQ(copy.members(), first.members());
   EXPECT_TRUE(second.since(copy.digest()).same);  // however it came about
@@ -323,8 +323,8 @@
   EXPECT_EQ(copy.members(), second.members());
 }
 
-TEST(MemberCopy, LoadsAndRevisionsAreNoNews) {
-  membership::Sessions sessions(trellis("a"));
+TEST(MemberReplica, LoadsAndRevisionsAreNoNews) {
+  membership::Sessions sessions(controller("a"));
   (void)sessions.heard(member("f"), 1000);
   std::uint64_t const digest = sessions.digest();
   EXPECT_EQ(digest, membership::digest_of(sessions.members()));
@@ -337,17 +337,17 @@
   EXPECT_EQ(sessions.members()[0].load, 7);
 }
 
-TEST(MemberCopy, WhatLeadsElsewhereIsLeftAndAllIsAskedFor) {
+TEST(MemberReplica, WhatLeadsElsewhereIsLeftAndAllIsAskedFor) {
   membership::Listing nothing;
-  membership::Sessions sessions(trellis("a"));
+  membership::Sessions sessions(controller("a"));
   (void)sessions.heard(member("f"), 1000);
-  membership::MemberCopy copy;
+  membership::MemberReplica copy;
   ASSERT_TRUE(copy.take(answer_of(nothing, sessions, 0, 0, 1000)));
   (void)sessions.heard(member("g"), 2000);
   schema::NewsAnswer answer = answer_of(nothing, sessions, 0, copy.digest(), 2000);
-  answer.vouched = false;
+  answer.confirmed = false;
   EXPECT_FALSE(copy.take(answer));  // an unsure trellis tells nothing of members
-  answer.vouched = true;
+  answer.confirmed = true;
   answer.members[0].address = "elsewhere";
   EXPECT_FALSE(copy.take(answer));
   EXPECT_EQ(copy.members().size(), 1u);
@@ -372,8 +372,8 @@
 }
 
 TEST(Tellings, CarryOnlyHowLongAgoWhereNothingChanged) {
-  membership::Sessions one(trellis("a"));
-  membership::Sessions other(trellis("b"));
+  membership::Sessions one(controller("a"));
+  membership::Sessions other(controller("b"));
   common::Moment now = common::seconds(1);
   for (int index = 0; index < 137; ++index) {
     (void)one.heard(member("furrow-" + std::to_string(index), static_cast<std::uint64_t>(index) * 7919 + 1), now);
@@ -398,8 +398,8 @@
 }
 
 TEST(Tellings, CountFromWhenASessionWasHeardOf) {
-  membership::Sessions one(trellis("a"));
-  membership::Sessions other(trellis("b"));
+  membership::Sessions one(controller("a"));
+  membership::Sessions other(controller("b"));
   common::Moment const heard = common::seconds(1);
   (void)one.heard(member("f"), heard);
   std::uint64_t const known = telling(one, 0, other, heard);
@@ -413,12 +413,12 @@
 }
 
 TEST(Tellings, AColleagueThatLostThemIsToldAll) {
-  membership::Sessions one(trellis("a"));
-  membership::Sessions other(trellis("b"));
+  membership::Sessions one(controller("a"));
+  membership::Sessions other(controller("b"));
   (void)one.heard(member("f"), 1000);
   (void)one.heard(member("g"), 1000);
   std::uint64_t known = telling(one, 0, other, 1000);
-  membership::Sessions restarted(trellis("b"));
+  membership::Sessions restarted(controller("b"));
   (void)one.heard(member("h"), 2000);
   known = telling(one, known, restarted, 2000);
   EXPECT_EQ(known, 0u);
@@ -429,8 +429,8 @@
 }
 
 TEST(Tellings, WhatLeadsElsewhereIsLeftAndAllIsTold) {
-  membership::Sessions one(trellis("a"));
-  membership::Sessions other(trellis("b"));
+  membership::Sessions one(controller("a"));
+  membership::Sessions other(controller("b"));
   (void)one.heard(member("f"), 1000);
   (void)one.heard(member("g"), 1000);
   std::uint64_t known = telling(one, 0, other, 1000);
@@ -457,8 +457,8 @@
 TEST(Tellings, ThatOverlapOrComeLateDoNoHarm) {
   std::mt19937_64 random(9);
   for (int round = 0; round < 40; ++round) {
-    membership::Sessions one(trellis("a"));
-    membership::Sessions other(trellis("b"));
+    membership::Sessions one(controller("a"));
+    membership::Sessions other(controller("b"));
     std::uint64_t known = 0;
     common::Moment now = common::seconds(1);
     std::vector<schema::Tell> under_way;
@@ -493,8 +493,8 @@
 }
 
 TEST(Tellings, AFurrowThatTurnedAwayIsNotToldOnAndBackAgainItIs) {
-  membership::Sessions one(trellis("a"));
-  membership::Sessions other(trellis("b"));
+  membership::Sessions one(controller("a"));
+  membership::Sessions other(controller("b"));
   (void)one.heard(member("f"), 1000);
   (void)one.heard(member("g"), 1000);
   std::uint64_t known = telling(one, 0, other, 1000);
--- a/source/tests/membership/update_responder_test.cpp
+++ b/source/tests/membership/update_responder_test.cpp
@@ -20,19 +20,19 @@
   return {{"charter", value}};
 }
 
-TEST(NewsResponder, AReadIsHurriedForOneWhoHoldsNothing) {
+TEST(UpdateResponder, AReadIsHurriedForOneWhoHoldsNothing) {
   common::Moment const arrival = common::seconds(10);
   common::Moment const before = arrival - 1;
-  NewsDecision const blank = decide_answer(ask_holding({}), arrival, before, values(), false, arrival);
+  UpdateDecision const blank = decide_answer(ask_holding({}), arrival, before, values(), false, arrival);
   EXPECT_FALSE(blank.answer.has_value());  // no word without a read begun after the ask
   EXPECT_TRUE(blank.hurry);
-  NewsDecision const answered = decide_answer(ask_holding({}), arrival, arrival, values(), false, arrival);
+  UpdateDecision const answered = decide_answer(ask_holding({}), arrival, arrival, values(), false, arrival);
   ASSERT_TRUE(answered.answer.has_value());
-  EXPECT_TRUE(answered.answer->vouched);
+  EXPECT_TRUE(answered.answer->confirmed);
   EXPECT_FALSE(answered.hurry);
 }
 
-TEST(NewsResponder, NoReadIsHurriedWithoutNewsOrForOneWhoServes) {
+TEST(UpdateResponder, NoReadIsHurriedWithoutNewsOrForOneWhoServes) {
   common::Moment const arrival = common::seconds(10);
   common::Moment const before = arrival - 1;
   EXPECT_FALSE(decide_answer(ask_holding({}), arrival, before, {}, false, arrival).hurry);
--- a/source/tests/membership/withheld_updates_test.cpp
+++ b/source/tests/membership/withheld_updates_test.cpp
@@ -16,19 +16,19 @@
 using consensus::ValueSender;
 namespace constants = common::constants;
 
-std::map<std::string, schema::Value> values_of(std::string const& charter, std::uint64_t revision) {
-  return {{"charter", schema::Value{revision, charter, {}}}, {"evacuated", schema::Value{1, "[\"h\"]", {}}}};
+std::map<std::string, schema::Value> values_of(std::string const& routing_config, std::uint64_t revision) {
+  return {{"charter", schema::Value{revision, routing_config, {}}}, {"evacuated", schema::Value{1, "[\"h\"]", {}}}};
 }
 
 TEST(WithheldNews, LargeContentsAreLeftOutAndSmallOnesTravel) {
-  std::vector<schema::NamedValue> const news =
-      membership::news_for({}, values_of(noise(constants::inline_news_bytes + 1), 4), constants::inline_news_bytes);
-  ASSERT_EQ(news.size(), 2u);
-  EXPECT_EQ(news[0].withheld, constants::inline_news_bytes + 1);
-  EXPECT_EQ(news[0].content, "");
-  EXPECT_EQ(news[0].revision, 4u);
-  EXPECT_EQ(news[1].withheld, 0u);
-  EXPECT_EQ(news[1].content, "[\"h\"]");
+  std::vector<schema::NamedValue> const updates = membership::updates_for(
+      {}, values_of(noise(constants::inline_update_bytes + 1), 4), constants::inline_update_bytes);
+  ASSERT_EQ(updates.size(), 2u);
+  EXPECT_EQ(updates[0].withheld, constants::inline_update_bytes + 1);
+  EXPECT_EQ(updates[0].content, "");
+  EXPECT_EQ(updates[0].revision, 4u);
+  EXPECT_EQ(updates[1].withheld, 0u);
+  EXPECT_EQ(updates[1].content, "[\"h\"]");
 }
 
 TEST(WithheldNews, AreNotAdoptedAndNothingIsVouchedForWithoutThem) {
@@ -37,37 +37,37 @@
     guards.contents_whole = guard;
     membership::FreshnessLease lease(guards);
     schema::NewsAnswer answer;
-    answer.vouched = true;
-    answer.news.push_back(schema::NamedValue{"charter", 3, "third", 0});
+    answer.confirmed = true;
+    answer.updates.push_back(schema::NamedValue{"charter", 3, "third", 0});
     EXPECT_EQ(lease.take(answer, 1000, 2000).size(), 1u);
-    ASSERT_TRUE(lease.vouched(2000));
-    common::Moment const later = 1000 + constants::vouch_bound;
-    answer.news = {schema::NamedValue{"charter", 4, "", 500000}};
+    ASSERT_TRUE(lease.confirmed(2000));
+    common::Moment const later = 1000 + constants::confirmation_bound;
+    answer.updates = {schema::NamedValue{"charter", 4, "", 500000}};
     EXPECT_EQ(lease.take(answer, later, later).empty(), guard);  // off: an empty charter comes into force
     EXPECT_EQ(lease.held().at("charter"), guard ? 3u : 4u);
-    EXPECT_EQ(lease.vouched(later), !guard);
+    EXPECT_EQ(lease.confirmed(later), !guard);
     // Fetched: it is adopted, and vouched for.
     data_plane::put_in(answer, "charter", 4, "fourth");
     EXPECT_EQ(lease.take(answer, later, later).size(), guard ? 1u : 0u);
-    EXPECT_TRUE(lease.vouched(later));
+    EXPECT_TRUE(lease.confirmed(later));
   }
 }
 
 TEST(WithheldNews, ARevisionFetchedWhileANewerOneCameIsAStepForward) {
   membership::FreshnessLease lease;
   schema::NewsAnswer answer;
-  answer.vouched = true;
-  answer.news = {schema::NamedValue{"charter", 5, "", 500000}};
+  answer.confirmed = true;
+  answer.updates = {schema::NamedValue{"charter", 5, "", 500000}};
   data_plane::put_in(answer, "charter", 4, "fourth");
   std::vector<schema::NamedValue> const adopted = lease.take(answer, 1000, 2000);
   ASSERT_EQ(adopted.size(), 1u);
   EXPECT_EQ(adopted[0].revision, 4u);
-  EXPECT_FALSE(lease.vouched(2000));  // the newest is not here yet
+  EXPECT_FALSE(lease.confirmed(2000));  // the newest is not here yet
 }
 
 /// A furrow far from its trellises that asks as Station does: three at once
 /// while it is lost, one while it is not.
-struct FarFurrow {
+struct FarProxy {
   simulator::Kernel kernel{1};
   std::map<std::string, schema::Value> values;
   std::size_t inline_bytes;
@@ -80,8 +80,8 @@
   common::Moment adopted = -1;
   common::Moment evacuated = -1;
 
-  FarFurrow(double bits_per_second, common::Span one_way, std::string const& charter, std::size_t inlined)
-      : values(values_of(charter, 4)),
+  FarProxy(double bits_per_second, common::Span one_way, std::string const& routing_config, std::size_t inlined)
+      : values(values_of(routing_config, 4)),
         inline_bytes(inlined),
         far(kernel, bits_per_second, one_way,
             [this](std::string const&, schema::Message const& message) { return answer(message); }) {}
@@ -94,8 +94,8 @@
           kernel.now());
     }
     schema::NewsAnswer reply;
-    reply.vouched = true;
-    reply.news = membership::news_for(std::get<schema::NewsAsk>(message), values, inline_bytes);
+    reply.confirmed = true;
+    reply.updates = membership::updates_for(std::get<schema::NewsAsk>(message), values, inline_bytes);
     return reply;
   }
   void ask() {
@@ -127,18 +127,18 @@
       data_plane::put_in(reply, entry.first, entry.second.revision, entry.second.content);
     }
     fetched.clear();
-    for (schema::NamedValue const& news : lease.take(reply, asked, kernel.now())) {
-      (news.name == "charter" ? adopted : evacuated) = kernel.now();
+    for (schema::NamedValue const& updates : lease.take(reply, asked, kernel.now())) {
+      (updates.name == "charter" ? adopted : evacuated) = kernel.now();
     }
-    for (schema::NamedValue const& news : reply.news) {
-      if (news.withheld > 0 && !fetching) {
+    for (schema::NamedValue const& updates : reply.updates) {
+      if (updates.withheld > 0 && !fetching) {
         fetching = true;
         std::shared_ptr<ValueReceiver> const receiver = std::make_shared<ValueReceiver>(
-            schema::TransferKey{news.name, {}, news.revision}, std::vector<std::string>{"t0", "t1", "t2"});
-        far.run(receiver, [this, news](std::optional<std::string> const& bytes) {
+            schema::TransferKey{updates.name, {}, updates.revision}, std::vector<std::string>{"t0", "t1", "t2"});
+        far.run(receiver, [this, updates](std::optional<std::string> const& bytes) {
           fetching = false;
           if (bytes.has_value()) {
-            fetched[news.name] = schema::NamedValue{news.name, news.revision, *bytes, 0};
+            fetched[updates.name] = schema::NamedValue{updates.name, updates.revision, *bytes, 0};
           }
         });
       }
@@ -149,20 +149,20 @@
 TEST(CatchUp, AFurrowHasTheLargestCharterInABoundedTimeOverANarrowWay) {
   for (double const bits : {10e6, 5e6}) {
     common::Span const one_way = common::milliseconds(55);
-    std::string const charter = noise(constants::charter_limit);
-    FarFurrow furrow(bits, one_way, charter, constants::inline_news_bytes);
-    furrow.ask();
-    furrow.kernel.run(common::seconds(60), [] {});
+    std::string const routing_config = noise(constants::routing_config_limit);
+    FarProxy proxy(bits, one_way, routing_config, constants::inline_update_bytes);
+    proxy.ask();
+    proxy.kernel.run(common::seconds(60), [] {});
     // Bytes at the way's pace, a way there and back a piece, and asks beside it:
     // each of some hundred bytes, and the first by three at once.
-    common::Span const bound = static_cast<common::Span>(static_cast<double>(charter.size()) * 8e6 / bits) +
+    common::Span const bound = static_cast<common::Span>(static_cast<double>(routing_config.size()) * 8e6 / bits) +
                                18 * 2 * one_way + constants::lost_patience + constants::ask_least;
     std::printf("[ figure ] furrow, 2 MB over %.0f Mbit/s, 55 ms one way: adopted after %lld ms, bound %lld ms\n",
-                bits / 1e6, static_cast<long long>(furrow.adopted / 1000), static_cast<long long>(bound / 1000));
-    ASSERT_GT(furrow.adopted, 0);
-    EXPECT_LE(furrow.adopted, bound);
-    EXPECT_LT(furrow.evacuated, common::milliseconds(500));  // it does not wait for the charter
-    FarFurrow whole(bits, one_way, charter, constants::frame_limit);
+                bits / 1e6, static_cast<long long>(proxy.adopted / 1000), static_cast<long long>(bound / 1000));
+    ASSERT_GT(proxy.adopted, 0);
+    EXPECT_LE(proxy.adopted, bound);
+    EXPECT_LT(proxy.evacuated, common::milliseconds(500));  // it does not wait for the charter
+    FarProxy whole(bits, one_way, routing_config, constants::frame_limit);
     whole.ask();
     whole.kernel.run(common::seconds(60), [] {});
     EXPECT_EQ(whole.adopted, -1);
--- a/source/tests/platform/notation_test.cpp
+++ b/source/tests/platform/notation_test.cpp
@@ -28,12 +28,12 @@
 }
 
 TEST(PlatformNotation, ReadsACharter) {
-  config::CharterReading const reading = platform::notation().read(whole);
+  config::RoutingConfigReading const reading = platform::notation().read(whole);
   ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
-  schema::Charter const& charter = reading.charter;
-  EXPECT_EQ(charter.number, 7u);
-  ASSERT_EQ(charter.lanes.size(), 2u);
-  schema::Lane const& first = charter.lanes[0];
+  schema::Charter const& routing_config = reading.routing_config;
+  EXPECT_EQ(routing_config.number, 7u);
+  ASSERT_EQ(routing_config.lanes.size(), 2u);
+  schema::Lane const& first = routing_config.lanes[0];
   EXPECT_EQ(first.prefix, "/x/");
   EXPECT_TRUE(first.stream && first.resumable && first.sticky);
   EXPECT_FALSE(first.repeatable);
@@ -42,19 +42,19 @@
   EXPECT_EQ(first.set_point_ms, 1000);
   EXPECT_EQ(first.gap_set_point_ms, 400);
   EXPECT_EQ(first.home_regions, std::vector<std::string>{"dublin"});
-  schema::Lane const& second = charter.lanes[1];
+  schema::Lane const& second = routing_config.lanes[1];
   EXPECT_TRUE(second.repeatable);
   EXPECT_FALSE(second.stream);
   EXPECT_EQ(second.shares, (std::vector<schema::Share>{{"q", 1}}));
   EXPECT_TRUE(second.home_regions.empty());
   EXPECT_EQ(second.dispatches, 1u);
-  ASSERT_EQ(charter.services.size(), 2u);
-  EXPECT_TRUE(charter.services[0].model);
-  EXPECT_EQ(charter.services[0].kept_tokens, 319818u);
-  EXPECT_EQ(charter.services[0].stride, 6u);
-  EXPECT_EQ(charter.services[0].cold_rate, 45);
-  EXPECT_FALSE(charter.services[1].model);
-  EXPECT_EQ(charter.limits.idle_ms, 15000u);
+  ASSERT_EQ(routing_config.services.size(), 2u);
+  EXPECT_TRUE(routing_config.services[0].model);
+  EXPECT_EQ(routing_config.services[0].kept_tokens, 319818u);
+  EXPECT_EQ(routing_config.services[0].stride, 6u);
+  EXPECT_EQ(routing_config.services[0].cold_rate, 45);
+  EXPECT_FALSE(routing_config.services[1].model);
+  EXPECT_EQ(routing_config.limits.idle_ms, 15000u);
 }
 
 TEST(PlatformNotation, NamesWhatIsInvalid) {
@@ -78,14 +78,14 @@
       R"({"revision":9,"upsert":{"channels":[{"name":"r-3","host":"b.example","path_prefix":"/z/","kind":"unsafe","deadline_ms":1.5,"plant":"p"},)"
       R"({"name":"r-1","host":"a.example","path_prefix":"/w/","kind":"stream","deadline_ms":8000,"plant":"p"}]},"remove":{"channels":["r-2","r-none"]}})");
   ASSERT_TRUE(merged.ok()) << merged.status();
-  config::CharterReading const reading = platform::notation().read(*merged);
+  config::RoutingConfigReading const reading = platform::notation().read(*merged);
   ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
-  EXPECT_EQ(reading.charter.number, 9u);
-  ASSERT_EQ(reading.charter.lanes.size(), 2u);
-  EXPECT_EQ(reading.charter.lanes[0].name, "r-1");
-  EXPECT_EQ(reading.charter.lanes[0].prefix, "/w/");
-  EXPECT_EQ(reading.charter.lanes[1].name, "r-3");
-  EXPECT_EQ(reading.charter.lanes[1].deadline_ms, 1.5);
+  EXPECT_EQ(reading.routing_config.number, 9u);
+  ASSERT_EQ(reading.routing_config.lanes.size(), 2u);
+  EXPECT_EQ(reading.routing_config.lanes[0].name, "r-1");
+  EXPECT_EQ(reading.routing_config.lanes[0].prefix, "/w/");
+  EXPECT_EQ(reading.routing_config.lanes[1].name, "r-3");
+  EXPECT_EQ(reading.routing_config.lanes[1].deadline_ms, 1.5);
   // What we don't know stays, number for number.
   absl::StatusOr<common::Tree> const tree = common::read_tree(*merged);
   ASSERT_TRUE(tree.ok());
--- a/source/tests/relay/adopted_checks_test.cpp
+++ b/source/tests/relay/adopted_checks_test.cpp
@@ -9,7 +9,7 @@
 
 using common::Invariant;
 
-schema::Lane lane(std::string const& name, std::string const& host, std::string const& prefix) {
+schema::Lane route(std::string const& name, std::string const& host, std::string const& prefix) {
   schema::Lane made;
   made.name = name;
   made.host = host;
@@ -17,54 +17,54 @@
   return made;
 }
 
-scheduling::LaneBook book_of(std::vector<schema::Lane> lanes) {
-  schema::Charter charter;
-  charter.lanes = std::move(lanes);
-  return scheduling::LaneBook(std::move(charter));
+scheduling::RouteTable route_table_of(std::vector<schema::Lane> lanes) {
+  schema::Charter routing_config;
+  routing_config.lanes = std::move(lanes);
+  return scheduling::RouteTable(std::move(routing_config));
 }
 
 TEST(AdoptedChecks, RoutesThatAllLeadSomewhereViolateNothing) {
-  check_routes(1, book_of({lane("a", "Host.example", "/"), lane("b", "host.example", "/v1/"),
-                           lane("c", "other.example:8080", "/")}));
+  check_routes(1, route_table_of({route("a", "Host.example", "/"), route("b", "host.example", "/v1/"),
+                                  route("c", "other.example:8080", "/")}));
 }
 
 TEST(AdoptedChecks, ARouteThatIsHiddenByAnotherIsSeen) {
   ExpectedViolations const expected({Invariant::routes_complete});
-  check_routes(1, book_of({lane("a", "host.example", "/"), lane("b", "HOST.example", "/")}));
+  check_routes(1, route_table_of({route("a", "host.example", "/"), route("b", "HOST.example", "/")}));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
 TEST(AdoptedChecks, ARouteWhosePrefixDoesNotEndInASlashIsSeen) {
   ExpectedViolations const expected({Invariant::routes_complete});
-  check_routes(1, book_of({lane("a", "host.example", "/"), lane("b", "host.example", "/v1")}));
+  check_routes(1, route_table_of({route("a", "host.example", "/"), route("b", "host.example", "/v1")}));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
 /// What the rules of a charter take and the table of routes can't serve: such a
 /// charter is acknowledged, and the invariant tells.
 TEST(AdoptedChecks, HostsThatDifferInCaseAreTakenAndSeen) {
-  schema::Charter charter;
-  charter.number = 1;
-  charter.services.push_back(schema::Service{});
-  charter.services[0].name = "s";
-  charter.lanes = {lane("a", "host.example", "/"), lane("b", "HOST.example", "/")};
-  for (schema::Lane& entry : charter.lanes) {
+  schema::Charter routing_config;
+  routing_config.number = 1;
+  routing_config.services.push_back(schema::Service{});
+  routing_config.services[0].name = "s";
+  routing_config.lanes = {route("a", "host.example", "/"), route("b", "HOST.example", "/")};
+  for (schema::Lane& entry : routing_config.lanes) {
     entry.shares = {schema::Share{"s", 1}};
     entry.deadline_ms = 1000;
   }
-  EXPECT_TRUE(config::check(charter).empty()) << common::describe(config::check(charter));
+  EXPECT_TRUE(config::check(routing_config).empty()) << common::describe(config::check(routing_config));
   ExpectedViolations const expected({Invariant::routes_complete});
-  check_routes(1, scheduling::LaneBook(charter));
+  check_routes(1, scheduling::RouteTable(routing_config));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
 TEST(AdoptedChecks, ACharterThatIsFoundInvalidIsSeen) {
   config::Notation const notation = config::own_notation();
   schema::NamedValue chosen{"charter", 4, "{\"number\":3,\"lanes\":[],\"services\":[]}", 0};
-  check_charter(chosen, notation.read(chosen.content));
+  check_routing_config(chosen, notation.read(chosen.content));
   ExpectedViolations const expected({Invariant::chosen_content_readable});
   chosen.content = "{\"number\":0}";
-  check_charter(chosen, notation.read(chosen.content));
+  check_routing_config(chosen, notation.read(chosen.content));
   EXPECT_EQ(expected.count(Invariant::chosen_content_readable), 1u);
 }
 
--- a/source/tests/relay/exchange_fuzz_test.cpp
+++ b/source/tests/relay/exchange_fuzz_test.cpp
@@ -15,8 +15,8 @@
 namespace finchlink::relay_test {
 namespace {
 
-constexpr int lane_deadline_ms = 400;
-constexpr double lane_set_point_ms = 80;
+constexpr int route_deadline_ms = 400;
+constexpr double route_set_point_ms = 80;
 constexpr std::size_t callers_at_once = 16;
 constexpr std::size_t workers_of_each_kind = 20;
 constexpr std::uint64_t attempts_most = 3;
@@ -33,7 +33,7 @@
 
 /// What one caller asked, and what both ends saw of it.
 struct Entry {
-  std::string lane;
+  std::string route;
   std::string id;
   std::string body;
   bool head = false;         ///< a HEAD: its answer has no body
@@ -50,8 +50,8 @@
   std::set<std::string> bodies;                ///< whole answers that workers gave
   std::set<std::string> failures;              ///< bodies of 500s
   std::vector<std::shared_ptr<Line>> working;  ///< workers at work on it
-  [[nodiscard]] bool stream() const { return lane == "talk" || lane == "tale"; }
-  [[nodiscard]] bool repeatable() const { return lane == "plain" || lane == "tale"; }
+  [[nodiscard]] bool stream() const { return route == "talk" || route == "tale"; }
+  [[nodiscard]] bool repeatable() const { return route == "plain" || route == "tale"; }
   [[nodiscard]] std::string piece(std::uint64_t number) const {
     std::string const data = "data: " + id + " piece " + std::to_string(number) + "\n\n";
     return numbered ? "id: " + std::to_string(number) + "\n" + data : data;
@@ -79,11 +79,11 @@
 class Play {
  public:
   Play(std::uint64_t seed, std::size_t exchanges) : random_(seed), exchanges_(exchanges) {
-    for (schema::Lane& lane : fleet_.charter.lanes) {
-      lane.deadline_ms = lane_deadline_ms;
-      lane.set_point_ms = lane_set_point_ms;
-      lane.gap_set_point_ms = lane.stream ? lane_set_point_ms : 0;
-      lane.dispatches = attempts_most;
+    for (schema::Lane& route : fleet_.routing_config.lanes) {
+      route.deadline_ms = route_deadline_ms;
+      route.set_point_ms = route_set_point_ms;
+      route.gap_set_point_ms = route.stream ? route_set_point_ms : 0;
+      route.dispatches = attempts_most;
     }
     fleet_.settings.bounds.retry_ratio = 10;
     fleet_.settings.bounds.retry_slack = 1e6;
@@ -195,14 +195,14 @@
     static constexpr char const* lanes[] = {"plain", "once", "talk", "tale"};
     Entry entry;
     entry.id = "q" + std::to_string(++asked_);
-    entry.lane = lanes[below(4)];
+    entry.route = lanes[below(4)];
     entry.head = !entry.stream() && chance(5);
     entry.body = entry.head ? "" : entry.id + std::string(body_size(), 'b');
     entry.events = entry.stream() ? 2 + below(12) : 0;
     entry.numbered = !chance(10);
     entry.behind = entry.stream() && entry.numbered && chance(10) ? 1 + below(entry.events - 1) : 0;
     entry.expects = !entry.head && chance(5);
-    std::string text = std::string(entry.head ? "HEAD" : "POST") + " /" + entry.lane + "/" + entry.id +
+    std::string text = std::string(entry.head ? "HEAD" : "POST") + " /" + entry.route + "/" + entry.id +
                        " HTTP/1.1\r\nHost: h.example\r\n" + with_id(entry.id);
     text += entry.expects ? "Expect: 100-continue\r\n" : "";
     text += entry.behind > 0 ? "Last-Event-ID: " + std::to_string(entry.behind) + "\r\n" : "";
@@ -248,7 +248,7 @@
         return;
       }
       entry.over = true;
-      ++tally_[entry.lane + " " + std::to_string(entry.status)];
+      ++tally_[entry.route + " " + std::to_string(entry.status)];
       caller.waiting.pop_front();
     }
     if (caller.line != nullptr && !caller.line->got.empty()) {
@@ -270,7 +270,7 @@
     }
     for (Entry* const each : caller.waiting) {
       each->over = true;
-      ++tally_[each->lane + (each == &entry && head_end != std::string::npos ? " broken" : " unread")];
+      ++tally_[each->route + (each == &entry && head_end != std::string::npos ? " broken" : " unread")];
     }
     caller.waiting.clear();
     caller.line = nullptr;
@@ -395,13 +395,13 @@
     ASSERT_EQ(ledger_.count(id), 1u) << "a request that nobody sent: " << id;
     Entry& entry = ledger_.at(id);
     EXPECT_EQ(arrival.request.body(), entry.body) << id;
-    EXPECT_EQ(std::string(arrival.request.target()), "/" + entry.lane + "/" + id);
+    EXPECT_EQ(std::string(arrival.request.target()), "/" + entry.route + "/" + id);
     EXPECT_EQ(arrival.header("Expect"), "");
     if (early_.count({arrival.line, id}) > 0) {
       return;
     }
     // Attempts may be seen in another order than they were sent in; the table compares one with the next.
-    EXPECT_LE(std::stoi(arrival.header("Finchlink-Left")), lane_deadline_ms) << id;
+    EXPECT_LE(std::stoi(arrival.header("Finchlink-Left")), route_deadline_ms) << id;
     count_attempt(entry, arrival.line);
     if (entry.head) {
       answer_head_request(entry, arrival.line);
@@ -701,10 +701,10 @@
     for (std::pair<std::string const, Entry> const& each : ledger_) {
       Entry const& entry = each.second;
       if (!entry.repeatable()) {
-        EXPECT_LE(entry.runs, 1u) << entry.id << " of " << entry.lane << " ran twice";
+        EXPECT_LE(entry.runs, 1u) << entry.id << " of " << entry.route << " ran twice";
       }
       if (entry.status == 503 || entry.status == 429 || entry.status == 408 || entry.status == 421) {
-        EXPECT_EQ(entry.runs, 0u) << entry.id << " of " << entry.lane << " was refused and ran";
+        EXPECT_EQ(entry.runs, 0u) << entry.id << " of " << entry.route << " was refused and ran";
       }
     }
   }
--- a/source/tests/relay/exchange_table_test.cpp
+++ b/source/tests/relay/exchange_table_test.cpp
@@ -44,7 +44,7 @@
 struct Cell {
   char const* name;  ///< STATE/EVENT/LANE
   State state;
-  char const* lane;  ///< plain: repeatable, once: not; tale: resumable stream, talk: not
+  char const* route;  ///< plain: repeatable, once: not; tale: resumable stream, talk: not
   std::function<void(Exchange&)> event;
   Outcome outcome;
   std::size_t attempts;    ///< times that the request reached a worker
@@ -68,14 +68,14 @@
 /// One exchange between a scripted caller and scripted workers.
 struct Exchange {
   explicit Exchange(Cell const& of) : cell(of) {
-    for (schema::Lane& lane : fleet.charter.lanes) {
-      lane.deadline_ms = deadline_ms;
-      lane.set_point_ms = set_point_ms;
-      lane.gap_set_point_ms = lane.stream ? set_point_ms : 0;
+    for (schema::Lane& route : fleet.routing_config.lanes) {
+      route.deadline_ms = deadline_ms;
+      route.set_point_ms = set_point_ms;
+      route.gap_set_point_ms = route.stream ? set_point_ms : 0;
     }
-    fleet.charter.limits.body_bytes = 2 * long_body;
+    fleet.routing_config.limits.body_bytes = 2 * long_body;
     service = cell.state == State::mid_stream || cell.state == State::mid_event || cell.state == State::open_stream ||
-                      std::string(cell.lane) == "tale" || std::string(cell.lane) == "talk"
+                      std::string(cell.route) == "tale" || std::string(cell.route) == "talk"
                   ? "pool"
                   : "web";
   }
@@ -116,7 +116,7 @@
   [[nodiscard]] bool streams() const { return service == "pool"; }
 
  private:
-  std::string path() const { return std::string("/") + cell.lane + "/a"; }
+  std::string path() const { return std::string("/") + cell.route + "/a"; }
 
   void bring_into_state() {
     if (cell.state == State::connecting) {
@@ -165,7 +165,7 @@
     for (std::size_t index = 0; index < cell.others; ++index) {
       fleet.worker("w" + std::to_string(index + 2), service);
     }
-    ASSERT_TRUE(fleet.until([this] { return fleet.station->grove().size() == fleet.list.workers.size(); }));
+    ASSERT_TRUE(fleet.until([this] { return fleet.station->balancer().size() == fleet.list.workers.size(); }));
   }
 
   void begin_answer() {
@@ -316,9 +316,9 @@
     if (fleet.workers.empty() || (line == nullptr && cell.others == 0)) {
       return;
     }
-    std::string const lane = service == "pool" ? "/tale/" : "/plain/";
+    std::string const route = service == "pool" ? "/tale/" : "/plain/";
     std::string const next = "next";
-    std::shared_ptr<Line> const other = fleet.call(query(lane + "next", next));
+    std::shared_ptr<Line> const other = fleet.call(query(route + "next", next));
     std::set<std::shared_ptr<Line>> done;
     std::string const good =
         service == "pool" ? stream_head(next) + chunk(event(1)) + last_chunk : success(next, "for the next");
@@ -544,7 +544,7 @@
 }
 /// Kept connection: then the next request comes.
 void next_request(Exchange& exchange) {
-  exchange.caller->send(query(std::string("/") + exchange.cell.lane + "/b", exchange.id, exchange.body));
+  exchange.caller->send(query(std::string("/") + exchange.cell.route + "/b", exchange.id, exchange.body));
   ASSERT_NE(exchange.fleet.holder(2), nullptr);
 }
 void next_after(Exchange& exchange, std::function<void()> const& trouble) {
--- a/source/tests/relay/fleet.hpp
+++ b/source/tests/relay/fleet.hpp
@@ -254,7 +254,7 @@
 class Fleet {
  public:
   Fleet() : context(std::make_unique<asio::io_context>(1)), ip(own_ip()) {
-    trellis_address = next_address();
+    controller_address = next_address();
     settings.name = "furrow-self";
     settings.hall = "north";
     settings.region = "dublin";
@@ -262,14 +262,14 @@
     settings.http_address = next_address();
     settings.ready_address = next_address();
     settings.directory_address = next_address();
-    settings.seeds = {trellis_address};
+    settings.seeds = {controller_address};
     settings.bounds.retry_slack = 64;
     settings.bounds.stop_unvouched = false;
     settings.bounds.directory_ttl_ms = 2000;
-    charter.number = 1;
-    charter.services = {service("web", false), service("pool", true)};
-    charter.lanes = {lane("plain", true, false, false, "web"), lane("once", false, false, false, "web"),
-                     lane("talk", false, true, false, "pool"), lane("tale", false, true, true, "pool")};
+    routing_config.number = 1;
+    routing_config.services = {service("web", false), service("pool", true)};
+    routing_config.lanes = {route("plain", true, false, false, "web"), route("once", false, false, false, "web"),
+                            route("talk", false, true, false, "pool"), route("tale", false, true, true, "pool")};
   }
   ~Fleet() {
     context->stop();
@@ -287,8 +287,8 @@
     entry.kept_tokens = 100000;
     return entry;
   }
-  static schema::Lane lane(std::string const& name, bool repeatable, bool stream, bool resumable,
-                           std::string const& service_name) {
+  static schema::Lane route(std::string const& name, bool repeatable, bool stream, bool resumable,
+                            std::string const& service_name) {
     schema::Lane entry;
     entry.name = name;
     entry.host = "h.example";
@@ -328,28 +328,28 @@
 
   /// The news as they are from now on; revision 0: none.
   void publish(std::string const& name, std::uint64_t revision, std::string const& content) {
-    news[name] = schema::NamedValue{name, revision, content};
+    updates[name] = schema::NamedValue{name, revision, content};
   }
-  void publish_charter(std::uint64_t revision) {
-    common::Tree const tree(schema::write(charter));
-    publish(config::charter_register, revision, common::print_tree(tree.get()));
+  void publish_routing_config(std::uint64_t revision) {
+    common::Tree const tree(schema::write(routing_config));
+    publish(config::routing_config_register, revision, common::print_tree(tree.get()));
   }
 
   /// Starts the relay and waits until it has heard the news.
-  void begin(bool with_charter = true) {
-    if (with_charter) {
-      publish_charter(1);
+  void begin(bool with_routing_config = true) {
+    if (with_routing_config) {
+      publish_routing_config(1);
     }
     EXPECT_TRUE(common::serve_frames(
-                    *context, trellis_address, 64,
+                    *context, controller_address, 64,
                     [this](schema::Message const& message, common::Yield yield) { return answer(message, yield); })
                     .ok());
-    station = std::make_unique<data_plane::Station>(*context, settings, data_plane::own_dialect(),
-                                                    config::own_notation(), nullptr, 7);
+    station = std::make_unique<data_plane::RelayServer>(*context, settings, data_plane::own_dialect(),
+                                                        config::own_notation(), nullptr, 7);
     EXPECT_TRUE(station->begin().ok());
-    if (with_charter) {
-      EXPECT_TRUE(
-          until([this] { return station->book() != nullptr && station->grove().size() == list.workers.size(); }));
+    if (with_routing_config) {
+      EXPECT_TRUE(until(
+          [this] { return station->route_table() != nullptr && station->balancer().size() == list.workers.size(); }));
     }
   }
   /// Waits until the relay has asked and been answered once more.
@@ -424,22 +424,22 @@
 
   std::unique_ptr<asio::io_context> context;
   std::string ip;
-  std::string trellis_address;
+  std::string controller_address;
   schema::Settings settings;
-  schema::Charter charter;
+  schema::Charter routing_config;
   schema::PlatformList list;
   std::uint64_t list_digest = 1;
   common::Span list_age = 0;  ///< below 0: no trellis has read the list yet
   std::vector<schema::Member> members;
   std::uint64_t members_digest = 1;
-  std::map<std::string, schema::NamedValue> news;
+  std::map<std::string, schema::NamedValue> updates;
   bool silent = false;         ///< the trellis says nothing
   std::size_t unanswered = 0;  // asks that the trellis ends unanswered first
-  bool vouched = true;
+  bool confirmed = true;
   std::function<void(schema::NewsAsk const&, schema::NewsAnswer&)> script;  ///< changes what the trellis answers
   std::uint64_t asks = 0;
   std::vector<schema::Member> told;  ///< what the relay said of itself
-  std::unique_ptr<data_plane::Station> station;
+  std::unique_ptr<data_plane::RelayServer> station;
   std::map<std::string, std::unique_ptr<Worker>> workers;
   std::vector<Worker*> order;  ///< whom each query reached, one after the other
   std::vector<std::shared_ptr<Line>> callers;
@@ -453,9 +453,9 @@
     ++asks;
     told.push_back(ask->member);
     schema::NewsAnswer reply;
-    reply.vouched = vouched;
-    for (std::pair<std::string const, schema::NamedValue> const& entry : news) {
-      reply.news.push_back(entry.second);
+    reply.confirmed = confirmed;
+    for (std::pair<std::string const, schema::NamedValue> const& entry : updates) {
+      reply.updates.push_back(entry.second);
     }
     reply.list_age = list_age;
     reply.list_digest = list_digest;
--- a/source/tests/relay/forwarding_test.cpp
+++ b/source/tests/relay/forwarding_test.cpp
@@ -11,9 +11,9 @@
 }
 
 /// A lane on which a request without a worker waits for seconds.
-schema::Lane patient(schema::Lane lane) {
-  lane.set_point_ms = 20000;
-  return lane;
+schema::Lane patient(schema::Lane route) {
+  route.set_point_ms = 20000;
+  return route;
 }
 
 /// What names model, size and parts of a prompt is the client's, also in a
@@ -69,8 +69,8 @@
 /// request back once there is a place again.
 TEST(Forwarding, WhoLeftWhileWaitingForAPlaceIsNotSentOn) {
   Fleet fleet;
-  for (schema::Lane& lane : fleet.charter.lanes) {
-    lane = patient(lane);
+  for (schema::Lane& route : fleet.routing_config.lanes) {
+    route = patient(route);
   }
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -79,13 +79,13 @@
   worker.arrivals.back().line->send(success("q1", "good"));
   ASSERT_EQ(status_of(fleet.answer_on(caller)), 200u);
   fleet.publish(config::evacuated_register, 1, "[\"north\"]");
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->grove().usable("w1"); }));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.station->balancer().usable("w1"); }));
   caller->send(query("/plain/a", "q2", "body"));
   fleet.rest(20);
   caller->close();
   fleet.rest(20);
   fleet.publish(config::evacuated_register, 2, "[]");
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->grove().usable("w1"); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->balancer().usable("w1"); }));
   EXPECT_TRUE(fleet.until([&] { return fleet.station->tally().outcomes["abandoned"] == 1; }, 1000));
   EXPECT_EQ(worker.arrivals.size(), 1u);
   EXPECT_EQ(worker.lines.size(), 1u);
@@ -96,9 +96,9 @@
 TEST(Forwarding, AtTheRoutesDeadlineACallerIsAnswered) {
   constexpr std::uint64_t deadline_ms = 300;
   Fleet fleet;
-  for (schema::Lane& lane : fleet.charter.lanes) {
-    lane = patient(lane);
-    lane.deadline_ms = deadline_ms;
+  for (schema::Lane& route : fleet.routing_config.lanes) {
+    route = patient(route);
+    route.deadline_ms = deadline_ms;
   }
   fleet.begin();
   common::Moment const sent = common::boot_now();
--- a/source/tests/relay/limits_test.cpp
+++ b/source/tests/relay/limits_test.cpp
@@ -10,10 +10,10 @@
 
 /// Publishes the charter again under a number, and waits until it is in force.
 bool put_in_force(Fleet& fleet, std::uint64_t number) {
-  fleet.charter.number = number;
-  fleet.publish_charter(number);
+  fleet.routing_config.number = number;
+  fleet.publish_routing_config(number);
   return fleet.until([&fleet, number] {
-    return fleet.station->book() != nullptr && fleet.station->book()->charter().number == number;
+    return fleet.station->route_table() != nullptr && fleet.station->route_table()->routing_config().number == number;
   });
 }
 
@@ -26,13 +26,13 @@
 TEST(Limits, AConnectionThatRestedOverAChangeKeepsToTheLimitsInForce) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
-  fleet.charter.limits.body_bytes = small_body;
+  fleet.routing_config.limits.body_bytes = small_body;
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
   worker.arrivals.back().line->send(success("q1", "first"));
   ASSERT_EQ(status_of(fleet.answer_on(caller)), 200u);
-  fleet.charter.limits.body_bytes = large_body;
+  fleet.routing_config.limits.body_bytes = large_body;
   ASSERT_TRUE(put_in_force(fleet, 2));
   caller->send(query("/plain/a", "q2", std::string(small_body * 2, 'x')));
   ASSERT_TRUE(fleet.arrived(worker, 2));
@@ -47,7 +47,7 @@
   fleet.begin(false);
   std::shared_ptr<Line> const caller = fleet.call("");
   fleet.rest(20);  // the relay waits for the first byte
-  fleet.charter.limits.body_bytes = small_body;
+  fleet.routing_config.limits.body_bytes = small_body;
   ASSERT_TRUE(put_in_force(fleet, 1));
   caller->send(query("/plain/a", "q1", std::string(small_body * 2, 'x')));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 413u);
--- a/source/tests/relay/prompt_isolation_test.cpp
+++ b/source/tests/relay/prompt_isolation_test.cpp
@@ -16,25 +16,25 @@
 }
 
 /// A relay whose lane "plain" has tenants, with a secrets file.
-struct Walled {
+struct IsolatedPrompt {
   Fleet fleet;
   std::string path;
   Worker* worker = nullptr;
   std::size_t asked = 0;
-  explicit Walled(bool with_secrets = true) {
+  explicit IsolatedPrompt(bool with_secrets = true) {
     path = testing::TempDir() + "finchlink-secrets-" + std::to_string(getpid());
     write(std::string(32, 'a'));
     fleet.settings.secrets_file = with_secrets ? path : "";
     schema::Tenancy tenancy;
     tenancy.header = "Customer";
     tenancy.public_parts = {"p"};
-    fleet.charter.lanes[0].tenancy = tenancy;
-    fleet.charter.lanes[0].shares = {schema::Share{"pool", 1}};
+    fleet.routing_config.lanes[0].tenancy = tenancy;
+    fleet.routing_config.lanes[0].shares = {schema::Share{"pool", 1}};
     worker = &fleet.worker("w1", "pool");
     fleet.begin();
-    EXPECT_TRUE(fleet.until([&] { return fleet.station->walls().keyed() == with_secrets; }));
+    EXPECT_TRUE(fleet.until([&] { return fleet.station->isolation().keyed() == with_secrets; }));
   }
-  ~Walled() { std::remove(path.c_str()); }
+  ~IsolatedPrompt() { std::remove(path.c_str()); }
   void write(std::string const& secret) const { std::ofstream(path) << "{\"current\":\"" << secret << "\"}"; }
   /// Sends a query, answers it, and gives what reached the worker.
   Arrival ask(std::string const& more, std::string const& said = "Finchlink-Weights: v1\r\n",
@@ -54,26 +54,26 @@
 };
 
 TEST(RelayWalls, WithoutATenantItIsRefusedBeforeItsBodyIsRead) {
-  Walled walled;
+  IsolatedPrompt isolated;
   for (std::string const& more : {std::string(), tenant("a") + tenant("b"), tenant(""), tenant("a b")}) {
     std::shared_ptr<Line> const caller =
-        walled.fleet.call("POST /plain/a HTTP/1.1\r\nHost: h.example\r\nFinchlink-Query: q\r\n" + more +
-                          "Content-Length: 100000\r\n\r\n");
-    std::optional<Response> const answer = walled.fleet.answer_on(caller, 2000);
+        isolated.fleet.call("POST /plain/a HTTP/1.1\r\nHost: h.example\r\nFinchlink-Query: q\r\n" + more +
+                            "Content-Length: 100000\r\n\r\n");
+    std::optional<Response> const answer = isolated.fleet.answer_on(caller, 2000);
     ASSERT_TRUE(answer.has_value()) << more;
     EXPECT_EQ(answer->result_int(), 400u) << more;
     EXPECT_EQ((*answer)["Finchlink-Query"], "q");
-    EXPECT_TRUE(walled.fleet.until([&] { return caller->ended; }, 2000)) << "nothing more is read from it";
+    EXPECT_TRUE(isolated.fleet.until([&] { return caller->ended; }, 2000)) << "nothing more is read from it";
   }
-  walled.fleet.rest(50);
-  EXPECT_TRUE(walled.worker->arrivals.empty());
+  isolated.fleet.rest(50);
+  EXPECT_TRUE(isolated.worker->arrivals.empty());
 }
 
 TEST(RelayWalls, ABodyThatComesAnywayDoesNotCostTheAnswer) {
-  Walled walled;
-  std::shared_ptr<Line> const caller = walled.fleet.call(query("/plain/a", "q", std::string(30000, 'x')));
-  walled.fleet.rest(100);
-  std::optional<Response> const answer = walled.fleet.answer_on(caller, 2000);
+  IsolatedPrompt isolated;
+  std::shared_ptr<Line> const caller = isolated.fleet.call(query("/plain/a", "q", std::string(30000, 'x')));
+  isolated.fleet.rest(100);
+  std::optional<Response> const answer = isolated.fleet.answer_on(caller, 2000);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 400u);
 }
@@ -86,12 +86,12 @@
 }
 
 TEST(RelayWalls, ATrailerNamesNoSecondTenant) {
-  Walled walled;
-  std::string const keyed =
-      (walled.ask(tenant("a") + parts("x:100")), walled.ask(tenant("a") + parts("x:100")).header("Finchlink-Parts"));
-  std::shared_ptr<Line> const caller = walled.fleet.call(with_trailer(tenant("a")));
-  ASSERT_TRUE(walled.fleet.arrived(*walled.worker, ++walled.asked));
-  Arrival const& arrival = walled.worker->arrivals.back();
+  IsolatedPrompt isolated;
+  std::string const keyed = (isolated.ask(tenant("a") + parts("x:100")),
+                             isolated.ask(tenant("a") + parts("x:100")).header("Finchlink-Parts"));
+  std::shared_ptr<Line> const caller = isolated.fleet.call(with_trailer(tenant("a")));
+  ASSERT_TRUE(isolated.fleet.arrived(*isolated.worker, ++isolated.asked));
+  Arrival const& arrival = isolated.worker->arrivals.back();
   EXPECT_EQ(arrival.request.count("Customer"), 1u);
   EXPECT_EQ(arrival.request.count("Finchlink-Model"), 1u);
   EXPECT_EQ(arrival.header("Finchlink-Parts"), keyed);
@@ -99,28 +99,29 @@
 
 TEST(RelayWalls, ATrailerNamesNoTenantWhereNoneIsNeeded) {
   // Whoever stands before us sets the header, not what comes behind a body.
-  Walled walled;
-  walled.fleet.charter.lanes[0].tenancy->required = false;
-  walled.fleet.charter.number = 2;
-  walled.fleet.publish_charter(2);
-  ASSERT_TRUE(walled.fleet.until([&] { return walled.fleet.station->book()->charter().number == 2; }));
-  std::string const of_b =
-      (walled.ask(tenant("b") + parts("x:100")), walled.ask(tenant("b") + parts("x:100")).header("Finchlink-Parts"));
-  std::shared_ptr<Line> const caller = walled.fleet.call(with_trailer(""));
-  ASSERT_TRUE(walled.fleet.arrived(*walled.worker, ++walled.asked));
-  EXPECT_NE(walled.worker->arrivals.back().header("Finchlink-Parts"), of_b);
-  EXPECT_EQ(walled.fleet.station->walls().tallies().at("b").queries, 2u);
+  IsolatedPrompt isolated;
+  isolated.fleet.routing_config.lanes[0].tenancy->required = false;
+  isolated.fleet.routing_config.number = 2;
+  isolated.fleet.publish_routing_config(2);
+  ASSERT_TRUE(
+      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  std::string const of_b = (isolated.ask(tenant("b") + parts("x:100")),
+                            isolated.ask(tenant("b") + parts("x:100")).header("Finchlink-Parts"));
+  std::shared_ptr<Line> const caller = isolated.fleet.call(with_trailer(""));
+  ASSERT_TRUE(isolated.fleet.arrived(*isolated.worker, ++isolated.asked));
+  EXPECT_NE(isolated.worker->arrivals.back().header("Finchlink-Parts"), of_b);
+  EXPECT_EQ(isolated.fleet.station->isolation().tallies().at("b").queries, 2u);
 }
 
 TEST(RelayWalls, IdsOfCallersNeverReachWorkers) {
-  Walled walled;
+  IsolatedPrompt isolated;
   std::string const prompt = parts("p:100,x:100,y:100") + "Finchlink-Parts: z:5\r\nFinchlink-Expect-Weights: v9\r\n";
-  Arrival const cold = walled.ask(tenant("a") + prompt);
+  Arrival const cold = isolated.ask(tenant("a") + prompt);
   EXPECT_EQ(cold.header("Finchlink-Expect-Weights"), "");
   EXPECT_EQ(cold.request.count("Finchlink-Parts"), 1u);
-  Arrival const first = walled.ask(tenant("a") + prompt);
-  Arrival const again = walled.ask(tenant("a") + prompt);
-  Arrival const other = walled.ask(tenant("b") + prompt);
+  Arrival const first = isolated.ask(tenant("a") + prompt);
+  Arrival const again = isolated.ask(tenant("a") + prompt);
+  Arrival const other = isolated.ask(tenant("b") + prompt);
   EXPECT_EQ(first.header("Finchlink-Expect-Weights"), "v1");
   EXPECT_EQ(first.header("Finchlink-Parts"), again.header("Finchlink-Parts"));
   std::vector<scheduling::NamedPart> const of_cold = scheduling::named_parts(cold.header("Finchlink-Parts"));
@@ -135,7 +136,7 @@
     EXPECT_NE(of_a[index].id, of_cold[index].id);
     EXPECT_EQ(of_a[index].id.size(), 32u);
   }
-  for (Arrival const& arrival : walled.worker->arrivals) {
+  for (Arrival const& arrival : isolated.worker->arrivals) {
     for (scheduling::NamedPart const& part : scheduling::named_parts(arrival.header("Finchlink-Parts"))) {
       EXPECT_GT(part.id.size(), 16u) << part.id;
     }
@@ -143,126 +144,129 @@
 }
 
 TEST(RelayWalls, AnotherSecretIsAnotherWall) {
-  Walled walled;
+  IsolatedPrompt isolated;
   std::string const prompt = tenant("a") + parts("x:100");
-  (void)walled.ask(prompt);
-  std::string const before = walled.ask(prompt).header("Finchlink-Parts");
-  walled.write(std::string(40, 'b'));
+  (void)isolated.ask(prompt);
+  std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
+  isolated.write(std::string(40, 'b'));
   std::string after = before;
   for (int round = 0; round < 40 && after == before; ++round) {
-    walled.fleet.rest(100);
-    after = walled.ask(prompt).header("Finchlink-Parts");
+    isolated.fleet.rest(100);
+    after = isolated.ask(prompt).header("Finchlink-Parts");
   }
   EXPECT_NE(after, before);
-  walled.write("short");  // changes nothing
-  walled.fleet.rest(1500);
-  EXPECT_EQ(walled.ask(prompt).header("Finchlink-Parts"), after);
+  isolated.write("short");  // changes nothing
+  isolated.fleet.rest(1500);
+  EXPECT_EQ(isolated.ask(prompt).header("Finchlink-Parts"), after);
 }
 
 TEST(RelayWalls, WithoutASecretAllIsCold) {
-  Walled walled(false);
+  IsolatedPrompt isolated(false);
   std::string const prompt = tenant("a") + parts("p:50,x:100");
-  (void)walled.ask(prompt);
-  Arrival const one = walled.ask(prompt);
-  Arrival const two = walled.ask(prompt);
+  (void)isolated.ask(prompt);
+  Arrival const one = isolated.ask(prompt);
+  Arrival const two = isolated.ask(prompt);
   EXPECT_NE(one.header("Finchlink-Parts"), two.header("Finchlink-Parts"));
   EXPECT_EQ(one.header("Finchlink-Parts").find("p:"), std::string::npos);
 }
 
 TEST(RelayWalls, OtherWeightsAreHeardOf) {
-  Walled walled;
+  IsolatedPrompt isolated;
   std::string const prompt = tenant("a") + parts("x:100");
-  (void)walled.ask(prompt);
-  std::string const before = walled.ask(prompt).header("Finchlink-Parts");
-  std::shared_ptr<Line> const caller = walled.fleet.call(query("/plain/a", "other", "body", prompt));
-  ASSERT_TRUE(walled.fleet.arrived(*walled.worker, ++walled.asked));
-  EXPECT_EQ(walled.worker->arrivals.back().header("Finchlink-Expect-Weights"), "v1");
-  walled.worker->arrivals.back().line->send(
+  (void)isolated.ask(prompt);
+  std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
+  std::shared_ptr<Line> const caller = isolated.fleet.call(query("/plain/a", "other", "body", prompt));
+  ASSERT_TRUE(isolated.fleet.arrived(*isolated.worker, ++isolated.asked));
+  EXPECT_EQ(isolated.worker->arrivals.back().header("Finchlink-Expect-Weights"), "v1");
+  isolated.worker->arrivals.back().line->send(
       "HTTP/1.1 421 Misdirected Request\r\n" + with_id("other") +
       "Finchlink-Refused: 1\r\nFinchlink-Weights: v2\r\nContent-Length: 0\r\n\r\n");
-  std::optional<Response> const answer = walled.fleet.answer_on(caller);
+  std::optional<Response> const answer = isolated.fleet.answer_on(caller);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 503u) << "no other worker was there, and nothing ran";
-  walled.fleet.rest(250);
-  Arrival const after = walled.ask(prompt, "Finchlink-Weights: v2\r\n");
+  isolated.fleet.rest(250);
+  Arrival const after = isolated.ask(prompt, "Finchlink-Weights: v2\r\n");
   EXPECT_EQ(after.header("Finchlink-Expect-Weights"), "v2");
   EXPECT_NE(after.header("Finchlink-Parts"), before);
 }
 
 TEST(RelayWalls, OtherSpellingsOfOurNamesDoNotReachWorkers) {
   // Some servers take "_" for "-" in a field's name.
-  Walled walled;
+  IsolatedPrompt isolated;
   Arrival const arrival =
-      walled.ask("CUSTOMER:   a  \r\n" + parts("x:100") +
-                 "Finchlink_Parts: y:100\r\nfinchlink_expect-weights: v9\r\nFINCHLINK-PARTS: z:5\r\n");
+      isolated.ask("CUSTOMER:   a  \r\n" + parts("x:100") +
+                   "Finchlink_Parts: y:100\r\nfinchlink_expect-weights: v9\r\nFINCHLINK-PARTS: z:5\r\n");
   EXPECT_EQ(arrival.request.count("Finchlink_Parts"), 0u);
   EXPECT_EQ(arrival.request.count("finchlink_expect-weights"), 0u);
   EXPECT_EQ(arrival.request.count("Finchlink-Parts"), 1u);
-  EXPECT_EQ(walled.fleet.station->walls().tallies().at("a").queries, 1u);
+  EXPECT_EQ(isolated.fleet.station->isolation().tallies().at("a").queries, 1u);
 }
 
 TEST(RelayWalls, IdsDoNotComeBackToCallers) {
-  Walled walled;
-  (void)walled.ask(tenant("a") + parts("x:100"));
-  std::shared_ptr<Line> const caller = walled.fleet.call(query("/plain/a", "echo", "", tenant("a") + parts("x:100")));
-  ASSERT_TRUE(walled.fleet.arrived(*walled.worker, ++walled.asked));
-  std::string const ids = walled.worker->arrivals.back().header("Finchlink-Parts");
-  walled.worker->arrivals.back().line->send(
+  IsolatedPrompt isolated;
+  (void)isolated.ask(tenant("a") + parts("x:100"));
+  std::shared_ptr<Line> const caller = isolated.fleet.call(query("/plain/a", "echo", "", tenant("a") + parts("x:100")));
+  ASSERT_TRUE(isolated.fleet.arrived(*isolated.worker, ++isolated.asked));
+  std::string const ids = isolated.worker->arrivals.back().header("Finchlink-Parts");
+  isolated.worker->arrivals.back().line->send(
       success("echo", "good", "Finchlink-Weights: v1\r\nFinchlink-Parts: " + ids + "\r\n"));
-  std::optional<Response> const answer = walled.fleet.answer_on(caller);
+  std::optional<Response> const answer = isolated.fleet.answer_on(caller);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 200u);
   EXPECT_EQ(answer->count("Finchlink-Parts"), 0u);
 }
 
 TEST(RelayWalls, TwoModelsAreAModelOfTheirOwn) {
-  Walled walled;
-  (void)walled.ask(tenant("a") + parts("x:100"));
-  std::string const one = walled.ask(tenant("a") + parts("x:100")).header("Finchlink-Parts");
-  EXPECT_NE(walled.ask(tenant("a") + parts("x:100") + "Finchlink-Model: n\r\n").header("Finchlink-Parts"), one);
+  IsolatedPrompt isolated;
+  (void)isolated.ask(tenant("a") + parts("x:100"));
+  std::string const one = isolated.ask(tenant("a") + parts("x:100")).header("Finchlink-Parts");
+  EXPECT_NE(isolated.ask(tenant("a") + parts("x:100") + "Finchlink-Model: n\r\n").header("Finchlink-Parts"), one);
 }
 
 TEST(RelayWalls, AWorkerThatRanForOtherWeightsIsTold) {
-  Walled walled;
+  IsolatedPrompt isolated;
   std::string const prompt = tenant("a") + parts("x:100");
-  (void)walled.ask(prompt);
-  std::string const before = walled.ask(prompt).header("Finchlink-Parts");
-  (void)walled.ask(prompt, "Finchlink-Weights: v2\r\n");
-  EXPECT_EQ(walled.fleet.station->walls().other_weights(), 1u);
-  EXPECT_NE(data_plane::print_wall_metrics(walled.fleet.station->walls()).find("relay_wall_other_weights_total 1\n"),
+  (void)isolated.ask(prompt);
+  std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
+  (void)isolated.ask(prompt, "Finchlink-Weights: v2\r\n");
+  EXPECT_EQ(isolated.fleet.station->isolation().other_weights(), 1u);
+  EXPECT_NE(data_plane::print_isolation_metrics(isolated.fleet.station->isolation())
+                .find("relay_wall_other_weights_total 1\n"),
             std::string::npos);
-  (void)walled.ask(prompt, "Finchlink-Weights: v1\r\n");  // it goes back, and is alarmed of again
-  Arrival const cold = walled.ask(prompt, "Finchlink-Weights: v1\r\n");
+  (void)isolated.ask(prompt, "Finchlink-Weights: v1\r\n");  // it goes back, and is alarmed of again
+  Arrival const cold = isolated.ask(prompt, "Finchlink-Weights: v1\r\n");
   EXPECT_NE(cold.header("Finchlink-Parts"), before) << "what is kept under v1's ids is not known";
   EXPECT_EQ(cold.header("Finchlink-Expect-Weights"), "");
 }
 
 TEST(RelayWalls, CustomerSevenAndRiderSevenAreTwo) {
-  Walled walled;
+  IsolatedPrompt isolated;
   schema::Tenancy by_path;
   by_path.path_segment = 2;
-  walled.fleet.charter.lanes[1].tenancy = by_path;
-  walled.fleet.charter.lanes[1].shares = {schema::Share{"pool", 1}};
-  walled.fleet.charter.number = 2;
-  walled.fleet.publish_charter(2);
-  ASSERT_TRUE(walled.fleet.until([&] { return walled.fleet.station->book()->charter().number == 2; }));
-  (void)walled.ask(tenant("7") + parts("x:100"));
-  std::string const of_customer = walled.ask(tenant("7") + parts("x:100")).header("Finchlink-Parts");
-  Arrival const of_rider = walled.ask(parts("x:100"), "Finchlink-Weights: v1\r\n", "/once/7");
+  isolated.fleet.routing_config.lanes[1].tenancy = by_path;
+  isolated.fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
+  isolated.fleet.routing_config.number = 2;
+  isolated.fleet.publish_routing_config(2);
+  ASSERT_TRUE(
+      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  (void)isolated.ask(tenant("7") + parts("x:100"));
+  std::string const of_customer = isolated.ask(tenant("7") + parts("x:100")).header("Finchlink-Parts");
+  Arrival const of_rider = isolated.ask(parts("x:100"), "Finchlink-Weights: v1\r\n", "/once/7");
   EXPECT_EQ(of_rider.header("Finchlink-Expect-Weights"), "v1") << "keyed";
   EXPECT_NE(of_rider.header("Finchlink-Parts"), of_customer);
 }
 
 TEST(RelayWalls, ALaneWithoutTenantsSendsWhatItsCallersSay) {
   // Its ids are its callers' own; 128 bits of a keyed hash they can't make.
-  Walled walled;
-  walled.fleet.charter.lanes[1].shares = {schema::Share{"pool", 1}};
-  walled.fleet.charter.number = 2;
-  walled.fleet.publish_charter(2);
-  ASSERT_TRUE(walled.fleet.until([&] { return walled.fleet.station->book()->charter().number == 2; }));
-  (void)walled.ask(tenant("a") + parts("p:50,x:100"));
-  std::string const of_a = walled.ask(tenant("a") + parts("p:50,x:100")).header("Finchlink-Parts");
-  EXPECT_EQ(walled.ask(parts("p:50,x:100"), "Finchlink-Weights: v1\r\n", "/once/a").header("Finchlink-Parts"),
+  IsolatedPrompt isolated;
+  isolated.fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
+  isolated.fleet.routing_config.number = 2;
+  isolated.fleet.publish_routing_config(2);
+  ASSERT_TRUE(
+      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  (void)isolated.ask(tenant("a") + parts("p:50,x:100"));
+  std::string const of_a = isolated.ask(tenant("a") + parts("p:50,x:100")).header("Finchlink-Parts");
+  EXPECT_EQ(isolated.ask(parts("p:50,x:100"), "Finchlink-Weights: v1\r\n", "/once/a").header("Finchlink-Parts"),
             "p:50,x:100")
       << "not even public parts are shared with it";
   for (scheduling::NamedPart const& part : scheduling::named_parts(of_a)) {
@@ -277,11 +281,11 @@
   fleet.settings.secrets_file = path;
   schema::Tenancy tenancy;
   tenancy.header = "Customer";
-  fleet.charter.lanes[3].tenancy = tenancy;
+  fleet.routing_config.lanes[3].tenancy = tenancy;
   fleet.worker("w1", "pool");
   fleet.worker("w2", "pool");
   fleet.begin();
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->walls().keyed(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->isolation().keyed(); }));
   std::size_t seen = 0;
   std::function<std::string(std::string const&, std::string const&, Worker*)> const whole =
       [&](std::string const& name, std::string const& version, Worker* wanted) {
@@ -330,44 +334,46 @@
 }
 
 TEST(RelayWalls, ACrossingIsCountedAndTold) {
-  Walled walled;
-  (void)walled.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 100\r\n");
-  EXPECT_EQ(walled.fleet.station->walls().crossings(), 1u);
-  EXPECT_NE(data_plane::print_wall_metrics(walled.fleet.station->walls()).find("relay_wall_crossings_total 1\n"),
-            std::string::npos);
-  (void)walled.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 0\r\n");
-  (void)walled.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 200\r\n");
-  EXPECT_EQ(walled.fleet.station->walls().crossings(), 1u) << "its own is no crossing";
-  scheduling::TenantTally const tally = walled.fleet.station->walls().tallies().at("a");
+  IsolatedPrompt isolated;
+  (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 100\r\n");
+  EXPECT_EQ(isolated.fleet.station->isolation().crossings(), 1u);
+  EXPECT_NE(
+      data_plane::print_isolation_metrics(isolated.fleet.station->isolation()).find("relay_wall_crossings_total 1\n"),
+      std::string::npos);
+  (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 0\r\n");
+  (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 200\r\n");
+  EXPECT_EQ(isolated.fleet.station->isolation().crossings(), 1u) << "its own is no crossing";
+  scheduling::TenantTally const tally = isolated.fleet.station->isolation().tallies().at("a");
   EXPECT_EQ(tally.queries, 3u);
   EXPECT_EQ(tally.cold, 1u);
   EXPECT_EQ(tally.reused, 300);
 }
 
 TEST(RelayWalls, LanesWithoutTenantsAreAsBefore) {
-  Walled walled;
-  walled.fleet.charter.lanes[0].tenancy.reset();
-  walled.fleet.charter.number = 2;
-  walled.fleet.publish_charter(2);
-  ASSERT_TRUE(walled.fleet.until([&] { return walled.fleet.station->book()->charter().number == 2; }));
-  Arrival const arrival = walled.ask(parts("x:100,y:100"));
+  IsolatedPrompt isolated;
+  isolated.fleet.routing_config.lanes[0].tenancy.reset();
+  isolated.fleet.routing_config.number = 2;
+  isolated.fleet.publish_routing_config(2);
+  ASSERT_TRUE(
+      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  Arrival const arrival = isolated.ask(parts("x:100,y:100"));
   EXPECT_EQ(arrival.header("Finchlink-Parts"), "x:100,y:100");
   EXPECT_EQ(arrival.header("Finchlink-Expect-Weights"), "");
-  EXPECT_TRUE(walled.fleet.station->walls().tallies().empty());
+  EXPECT_TRUE(isolated.fleet.station->isolation().tallies().empty());
 }
 
 TEST(RelayWalls, ACharterThatWantsATenantMeanwhileDecides) {
   Fleet fleet;
-  fleet.charter.lanes[0].set_point_ms = 20000;  // it may wait for a place
-  fleet.charter.lanes[0].deadline_ms = 10000;
+  fleet.routing_config.lanes[0].set_point_ms = 20000;  // it may wait for a place
+  fleet.routing_config.lanes[0].deadline_ms = 10000;
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "x"));
   fleet.rest(50);
   schema::Tenancy tenancy;
   tenancy.header = "Customer";
-  fleet.charter.lanes[0].tenancy = tenancy;
-  fleet.charter.number = 2;
-  fleet.publish_charter(2);
+  fleet.routing_config.lanes[0].tenancy = tenancy;
+  fleet.routing_config.number = 2;
+  fleet.publish_routing_config(2);
   std::optional<Response> const answer = fleet.answer_on(caller);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 400u);
@@ -377,8 +383,8 @@
   Fleet fleet;
   schema::Tenancy tenancy;
   tenancy.header = "Customer";
-  fleet.charter.lanes[0].tenancy = tenancy;
-  fleet.charter.tenants = {schema::Tenant{"corkonian", {"cork"}}};
+  fleet.routing_config.lanes[0].tenancy = tenancy;
+  fleet.routing_config.tenants = {schema::Tenant{"corkonian", {"cork"}}};
   Worker& near = fleet.worker("w1", "web", "north");
   Worker& away = fleet.worker("w2", "web", "far");
   fleet.begin();
--- a/source/tests/relay/relay_server_test.cpp
+++ b/source/tests/relay/relay_server_test.cpp
@@ -38,7 +38,7 @@
   return entry;
 }
 
-TEST(Station, WithoutACharterNothingIsPromisedButToComeBack) {
+TEST(RelayServer, WithoutACharterNothingIsPromisedButToComeBack) {
   Fleet fleet;
   fleet.worker("w1");
   fleet.begin(false);
@@ -47,37 +47,37 @@
   EXPECT_EQ(status_of(answer), 503u);
   EXPECT_GT(std::stod(text_of(answer, "Retry-After")), 0);
   EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q1");
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
   EXPECT_EQ(readiness(fleet), 200u);
 }
 
-TEST(Station, AQueryWaitsAMomentForTheFirstCharter) {
+TEST(RelayServer, AQueryWaitsAMomentForTheFirstCharter) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
-  fleet.station->charter_hold = common::seconds(60);
+  fleet.station->routing_config_hold = common::seconds(60);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   ASSERT_TRUE(fleet.arrived(worker, 1));
   worker.arrivals.back().line->send(success("q1", "in time"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
 }
 
-TEST(Station, WithoutACharterItWaitsNoLongerThanItsHold) {
+TEST(RelayServer, WithoutACharterItWaitsNoLongerThanItsHold) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
-  ASSERT_EQ(fleet.station->charter_hold, common::constants::charter_hold);
+  ASSERT_EQ(fleet.station->routing_config_hold, common::constants::routing_config_hold);
   ASSERT_TRUE(fleet.until([&] { return fleet.asks > 0; }));  // a trellis answers, and has none
   common::Moment const sent = common::boot_now();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   std::optional<Response> const answer = fleet.answer_on(caller);
-  EXPECT_GE(common::boot_now() - sent, common::constants::charter_hold);  // it was waited for
+  EXPECT_GE(common::boot_now() - sent, common::constants::routing_config_hold);  // it was waited for
   EXPECT_EQ(status_of(answer), 503u);
   EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q1");
   // Final: the charter that comes a moment later doesn't bring it to a worker.
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
   fleet.hear();
   EXPECT_TRUE(worker.arrivals.empty());
@@ -85,7 +85,7 @@
   EXPECT_TRUE(fleet.arrived(worker, 1));
 }
 
-TEST(Station, TheFirstCharterDoesNotWaitForASilentTrellis) {
+TEST(RelayServer, TheFirstCharterDoesNotWaitForASilentTrellis) {
   // Two of three seeds are there and say nothing, the third tells: all are asked at once.
   Fleet fleet;
   fleet.worker("w1");
@@ -96,7 +96,7 @@
                                 fleet.ip + ":" + std::to_string(silent->local_endpoint().port()));
   }
   fleet.settings.bounds.ask_deadline_ms = 60000;
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   fleet.begin(false);
   ASSERT_TRUE(fleet.until([&] { return fleet.asks > 0; }));
   for (asio::ip::tcp::acceptor* const silent : {&one, &two}) {
@@ -109,14 +109,14 @@
   EXPECT_EQ(fleet.told.front().held.count("charter"), 0u);
 }
 
-TEST(Station, ATrellisThatComesUpIsAskedWhileAnotherHoldsItsAnswer) {
+TEST(RelayServer, ATrellisThatComesUpIsAskedWhileAnotherHoldsItsAnswer) {
   common::Bell never;
   std::size_t held = 0;
   Fleet fleet;
   fleet.worker("w1");
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   std::string const holding = fleet.next_address();
-  fleet.settings.seeds = {holding, fleet.trellis_address};
+  fleet.settings.seeds = {holding, fleet.controller_address};
   fleet.settings.bounds.ask_deadline_ms = 600000;
   ASSERT_TRUE(common::serve_frames(*fleet.context, holding, 8,
                                    [&](schema::Message const&, common::Yield yield) -> std::optional<schema::Message> {
@@ -132,15 +132,15 @@
   EXPECT_EQ(held, 1u);
 }
 
-TEST(Station, AQueryWaitsAMomentForTheFirstListAndOnlyForThis) {
+TEST(RelayServer, AQueryWaitsAMomentForTheFirstListAndOnlyForThis) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.list_age = -1;
   fleet.begin(false);
-  fleet.station->charter_hold = common::seconds(60);
+  fleet.station->routing_config_hold = common::seconds(60);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
-  fleet.publish_charter(1);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->book() != nullptr; }));
+  fleet.publish_routing_config(1);
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table() != nullptr; }));
   EXPECT_FALSE(fleet.station->begun());
   fleet.list_age = 0;
   ++fleet.list_digest;
@@ -153,34 +153,34 @@
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/b", "q2")))), 503u);
 }
 
-TEST(Station, AnOlderCharterIsNeverAdopted) {
+TEST(RelayServer, AnOlderCharterIsNeverAdopted) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
-  schema::Charter const older = fleet.charter;
-  fleet.charter.number = 2;
-  fleet.charter.lanes.erase(fleet.charter.lanes.begin());
-  fleet.publish_charter(2);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->book()->charter().number == 2; }));
-  fleet.charter = older;  // a trellis that was out of touch
-  fleet.publish_charter(1);
+  schema::Charter const older = fleet.routing_config;
+  fleet.routing_config.number = 2;
+  fleet.routing_config.lanes.erase(fleet.routing_config.lanes.begin());
+  fleet.publish_routing_config(2);
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table()->routing_config().number == 2; }));
+  fleet.routing_config = older;  // a trellis that was out of touch
+  fleet.publish_routing_config(1);
   fleet.hear();
-  EXPECT_EQ(fleet.station->book()->charter().number, 2u);
+  EXPECT_EQ(fleet.station->route_table()->routing_config().number, 2u);
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/a", "q1")))), 404u);
   EXPECT_TRUE(worker.arrivals.empty());
   EXPECT_EQ(fleet.told.back().held.at("charter"), 2u);
 }
 
-TEST(Station, OneThatHasJustStartedServesNobodyByTheWordOfATrellisThatIsCutOff) {
+TEST(RelayServer, OneThatHasJustStartedServesNobodyByTheWordOfATrellisThatIsCutOff) {
   Fleet fleet;
   Worker& north = fleet.worker("w1", "web", "north");
   Worker& south = fleet.worker("w2", "web", "south");
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   fleet.publish("evacuated", 1, "[]");  // the others have emptied the north since
-  fleet.vouched = false;
+  fleet.confirmed = false;
   fleet.begin(false);
   fleet.hear();
-  EXPECT_EQ(fleet.station->book(), nullptr);
+  EXPECT_EQ(fleet.station->route_table(), nullptr);
   std::optional<Response> const refused = fleet.answer_on(fleet.call(query("/plain/a", "q1")));
   EXPECT_EQ(status_of(refused), 503u);
   EXPECT_GT(std::stod(text_of(refused, "Retry-After")), 0);
@@ -189,11 +189,11 @@
   EXPECT_TRUE(north.arrivals.empty());
   EXPECT_TRUE(south.arrivals.empty());
   EXPECT_EQ(fleet.told.back().held.count("charter"), 0u);  // whoever vouches tells it all
-  fleet.charter.number = 2;
-  fleet.charter.lanes[0] = Fleet::lane("new", true, false, false, "web");
-  fleet.publish_charter(2);
+  fleet.routing_config.number = 2;
+  fleet.routing_config.lanes[0] = Fleet::route("new", true, false, false, "web");
+  fleet.publish_routing_config(2);
   fleet.publish("evacuated", 2, "[\"north\"]");
-  fleet.vouched = true;
+  fleet.confirmed = true;
   ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
   std::shared_ptr<Line> const caller = fleet.call(query("/new/a", "q3"));
   ASSERT_TRUE(fleet.arrived(south, 1));
@@ -203,13 +203,13 @@
   EXPECT_TRUE(north.arrivals.empty());
 }
 
-TEST(Station, WithoutAMajorityForLongOneThatHasJustStartedServesWhatItCanAndRefusesNothingForGood) {
+TEST(RelayServer, WithoutAMajorityForLongOneThatHasJustStartedServesWhatItCanAndRefusesNothingForGood) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
-  fleet.publish_charter(1);
-  fleet.vouched = false;
+  fleet.publish_routing_config(1);
+  fleet.confirmed = false;
   fleet.begin(false);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->book() != nullptr; }, 30000));
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table() != nullptr; }, 30000));
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
   last(&worker).line->send(success("q1", "good"));
@@ -219,35 +219,35 @@
   EXPECT_GT(std::stod(text_of(refused, "Retry-After")), 0);
   EXPECT_EQ(text_of(refused, "Finchlink-Query"), "q2");
   EXPECT_EQ(readiness(fleet), 503u);
-  fleet.vouched = true;
+  fleet.confirmed = true;
   ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/new/a", "q3")))), 404u);
 }
 
-TEST(Station, ALaneThatAnUnvouchedCharterDropsIsRefusedWithATime) {
+TEST(RelayServer, ALaneThatAnUnvouchedCharterDropsIsRefusedWithATime) {
   Fleet fleet;
-  fleet.charter.lanes[1].set_point_ms = 60000;  // a query may wait for a place
-  fleet.charter.lanes[1].deadline_ms = 30000;
-  fleet.publish_charter(1);
-  fleet.vouched = false;
+  fleet.routing_config.lanes[1].set_point_ms = 60000;  // a query may wait for a place
+  fleet.routing_config.lanes[1].deadline_ms = 30000;
+  fleet.publish_routing_config(1);
+  fleet.confirmed = false;
   fleet.begin(false);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->book() != nullptr; }, 30000));
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table() != nullptr; }, 30000));
   std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "x"));
   fleet.rest(50);
   EXPECT_TRUE(caller->got.empty());
-  fleet.charter.lanes.erase(fleet.charter.lanes.begin() + 1);
-  fleet.charter.number = 2;
-  fleet.publish_charter(2);
+  fleet.routing_config.lanes.erase(fleet.routing_config.lanes.begin() + 1);
+  fleet.routing_config.number = 2;
+  fleet.publish_routing_config(2);
   std::optional<Response> const refused = fleet.answer_on(caller);
   EXPECT_EQ(status_of(refused), 503u);  // a third one may have it again
   EXPECT_GT(std::stod(text_of(refused, "Retry-After")), 0);
 }
 
-TEST(Station, SeedsThatAreAllCutOffNameTheOthers) {
+TEST(RelayServer, SeedsThatAreAllCutOffNameTheOthers) {
   // Seven trellises, the three seeds on the small side of a cut: they know the others, who vouch.
   Fleet fleet;
   fleet.worker("w1");
-  fleet.publish_charter(1);
+  fleet.publish_routing_config(1);
   std::string const cut_off = fleet.next_address();
   fleet.settings.seeds = {cut_off};
   std::size_t asked = 0;
@@ -256,7 +256,7 @@
                                      ++asked;
                                      schema::NewsAnswer answer;
                                      answer.list_age = -1;
-                                     answer.colleagues = {cut_off, fleet.trellis_address};
+                                     answer.peers = {cut_off, fleet.controller_address};
                                      return answer;
                                    })
                   .ok());
@@ -265,7 +265,7 @@
   EXPECT_GE(asked, 1u);
 }
 
-TEST(Station, OutOfTouchItServesOnWithTheNewestItKnows) {
+TEST(RelayServer, OutOfTouchItServesOnWithTheNewestItKnows) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -277,23 +277,23 @@
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
 }
 
-TEST(Station, ALaneRemovedWhileAQueryWaitsIsNotServed) {
+TEST(RelayServer, ALaneRemovedWhileAQueryWaitsIsNotServed) {
   for (bool const moved : {false, true}) {
     Fleet fleet;
-    fleet.charter.lanes[1].set_point_ms = 20000;  // it may wait for a place
-    fleet.charter.lanes[1].deadline_ms = 10000;
+    fleet.routing_config.lanes[1].set_point_ms = 20000;  // it may wait for a place
+    fleet.routing_config.lanes[1].deadline_ms = 10000;
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "x"));
     fleet.rest(50);
     EXPECT_TRUE(caller->got.empty());
     if (moved) {  // to another service, which has a worker
-      fleet.charter.lanes[1].shares = {schema::Share{"pool", 1}};
+      fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
     } else {
-      fleet.charter.lanes.erase(fleet.charter.lanes.begin() + 1);
+      fleet.routing_config.lanes.erase(fleet.routing_config.lanes.begin() + 1);
     }
-    fleet.charter.number = 2;
-    fleet.publish_charter(2);
-    ASSERT_TRUE(fleet.until([&] { return fleet.station->book()->charter().number == 2; }));
+    fleet.routing_config.number = 2;
+    fleet.publish_routing_config(2);
+    ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table()->routing_config().number == 2; }));
     Worker& web = fleet.worker("w1", "web");
     Worker& pool = fleet.worker("m1", "pool");
     if (moved) {
@@ -307,7 +307,7 @@
   }
 }
 
-TEST(Station, AnEvacuatedHallAndADrainingWorkerGetNothing) {
+TEST(RelayServer, AnEvacuatedHallAndADrainingWorkerGetNothing) {
   Fleet fleet;
   Worker& north = fleet.worker("w1", "web", "north");
   Worker& south = fleet.worker("w2", "web", "south");
@@ -317,7 +317,7 @@
   fleet.list.workers[2].draining = true;
   ++fleet.list_digest;
   ASSERT_TRUE(
-      fleet.until([&] { return !fleet.station->grove().usable("w1") && !fleet.station->grove().usable("w3"); }));
+      fleet.until([&] { return !fleet.station->balancer().usable("w1") && !fleet.station->balancer().usable("w3"); }));
   for (std::size_t count = 1; count <= 3; ++count) {
     std::string const id = "q" + std::to_string(count);
     std::shared_ptr<Line> const caller = fleet.call(query("/once/a", id));
@@ -326,12 +326,12 @@
     EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
   }
   fleet.publish("evacuated", 2, "[]");
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->grove().usable("w1"); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->balancer().usable("w1"); }));
   EXPECT_TRUE(north.arrivals.empty());
   EXPECT_TRUE(leaving.arrivals.empty());
 }
 
-TEST(Station, AWorkerThatLeftTheListIsNotAskedOnAKeptConnection) {
+TEST(RelayServer, AWorkerThatLeftTheListIsNotAskedOnAKeptConnection) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -342,14 +342,14 @@
   fleet.list.workers[0].id = "w1-again";  // the same address, another life
   fleet.list.workers[0].service = "pool";
   ++fleet.list_digest;
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->grove().serves("w1-again", "pool"); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.station->balancer().serves("w1-again", "pool"); }));
   EXPECT_TRUE(fleet.until([&] { return worker.lines[0]->ended; }, 1000));
   caller->send(query("/plain/b", "q2"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 503u);
   EXPECT_EQ(worker.arrivals.size(), 1u);
 }
 
-TEST(Station, WhatLeadsOnFromItsListIsTakenAndWhatLeadsElsewhereIsAskedForWhole) {
+TEST(RelayServer, WhatLeadsOnFromItsListIsTakenAndWhatLeadsElsewhereIsAskedForWhole) {
   Fleet fleet;
   (void)fleet.worker("w1", "web", "north");
   (void)fleet.worker("w2", "web", "south");
@@ -368,22 +368,23 @@
     }
   };
   fleet.begin();
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->grove().usable("w1") && fleet.station->grove().usable("w2"); }));
+  ASSERT_TRUE(
+      fleet.until([&] { return fleet.station->balancer().usable("w1") && fleet.station->balancer().usable("w2"); }));
   std::size_t const whole = asked.size();
   fleet.list.workers.erase(fleet.list.workers.begin());
   gone = "w1";
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->grove().serves("w1", "web"); }));
-  EXPECT_TRUE(fleet.station->grove().usable("w2"));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.station->balancer().serves("w1", "web"); }));
+  EXPECT_TRUE(fleet.station->balancer().usable("w2"));
   EXPECT_EQ(std::count(asked.begin() + static_cast<std::ptrdiff_t>(whole), asked.end(), 0u), 0);
   // Another teller's word that does not lead where it says.
   fleet.list.workers.clear();
   wrong = true;
   std::size_t const before = asked.size();
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->grove().serves("w2", "web"); }));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.station->balancer().serves("w2", "web"); }));
   EXPECT_GE(std::count(asked.begin() + static_cast<std::ptrdiff_t>(before), asked.end(), 0u), 1);
 }
 
-TEST(Station, LeavingIsToldThoughNewsReplaceItsTrellisesMeanwhile) {
+TEST(RelayServer, LeavingIsToldThoughNewsReplaceItsTrellisesMeanwhile) {
   // The first trellis holds that word while news from the last make the list of
   // trellises anew; the second then still hears it (incident 0012).
   Fleet fleet;
@@ -395,7 +396,7 @@
   common::Bell release;
   std::string const holding = fleet.next_address();
   std::string const second = fleet.next_address();
-  fleet.settings.seeds = {holding, second, fleet.trellis_address};
+  fleet.settings.seeds = {holding, second, fleet.controller_address};
   ASSERT_TRUE(common::serve_frames(*fleet.context, holding, 8,
                                    [&](schema::Message const&, common::Yield yield) -> std::optional<schema::Message> {
                                      held += leaving ? 1 : 0;
@@ -424,7 +425,7 @@
   EXPECT_TRUE(fleet.until([&] { return heard > 0; }));
 }
 
-TEST(Station, DrainingItServesOnAndSaysSo) {
+TEST(RelayServer, DrainingItServesOnAndSaysSo) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.members = {member("furrow-self", "north", fleet.settings.http_address), member("other", "north", "10.0.0.1:1")};
@@ -453,7 +454,7 @@
   EXPECT_TRUE(fleet.station->busy());
 }
 
-TEST(Station, TheDirectoryNamesReadyFurrowsNearOnesFirst) {
+TEST(RelayServer, TheDirectoryNamesReadyFurrowsNearOnesFirst) {
   Fleet fleet;
   fleet.worker("w1");
   fleet.begin();
@@ -487,7 +488,7 @@
   EXPECT_TRUE(fleet.arrived(worker, 1));
 }
 
-TEST(Station, AHeadOfOursHasNoBody) {
+TEST(RelayServer, AHeadOfOursHasNoBody) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -507,7 +508,7 @@
 
 TEST(Limits, TooLargeHeadersAndWhatIsNoHeader) {
   Fleet fleet;
-  fleet.charter.limits.header_bytes = 4096;
+  fleet.routing_config.limits.header_bytes = 4096;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
   EXPECT_EQ(
@@ -524,7 +525,7 @@
 
 TEST(Limits, BodiesTooLargeAnnouncedOrNot) {
   Fleet fleet;
-  fleet.charter.limits.body_bytes = 1000;
+  fleet.routing_config.limits.body_bytes = 1000;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/a", "q1", std::string(1001, 'x'))))), 413u);
@@ -555,8 +556,8 @@
                                      "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + rest,
                                  400}}) {
     Fleet fleet;
-    fleet.charter.limits.header_bytes = 4096;
-    fleet.charter.limits.body_bytes = 1000;
+    fleet.routing_config.limits.header_bytes = 4096;
+    fleet.routing_config.limits.body_bytes = 1000;
     fleet.worker("w1");
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(entry.text);
@@ -571,7 +572,7 @@
 
 TEST(Limits, WhatComesTooSlowlyIsToldSo) {
   Fleet fleet;
-  fleet.charter.limits.header_wait_ms = 150;
+  fleet.routing_config.limits.header_wait_ms = 150;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
   std::optional<Response> const header = fleet.answer_on(fleet.call("POST /plain/a HTTP/1.1\r\nHo"));
@@ -589,8 +590,8 @@
 
 TEST(Limits, HeadersThatDontComeAndIdleConnectionsEnd) {
   Fleet fleet;
-  fleet.charter.limits.header_wait_ms = 150;
-  fleet.charter.limits.idle_ms = 300;
+  fleet.routing_config.limits.header_wait_ms = 150;
+  fleet.routing_config.limits.idle_ms = 300;
   fleet.begin();
   std::shared_ptr<Line> const slow = fleet.call("POST /plain/a HTTP/1.1\r\nHo");
   std::shared_ptr<Line> const idle = fleet.call("");
--- a/source/tests/relay/stream_test.cpp
+++ b/source/tests/relay/stream_test.cpp
@@ -22,13 +22,13 @@
 
 /// A fleet of model workers with one stream under way, two events passed on.
 struct Under {
-  explicit Under(std::string const& lane, std::size_t workers = 3) {
+  explicit Under(std::string const& route, std::size_t workers = 3) {
     for (std::size_t index = 1; index <= workers; ++index) {
       fleet.worker("m" + std::to_string(index), "pool");
     }
     fleet.begin();
     caller = fleet.call(
-        query("/" + lane + "/a", "q1", "prompt", "Finchlink-Tokens: 300,80\r\nFinchlink-Parts: ab:200,cd:100\r\n"));
+        query("/" + route + "/a", "q1", "prompt", "Finchlink-Tokens: 300,80\r\nFinchlink-Parts: ab:200,cd:100\r\n"));
     first = fleet.holder(1);
     if (first == nullptr) {
       return;
@@ -46,8 +46,8 @@
 };
 
 TEST(RelayStream, EventsArePassedOnAsTheyCome) {
-  for (std::string const lane : {"talk", "tale"}) {
-    Under under(lane);
+  for (std::string const route : {"talk", "tale"}) {
+    Under under(route);
     ASSERT_TRUE(under.good);  // each before the next was sent
     EXPECT_FALSE(under.now().whole);
     EXPECT_NE(under.now().head.find("Finchlink-Seal: seal-q1\r\n"), std::string::npos);
@@ -59,7 +59,7 @@
     EXPECT_EQ(under.now().events, events(1, 3));
     EXPECT_EQ(under.now().behind, "");
     under.caller->got.clear();
-    under.caller->send(query("/" + lane + "/b", "q2"));
+    under.caller->send(query("/" + route + "/b", "q2"));
     Worker* const next = under.fleet.holder(2);
     ASSERT_NE(next, nullptr);
     last(next).line->send(stream_head("q2") + chunk(events(1, 4)) + last_chunk);
@@ -226,10 +226,10 @@
 }
 
 TEST(RelayStream, ASilentOneIsTakenUpElsewhereIfItMayBe) {
-  for (std::string const lane : {"tale", "talk"}) {
-    Under under(lane, 2);
+  for (std::string const route : {"tale", "talk"}) {
+    Under under(route, 2);
     ASSERT_TRUE(under.good);
-    if (lane == "talk") {
+    if (route == "talk") {
       under.fleet.rest(900);  // three times the longest pause
       EXPECT_FALSE(last(under.first).line->ended);
       EXPECT_FALSE(under.caller->ended);
@@ -296,14 +296,14 @@
     Worker* const second = under.fleet.holder(2);
     ASSERT_NE(second, nullptr);
     if (removed) {
-      std::erase_if(under.fleet.charter.lanes, [](schema::Lane const& lane) { return lane.name == "tale"; });
+      std::erase_if(under.fleet.routing_config.lanes, [](schema::Lane const& route) { return route.name == "tale"; });
     } else {
-      under.fleet.charter.lanes.back().resumable = false;
+      under.fleet.routing_config.lanes.back().resumable = false;
     }
-    under.fleet.publish_charter(2);
+    under.fleet.publish_routing_config(2);
     ASSERT_TRUE(under.fleet.until([&] {
-      return under.fleet.station->book()->find("h.example", "/tale/a") == nullptr ||
-             !under.fleet.station->book()->find("h.example", "/tale/a")->resumable;
+      return under.fleet.station->route_table()->find("h.example", "/tale/a") == nullptr ||
+             !under.fleet.station->route_table()->find("h.example", "/tale/a")->resumable;
     }));
     last(second).line->send(not_run("q1", "503 Busy"));
     under.fleet.rest(20);
@@ -328,13 +328,13 @@
 }
 
 TEST(RelayStream, BeforeItsFirstEventItIsAWholeAnswersMatter) {
-  for (std::string const lane : {"talk", "tale"}) {
+  for (std::string const route : {"talk", "tale"}) {
     for (bool const with_head : {false, true}) {
       Fleet fleet;
       fleet.worker("m1", "pool");
       fleet.worker("m2", "pool");
       fleet.begin();
-      std::shared_ptr<Line> const caller = fleet.call(query("/" + lane + "/a", "q1"));
+      std::shared_ptr<Line> const caller = fleet.call(query("/" + route + "/a", "q1"));
       Worker* const first = fleet.holder(1);
       ASSERT_NE(first, nullptr);
       if (with_head) {
@@ -343,7 +343,7 @@
         EXPECT_TRUE(caller->got.empty());  // nothing to show yet
       }
       last(first).line->close();
-      if (lane == "talk") {
+      if (route == "talk") {
         EXPECT_EQ(status_of(fleet.answer_on(caller)), 502u);
         EXPECT_EQ(fleet.order.size(), 1u);
         continue;
--- a/source/tests/relay/whole_test.cpp
+++ b/source/tests/relay/whole_test.cpp
@@ -113,13 +113,13 @@
 }
 
 TEST(RelayWhole, ARefusalGoesToAnotherWorkerOrBackWithATime) {
-  for (std::string const lane : {"/plain/", "/once/"}) {
+  for (std::string const route : {"/plain/", "/once/"}) {
     for (std::string const status : {"503 Service Unavailable", "429 Too Many Requests", "421 Misdirected Request"}) {
       Fleet fleet;
       fleet.worker("w1");
       fleet.worker("w2");
       fleet.begin();
-      std::shared_ptr<Line> const caller = fleet.call(query(lane + "a", "q1", "x"));
+      std::shared_ptr<Line> const caller = fleet.call(query(route + "a", "q1", "x"));
       Worker* const first = fleet.holder(1);
       ASSERT_NE(first, nullptr);
       last(first).line->send(not_run("q1", status));
@@ -129,7 +129,7 @@
       last(second).line->send(success("q1", "good"));
       EXPECT_EQ(body_of(fleet.answer_on(caller)), "good");
       // Both say no: told so, with the time to come back at.
-      std::shared_ptr<Line> const other = fleet.call(query(lane + "b", "q2"));
+      std::shared_ptr<Line> const other = fleet.call(query(route + "b", "q2"));
       for (std::size_t count = 3; count <= 4; ++count) {
         Worker* const holder = fleet.holder(count);
         if (holder == nullptr) {
@@ -141,7 +141,7 @@
         }
       }
       std::optional<Response> const answer = fleet.answer_on(other);
-      EXPECT_EQ(status_of(answer), 503u) << lane << status;
+      EXPECT_EQ(status_of(answer), 503u) << route << status;
       EXPECT_GT(std::stod(text_of(answer, "Retry-After")), 0);
       EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q2");
     }
@@ -513,12 +513,12 @@
 }
 
 TEST(RelayTime, TheDeadlineEndsAQueryAndItsDispatch) {
-  for (std::string const lane : {"/plain/", "/once/"}) {
+  for (std::string const route : {"/plain/", "/once/"}) {
     Fleet fleet;
     Worker& worker = fleet.worker("w1");
     fleet.begin();
     common::Moment const sent = common::boot_now();
-    std::shared_ptr<Line> const caller = fleet.call(query(lane + "a", "q1", "", "Finchlink-Left: 400\r\n"));
+    std::shared_ptr<Line> const caller = fleet.call(query(route + "a", "q1", "", "Finchlink-Left: 400\r\n"));
     ASSERT_TRUE(fleet.arrived(worker, 1));
     std::optional<Response> const answer = fleet.answer_on(caller);
     EXPECT_EQ(status_of(answer), 504u);
@@ -530,7 +530,7 @@
 
 TEST(RelayTime, TheLanesDeadlineBindsToo) {
   Fleet fleet;
-  fleet.charter.lanes[1].deadline_ms = 300;
+  fleet.routing_config.lanes[1].deadline_ms = 300;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "", "Finchlink-Left: 60000\r\n"));
--- a/source/tests/relay/withheld_routing_config_test.cpp
+++ b/source/tests/relay/withheld_routing_config_test.cpp
@@ -26,7 +26,7 @@
         return std::nullopt;
       }
       consensus::TransferSource const source = [this](schema::TransferKey const& key) {
-        return std::optional<std::string>(fleet.news.at(key.name).content);
+        return std::optional<std::string>(fleet.updates.at(key.name).content);
       };
       return sender.answer(*request, source, common::boot_now());
     }
@@ -36,11 +36,12 @@
     }
     ++asks;
     schema::NewsAnswer reply;
-    reply.vouched = true;
-    for (std::pair<std::string const, schema::NamedValue> const& entry : fleet.news) {
+    reply.confirmed = true;
+    for (std::pair<std::string const, schema::NamedValue> const& entry : fleet.updates) {
       std::map<std::string, std::uint64_t>::const_iterator const held = ask->member.held.find(entry.first);
       if (held == ask->member.held.end() || held->second < entry.second.revision) {
-        reply.news.push_back(schema::NamedValue{entry.first, entry.second.revision, "", entry.second.content.size()});
+        reply.updates.push_back(
+            schema::NamedValue{entry.first, entry.second.revision, "", entry.second.content.size()});
       }
     }
     reply.list_digest = 1;
@@ -52,23 +53,23 @@
 TEST(WithheldCharter, IsFetchedInPiecesAndComesIntoForceWhole) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
-  fleet.publish_charter(1);
-  Withholding trellis(fleet);
-  trellis.silent_at = 2;
-  fleet.settings.seeds = {trellis.address};
+  fleet.publish_routing_config(1);
+  Withholding controller(fleet);
+  controller.silent_at = 2;
+  fleet.settings.seeds = {controller.address};
   fleet.begin(false);
   ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
-  EXPECT_GE(trellis.pieces, fleet.news.at("charter").content.size() / 200 + 1);  // and the lost one once more
+  EXPECT_GE(controller.pieces, fleet.updates.at("charter").content.size() / 200 + 1);  // and the lost one once more
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
   worker.arrivals.back().line->send(success("q1", "done"));
   EXPECT_TRUE(fleet.answer_on(caller).has_value());
   // A newer one comes into force as well, and the old one serves until then.
-  std::uint64_t const before = trellis.pieces;
-  fleet.publish_charter(2);
-  ASSERT_TRUE(fleet.until([&] { return trellis.pieces > before; }));
+  std::uint64_t const before = controller.pieces;
+  fleet.publish_routing_config(2);
+  ASSERT_TRUE(fleet.until([&] { return controller.pieces > before; }));
   EXPECT_TRUE(fleet.station->ready());
-  ASSERT_TRUE(fleet.until([&] { return trellis.asks > 0 && trellis.sender.kept() == 2; }));
+  ASSERT_TRUE(fleet.until([&] { return controller.asks > 0 && controller.sender.kept() == 2; }));
 }
 
 }  // namespace
--- a/source/tests/scheduling/mechanisms_test.cpp
+++ b/source/tests/scheduling/mechanisms_test.cpp
@@ -8,12 +8,13 @@
 TEST(Mechanisms, AllAreOnUnlessNamed) {
   absl::StatusOr<scheduling::Mechanisms> const all = scheduling::mechanisms_without({});
   ASSERT_TRUE(all.ok());
-  EXPECT_TRUE(all->grove.owners && all->grove.spare_regions && all->grove.rest && all->silence.probe && all->set_aside);
+  EXPECT_TRUE(all->balancer.owners && all->balancer.spare_regions && all->balancer.rest && all->silence.probe &&
+              all->set_aside);
   absl::StatusOr<scheduling::Mechanisms> const some = scheduling::mechanisms_without({"owners", "set_aside"});
   ASSERT_TRUE(some.ok());
-  EXPECT_FALSE(some->grove.owners);
+  EXPECT_FALSE(some->balancer.owners);
   EXPECT_FALSE(some->set_aside);
-  EXPECT_TRUE(some->grove.spare_regions);
+  EXPECT_TRUE(some->balancer.spare_regions);
 }
 
 TEST(Mechanisms, EachNameOfTheTableIsKnownAndNoOther) {
--- a/source/tests/scheduling/placement_test.cpp
+++ b/source/tests/scheduling/placement_test.cpp
@@ -17,31 +17,33 @@
   Placement placement;
   schema::WorkerBounds bounds;
   schema::ScalerAims aims;
-  std::vector<WorkerWish> wishes;
+  std::vector<DesiredWorker> desired_workers;
   std::uint64_t next = 1;
   Bench(std::size_t workers, std::uint64_t limit) {
     bounds.limit = limit;
     bounds.overflow = false;
     for (std::size_t index = 0; index < workers; ++index) {
-      WorkerWish wish;
-      wish.id = std::string(1, static_cast<char>('a' + index));
-      wish.address = wish.id;
-      wish.warm_boots = {"1"};
-      wishes.push_back(wish);
+      DesiredWorker desired;
+      desired.id = std::string(1, static_cast<char>('a' + index));
+      desired.address = desired.id;
+      desired.warm_boots = {"1"};
+      desired_workers.push_back(desired);
     }
     update(0);
-    for (WorkerWish const& wish : wishes) {
-      (void)placement.load(wish.id, 0, 0, "1", 0);
+    for (DesiredWorker const& desired : desired_workers) {
+      (void)placement.load(desired.id, 0, 0, "1", 0);
     }
   }
-  std::vector<PlacementAction> update(common::Moment now) { return placement.update(wishes, bounds, aims, 1, now); }
+  std::vector<PlacementAction> update(common::Moment now) {
+    return placement.update(desired_workers, bounds, aims, 1, now);
+  }
   std::vector<PlacementAction> enqueue(Phase phase = Phase::both, std::vector<std::uint64_t> chain = {},
                                        common::Moment now = 0, common::Span patience = common::seconds(60)) {
     Ticket ticket;
     ticket.id = next++;
     ticket.rule = "r";
-    for (WorkerWish const& wish : wishes) {
-      ticket.allowed.push_back(wish.id);
+    for (DesiredWorker const& desired : desired_workers) {
+      ticket.allowed.push_back(desired.id);
     }
     ticket.chain = chain;
     ticket.tokens = 1000;
@@ -60,33 +62,33 @@
 int two_tenders(bool guard, bool second_comes_late) {
   PlacementGuards guards;
   guards.count_others = guard;
-  std::vector<Placement> furrows(2, Placement(guards));
+  std::vector<Placement> proxies(2, Placement(guards));
   schema::WorkerBounds bounds;
   bounds.limit = 24;
   bounds.ramp_ms = 4000;
-  WorkerWish wish;
-  wish.id = wish.address = "a";
-  wish.tended = true;
+  DesiredWorker desired;
+  desired.id = desired.address = "a";
+  desired.tended = true;
   std::vector<std::map<std::uint64_t, int>> running(2);  // ticket to ticks left
   std::uint64_t next = 1;
   int good = 0;
   int worst = 0;
   for (int tick = 0; tick < 80; ++tick) {  // of 50 ms, a look at every fifth
     common::Moment const now = common::milliseconds(50) * (tick + 1);
-    for (std::size_t furrow = 0; furrow < 2; ++furrow) {
-      wish.tended = second_comes_late ? (furrow == 0 ? tick < 40 : tick >= 40) : true;
-      (void)furrows[furrow].update({wish}, bounds, schema::ScalerAims{}, 2, now);
-      for (std::map<std::uint64_t, int>::iterator entry = running[furrow].begin(); entry != running[furrow].end();) {
+    for (std::size_t proxy = 0; proxy < 2; ++proxy) {
+      desired.tended = second_comes_late ? (proxy == 0 ? tick < 40 : tick >= 40) : true;
+      (void)proxies[proxy].update({desired}, bounds, schema::ScalerAims{}, 2, now);
+      for (std::map<std::uint64_t, int>::iterator entry = running[proxy].begin(); entry != running[proxy].end();) {
         if (--entry->second == 0) {
-          (void)furrows[furrow].finished(entry->first, Ending::good, now);
+          (void)proxies[proxy].finished(entry->first, Ending::good, now);
           ++good;
-          entry = running[furrow].erase(entry);
+          entry = running[proxy].erase(entry);
         } else {
           ++entry;
         }
       }
       if (tick % 5 == 0) {
-        (void)furrows[furrow].load("a", static_cast<double>(running[0].size() + running[1].size()), 0, "1", now);
+        (void)proxies[proxy].load("a", static_cast<double>(running[0].size() + running[1].size()), 0, "1", now);
       }
       for (int query = 0; query < 12; ++query) {
         Ticket ticket;
@@ -96,9 +98,9 @@
         ticket.tokens = 100;
         ticket.deadline = now + common::seconds(60);
         ticket.waitlist_bound = 0;
-        for (PlacementAction const& action : furrows[furrow].enqueue(ticket, now)) {
+        for (PlacementAction const& action : proxies[proxy].enqueue(ticket, now)) {
           if (std::holds_alternative<Go>(action)) {
-            running[furrow][ticket.id] = 6;
+            running[proxy][ticket.id] = 6;
           }
         }
       }
@@ -142,7 +144,7 @@
     guards.doubt = guard;
     Bench bench(1, 16);
     bench.placement = Placement(guards);
-    bench.wishes[0].tended = true;
+    bench.desired_workers[0].tended = true;
     (void)bench.update(0);
     (void)bench.placement.load("a", 0, 0, "1", 0);
     (void)bench.placement.load_missed("a", 1000);
@@ -158,14 +160,14 @@
 
 TEST(Placement, WaitlistMovesWhenAWorkerSwitchesAndWhatRunsFinishes) {
   Bench bench(2, 1);
-  bench.wishes[0].phase = Phase::prefill;
-  bench.wishes[1].phase = Phase::decode;
+  bench.desired_workers[0].phase = Phase::prefill;
+  bench.desired_workers[1].phase = Phase::decode;
   (void)bench.update(0);
   EXPECT_EQ(went(bench.enqueue(Phase::prefill)), "a");
   EXPECT_TRUE(bench.enqueue(Phase::prefill).empty());  // waits for a
   EXPECT_EQ(bench.placement.waiting(), 1u);
-  bench.wishes[0].phase = Phase::decode;
-  bench.wishes[1].phase = Phase::prefill;
+  bench.desired_workers[0].phase = Phase::decode;
+  bench.desired_workers[1].phase = Phase::prefill;
   std::vector<PlacementAction> const moved = bench.update(1000);
   EXPECT_EQ(went(moved), "b");
   EXPECT_EQ(bench.placement.moved(), 1u);
@@ -180,8 +182,8 @@
   std::string const second = went(bench.enqueue());
   EXPECT_NE(first, second);
   EXPECT_TRUE(bench.enqueue().empty());
-  for (WorkerWish& wish : bench.wishes) {
-    wish.usable = false;
+  for (DesiredWorker& desired : bench.desired_workers) {
+    desired.usable = false;
   }
   std::vector<PlacementAction> const actions = bench.update(1000);
   ASSERT_EQ(actions.size(), 1u);
@@ -193,8 +195,8 @@
   for (bool const overflow : {false, true}) {
     Bench bench(2, 1);
     bench.bounds.overflow = overflow;
-    bench.wishes[0].phase = Phase::prefill;
-    bench.wishes[1].phase = Phase::decode;
+    bench.desired_workers[0].phase = Phase::prefill;
+    bench.desired_workers[1].phase = Phase::decode;
     (void)bench.update(0);
     EXPECT_EQ(went(bench.enqueue(Phase::decode)), "b");
     EXPECT_EQ(went(bench.enqueue(Phase::decode)), overflow ? "a" : "");
@@ -230,7 +232,7 @@
   Bench bench(1, 16);
   (void)bench.placement.load("a", 0, 0, "2", common::seconds(1));  // it started anew
   EXPECT_FALSE(bench.placement.room(common::seconds(1)));
-  bench.wishes[0].tended = true;
+  bench.desired_workers[0].tended = true;
   (void)bench.update(common::seconds(1));
   EXPECT_EQ(went(bench.enqueue(Phase::both, {}, common::seconds(1))), "a");
   EXPECT_EQ(went(bench.enqueue(Phase::both, {}, common::seconds(1))), "");  // one at a time at first
--- a/source/tests/scheduling/prompt_isolation_flood_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_flood_test.cpp
@@ -37,7 +37,7 @@
 Flooded flood(std::size_t tenants, double most) {
   Flooded result;
   double const before = bytes_in_use();
-  scheduling::Reuse reuse(most);
+  scheduling::PromptCacheEstimate reuse(most);
   std::size_t const each = flood_prompts / tenants + 1;
   std::size_t sent = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
@@ -50,7 +50,7 @@
     reuse.remember(prompt_of(flooding, 1000 + sent++));
   }
   result.record = bytes_in_use() - before;
-  result.entries = reuse.walled()->size();
+  result.entries = reuse.isolated()->size();
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
     result.kept += reuse.match(prompt_of(100 + tenant, 0)) == 600 ? 1 : 0;
   }
@@ -60,11 +60,11 @@
   }
   result.give_up_us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - began).count() / 20;
   double const between = bytes_in_use();
-  scheduling::Walls walls;
+  scheduling::PromptIsolation isolation;
   scheduling::Prompt prompt{"", "m", {scheduling::NamedPart{"a", 100}}, {}, ""};
   for (std::size_t index = 0; index < tenants; ++index) {
     prompt.tenant = "customer-number-" + std::to_string(index);
-    walls.count(prompt, {}, 0.0);
+    isolation.count(prompt, {}, 0.0);
   }
   result.tallies = bytes_in_use() - between;
   return result;
@@ -94,7 +94,7 @@
   // the flood's part is not above that of those who are left.
   std::size_t const tenants = 8600;
   double const most = 8600.0 * 60;
-  scheduling::Reuse reuse(most);
+  scheduling::PromptCacheEstimate reuse(most);
   std::size_t kept = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
     reuse.remember(prompt_of(100 + tenant, 0));
@@ -112,8 +112,8 @@
     of_flood += reuse.match(prompt_of(flooding, 1000 + number)) > 0 ? 1 : 0;
   }
   std::cout << "kept at once " << kept << " of " << tenants << ", in the end " << later << ", prompts of the flood "
-            << of_flood << ", holders " << reuse.walled()->holders() << "\n";
-  EXPECT_LE(reuse.walled()->tokens(), most);
+            << of_flood << ", holders " << reuse.isolated()->holders() << "\n";
+  EXPECT_LE(reuse.isolated()->tokens(), most);
   EXPECT_EQ(kept, tenants) << "those who came first keep nothing from those who come now";
   EXPECT_LE(of_flood, 4u) << "twice an even part";
   EXPECT_GE(later, static_cast<std::size_t>(most / 600) - 5) << "the rest of the memory is the tenants'";
--- a/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
@@ -5,52 +5,54 @@
 namespace finchlink {
 namespace {
 
-scheduling::Stand stand_of(std::string const& id) {
-  scheduling::Stand stand;
-  stand.id = id;
-  stand.address = "127.0.0.1:1";
-  stand.service = "s";
-  stand.hall = "h";
-  stand.region = "r";
-  stand.model = true;
-  stand.capacity = 8;
-  stand.kept_tokens = 100000;
-  return stand;
+scheduling::WorkerSpec spec_of(std::string const& id) {
+  scheduling::WorkerSpec spec;
+  spec.id = id;
+  spec.address = "127.0.0.1:1";
+  spec.service = "s";
+  spec.hall = "h";
+  spec.region = "r";
+  spec.model = true;
+  spec.capacity = 8;
+  spec.kept_tokens = 100000;
+  return spec;
 }
 
 /// One worker on which a tenant's part of 500 tokens is kept.
 struct Kept {
-  scheduling::Grove grove;
+  scheduling::LoadBalancer balancer;
   scheduling::Wanted wanted;
   common::Moment now = 1000000;
   Kept() {
     wanted.shares.push_back(schema::Share{"s", 1});
     wanted.parts = {scheduling::Part{77, 500, 9}};
     wanted.tokens = 500;
-    put({stand_of("w")});
-    scheduling::Spot const spot = place();
-    EXPECT_EQ(spot.uncached, 500);
-    grove.first_token(spot, wanted.parts, 0.01);
-    grove.ended(spot, true, scheduling::Outcome::good, now);
+    put({spec_of("w")});
+    scheduling::Assignment const assignment = place();
+    EXPECT_EQ(assignment.uncached, 500);
+    balancer.first_token(assignment, wanted.parts, 0.01);
+    balancer.ended(assignment, true, scheduling::Outcome::good, now);
     EXPECT_EQ(uncached(), 0);
   }
-  void put(std::vector<scheduling::Stand> const& stands) {
-    scheduling::GroveTerms terms;
+  void put(std::vector<scheduling::WorkerSpec> const& specs) {
+    scheduling::LoadBalancerContext terms;
     terms.hall = "h";
     terms.region = "r";
     terms.self = "f";
-    terms.furrows = {"f"};
-    grove.update(stands, terms, now += 100000);
+    terms.proxies = {"f"};
+    balancer.update(specs, terms, now += 100000);
   }
-  scheduling::Spot place() {
-    std::variant<scheduling::Spot, scheduling::NoSpot> const found = grove.choose(wanted, now += 10000000);
-    EXPECT_TRUE(std::holds_alternative<scheduling::Spot>(found));
-    return std::holds_alternative<scheduling::Spot>(found) ? std::get<scheduling::Spot>(found) : scheduling::Spot{};
+  scheduling::Assignment place() {
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
+        balancer.choose(wanted, now += 10000000);
+    EXPECT_TRUE(std::holds_alternative<scheduling::Assignment>(found));
+    return std::holds_alternative<scheduling::Assignment>(found) ? std::get<scheduling::Assignment>(found)
+                                                                 : scheduling::Assignment{};
   }
   double uncached() {
-    scheduling::Spot const spot = place();
-    grove.ended(spot, false, scheduling::Outcome::abandoned, now);
-    return spot.uncached;
+    scheduling::Assignment const assignment = place();
+    balancer.ended(assignment, false, scheduling::Outcome::abandoned, now);
+    return assignment.uncached;
   }
 };
 
@@ -63,28 +65,28 @@
 TEST(WallGrove, AWorkerThatCameBackKeepsNothing) {
   Kept kept;
   kept.put({});
-  kept.put({stand_of("w")});
+  kept.put({spec_of("w")});
   EXPECT_EQ(kept.uncached(), 500);
 }
 
 TEST(WallGrove, AnotherIdAtItsAddressKeepsNothing) {
   Kept kept;
-  kept.put({stand_of("w2")});
+  kept.put({spec_of("w2")});
   EXPECT_EQ(kept.uncached(), 500);
 }
 
 TEST(WallGrove, AHallTakenBackKeepsNothing) {
   Kept kept;
-  scheduling::Stand emptied = stand_of("w");
+  scheduling::WorkerSpec emptied = spec_of("w");
   emptied.evacuated = true;
   kept.put({emptied});
-  kept.put({stand_of("w")});
+  kept.put({spec_of("w")});
   EXPECT_EQ(kept.uncached(), 500);
 }
 
 TEST(WallGrove, AWorkerTurnedColdKeepsNothing) {
   Kept kept;
-  scheduling::Stand cold = stand_of("w");
+  scheduling::WorkerSpec cold = spec_of("w");
   cold.cold_until = kept.now + 1000000;
   kept.put({cold});
   EXPECT_EQ(kept.uncached(), 500);
@@ -92,20 +94,20 @@
 
 TEST(WallGrove, ADefectForgets) {
   for (scheduling::Outcome const outcome :
-       {scheduling::Outcome::unreachable, scheduling::Outcome::defect, scheduling::Outcome::misdirected}) {
+       {scheduling::Outcome::unreachable, scheduling::Outcome::failure, scheduling::Outcome::misdirected}) {
     Kept kept;
-    scheduling::Spot const spot = kept.place();
-    kept.grove.ended(spot, false, outcome, kept.now);
+    scheduling::Assignment const assignment = kept.place();
+    kept.balancer.ended(assignment, false, outcome, kept.now);
     EXPECT_EQ(kept.uncached(), 500);
   }
 }
 
 TEST(WallGrove, OtherWeightsAndGivenUpPartsAreForgotten) {
   Kept kept;
-  kept.grove.gave_up("w", kept.wanted.parts, 0);
+  kept.balancer.gave_up("w", kept.wanted.parts, 0);
   EXPECT_EQ(kept.uncached(), 500);
   Kept other;
-  other.grove.forget_walled("w");
+  other.balancer.forget_isolated("w");
   EXPECT_EQ(other.uncached(), 500);
 }
 
--- a/source/tests/scheduling/prompt_isolation_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_test.cpp
@@ -24,15 +24,15 @@
 
 TEST(WallKey, EveryFieldCounts) {
   std::set<std::string> keys;
-  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "1", ""}));
-  keys.insert(scheduling::wall_key(second_secret, {false, "t", "m", "1", ""}));
-  keys.insert(scheduling::wall_key(first_secret, {true, "", "m", "1", ""}));
-  keys.insert(scheduling::wall_key(first_secret, {false, "", "m", "1", ""}));
-  keys.insert(scheduling::wall_key(first_secret, {false, "tm", "", "1", ""}));
-  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m1", "", ""}));
-  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "2", ""}));
-  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "1", "header customer"}));
-  keys.insert(scheduling::wall_key(first_secret, {false, "t", "m", "1", "path rides"}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "t", "m", "1", ""}));
+  keys.insert(scheduling::isolation_key(second_secret, {false, "t", "m", "1", ""}));
+  keys.insert(scheduling::isolation_key(first_secret, {true, "", "m", "1", ""}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "", "m", "1", ""}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "tm", "", "1", ""}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "t", "m1", "", ""}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "t", "m", "2", ""}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "t", "m", "1", "header customer"}));
+  keys.insert(scheduling::isolation_key(first_secret, {false, "t", "m", "1", "path rides"}));
   EXPECT_EQ(keys.size(), 9u);
 }
 
@@ -84,120 +84,120 @@
   return scheduling::Prompt{tenant, "m", scheduling::named_parts(parts), std::move(shared), ""};
 }
 
-scheduling::Walls walls_with_secret(scheduling::WallGuards guards = {}) {
-  scheduling::Walls walls(guards);
-  walls.take(scheduling::Secrets{first_secret, "", 100});
-  return walls;
+scheduling::PromptIsolation isolation_with_secret(scheduling::IsolationGuards guards = {}) {
+  scheduling::PromptIsolation isolation(guards);
+  isolation.take(scheduling::Secrets{first_secret, "", 100});
+  return isolation;
 }
 
-std::vector<std::string> ids_of(scheduling::Walled const& walled) {
+std::vector<std::string> ids_of(scheduling::IsolatedPrompt const& isolated) {
   std::vector<std::string> ids;
-  for (scheduling::NamedPart const& part : scheduling::named_parts(walled.header)) {
+  for (scheduling::NamedPart const& part : scheduling::named_parts(isolated.header)) {
     ids.push_back(part.id);
   }
   return ids;
 }
 
 TEST(Walls, ColdUntilVersionAndSecretAreKnown) {
-  scheduling::Walls walls = walls_with_secret();
+  scheduling::PromptIsolation isolation = isolation_with_secret();
   scheduling::Prompt const prompt = prompt_of("t", "a:100,b:50");
-  scheduling::Walled const first = walls.send(prompt, "w", {1, 2});
+  scheduling::IsolatedPrompt const first = isolation.send(prompt, "w", {1, 2});
   EXPECT_TRUE(first.cold);
   EXPECT_EQ(first.most_reused, 0);
-  EXPECT_NE(walls.send(prompt, "w", {3, 4}).header, first.header);
-  std::vector<scheduling::WallAction> const actions = walls.heard({"w", "v1", 0.0}, first, 0);
+  EXPECT_NE(isolation.send(prompt, "w", {3, 4}).header, first.header);
+  std::vector<scheduling::IsolationAction> const actions = isolation.heard({"w", "v1", 0.0}, first, 0);
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<scheduling::ForgetWorker>(actions[0]));
-  scheduling::Walled const second = walls.send(prompt, "w", {5, 6});
+  scheduling::IsolatedPrompt const second = isolation.send(prompt, "w", {5, 6});
   EXPECT_FALSE(second.cold);
   EXPECT_EQ(second.version, "v1");
-  EXPECT_EQ(walls.send(prompt, "w", {7, 8}).header, second.header);
+  EXPECT_EQ(isolation.send(prompt, "w", {7, 8}).header, second.header);
   EXPECT_EQ(second.header.find("a:"), std::string::npos) << "the caller's own ids never go out";
-  scheduling::Walls bare;
+  scheduling::PromptIsolation bare;
   (void)bare.heard({"w", "v1", {}}, first, 0);
   EXPECT_TRUE(bare.send(prompt, "w", {1, 2}).cold);
   EXPECT_TRUE(bare.place(prompt).empty());
 }
 
 TEST(Walls, VersionsAndModelsAreWallsToo) {
-  scheduling::Walls walls = walls_with_secret();
-  (void)walls.heard({"w", "v1", {}}, {}, 0);
+  scheduling::PromptIsolation isolation = isolation_with_secret();
+  (void)isolation.heard({"w", "v1", {}}, {}, 0);
   scheduling::Prompt prompt = prompt_of("t", "a:100");
-  std::string const before = walls.send(prompt, "w", {1, 2}).header;
-  (void)walls.heard({"w", "v2", {}}, {}, 0);
-  EXPECT_NE(walls.send(prompt, "w", {1, 2}).header, before);
-  (void)walls.heard({"w", "v1", {}}, {}, 0);
-  EXPECT_EQ(walls.send(prompt, "w", {1, 2}).header, before);
+  std::string const before = isolation.send(prompt, "w", {1, 2}).header;
+  (void)isolation.heard({"w", "v2", {}}, {}, 0);
+  EXPECT_NE(isolation.send(prompt, "w", {1, 2}).header, before);
+  (void)isolation.heard({"w", "v1", {}}, {}, 0);
+  EXPECT_EQ(isolation.send(prompt, "w", {1, 2}).header, before);
   prompt.model = "n";
-  EXPECT_NE(walls.send(prompt, "w", {1, 2}).header, before);
-  walls.forget("w");
-  EXPECT_TRUE(walls.send(prompt, "w", {1, 2}).cold);
+  EXPECT_NE(isolation.send(prompt, "w", {1, 2}).header, before);
+  isolation.forget("w");
+  EXPECT_TRUE(isolation.send(prompt, "w", {1, 2}).cold);
 }
 
 TEST(Walls, PublicPartsAreSharedOnlyAtTheBeginning) {
-  scheduling::Walls walls = walls_with_secret();
-  (void)walls.heard({"w", "v1", {}}, {}, 0);
-  std::vector<std::string> const one = ids_of(walls.send(prompt_of("t", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
-  std::vector<std::string> const other = ids_of(walls.send(prompt_of("u", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
+  scheduling::PromptIsolation isolation = isolation_with_secret();
+  (void)isolation.heard({"w", "v1", {}}, {}, 0);
+  std::vector<std::string> const one = ids_of(isolation.send(prompt_of("t", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
+  std::vector<std::string> const other = ids_of(isolation.send(prompt_of("u", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
   EXPECT_EQ(one[0], other[0]);
   EXPECT_NE(one[1], other[1]);
   EXPECT_NE(one[2], other[2]);
   EXPECT_NE(one[2], one[0]) << "what a worker computed depends on all in front of it";
   // Who names no tenant shares the public beginning and nothing else.
-  scheduling::Walled const nobody = walls.send(prompt_of("", "p:10,a:20", {"p"}), "w", {1, 2});
+  scheduling::IsolatedPrompt const nobody = isolation.send(prompt_of("", "p:10,a:20", {"p"}), "w", {1, 2});
   EXPECT_EQ(ids_of(nobody)[0], one[0]);
   EXPECT_TRUE(nobody.cold);
   EXPECT_EQ(nobody.most_reused, 10);
-  EXPECT_EQ(walls.place(prompt_of("", "p:10,a:20", {"p"})).size(), 1u);
+  EXPECT_EQ(isolation.place(prompt_of("", "p:10,a:20", {"p"})).size(), 1u);
 }
 
 TEST(Walls, NameWhatCrossesAndWhatWasGivenUp) {
-  scheduling::Walls walls = walls_with_secret();
-  scheduling::Walled const cold = walls.send(prompt_of("t", "a:100"), "w", {1, 2});
-  std::vector<scheduling::WallAction> actions = walls.heard({"w", "v1", 60.0}, cold, 0);
+  scheduling::PromptIsolation isolation = isolation_with_secret();
+  scheduling::IsolatedPrompt const cold = isolation.send(prompt_of("t", "a:100"), "w", {1, 2});
+  std::vector<scheduling::IsolationAction> actions = isolation.heard({"w", "v1", 60.0}, cold, 0);
   ASSERT_FALSE(actions.empty());
   ASSERT_TRUE(std::holds_alternative<scheduling::Crossed>(actions[0]));
   EXPECT_EQ(std::get<scheduling::Crossed>(actions[0]).tokens, 60);
-  EXPECT_EQ(walls.crossings(), 1u);
-  actions = walls.heard({"w", "v1", 40.0}, walls.send(prompt_of("t", "a:100"), "w", {1, 2}), 100);
+  EXPECT_EQ(isolation.crossings(), 1u);
+  actions = isolation.heard({"w", "v1", 40.0}, isolation.send(prompt_of("t", "a:100"), "w", {1, 2}), 100);
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<scheduling::GaveUp>(actions[0]));
 }
 
 TEST(Walls, AWorkerThatRanForOtherWeightsIsColdForThatVersion) {
-  scheduling::Walls walls = walls_with_secret();
+  scheduling::PromptIsolation isolation = isolation_with_secret();
   scheduling::Prompt const prompt = prompt_of("t", "a:100");
-  (void)walls.heard({"w", "v1", {}}, {}, 0);
-  scheduling::Walled const keyed = walls.send(prompt, "w", {1, 2});
+  (void)isolation.heard({"w", "v1", {}}, {}, 0);
+  scheduling::IsolatedPrompt const keyed = isolation.send(prompt, "w", {1, 2});
   ASSERT_EQ(keyed.version, "v1");
   // It ran although it has v2: what it keeps under v1's ids, v2 computed.
-  std::vector<scheduling::WallAction> const actions = walls.heard({"w", "v2", 0.0, true}, keyed, 0);
+  std::vector<scheduling::IsolationAction> const actions = isolation.heard({"w", "v2", 0.0, true}, keyed, 0);
   ASSERT_EQ(actions.size(), 2u);
   ASSERT_TRUE(std::holds_alternative<scheduling::RanOtherWeights>(actions[0]));
   EXPECT_EQ(std::get<scheduling::RanOtherWeights>(actions[0]).expected, "v1");
-  EXPECT_EQ(walls.other_weights(), 1u);
-  EXPECT_FALSE(walls.send(prompt, "w", {1, 2}).cold) << "v2's ids are whole";
-  (void)walls.heard({"w", "v1", {}}, {}, 0);
-  EXPECT_TRUE(walls.send(prompt, "w", {1, 2}).cold) << "v1's are not";
-  EXPECT_TRUE(walls.send(prompt, "other", {1, 2}).cold);
-  (void)walls.heard({"other", "v1", {}}, {}, 0);
-  EXPECT_FALSE(walls.send(prompt, "other", {1, 2}).cold);
+  EXPECT_EQ(isolation.other_weights(), 1u);
+  EXPECT_FALSE(isolation.send(prompt, "w", {1, 2}).cold) << "v2's ids are whole";
+  (void)isolation.heard({"w", "v1", {}}, {}, 0);
+  EXPECT_TRUE(isolation.send(prompt, "w", {1, 2}).cold) << "v1's are not";
+  EXPECT_TRUE(isolation.send(prompt, "other", {1, 2}).cold);
+  (void)isolation.heard({"other", "v1", {}}, {}, 0);
+  EXPECT_FALSE(isolation.send(prompt, "other", {1, 2}).cold);
   // Turned away, it ran nothing: no alarm.
-  (void)walls.heard({"other", "v2", {}, false}, walls.send(prompt, "other", {1, 2}), 0);
-  EXPECT_EQ(walls.other_weights(), 1u);
+  (void)isolation.heard({"other", "v2", {}, false}, isolation.send(prompt, "other", {1, 2}), 0);
+  EXPECT_EQ(isolation.other_weights(), 1u);
 }
 
 TEST(Walls, AWorkerThatTellsNoVersionAnyMoreIsCold) {
-  scheduling::Walls walls = walls_with_secret();
+  scheduling::PromptIsolation isolation = isolation_with_secret();
   scheduling::Prompt const prompt = prompt_of("t", "a:100");
-  (void)walls.heard({"w", "v1", {}}, {}, 0);
-  scheduling::Walled const keyed = walls.send(prompt, "w", {1, 2});
-  (void)walls.heard({"w", "", 0.0, true}, keyed, 0);
-  EXPECT_TRUE(walls.send(prompt, "w", {1, 2}).cold);
-  EXPECT_EQ(walls.other_weights(), 1u);
+  (void)isolation.heard({"w", "v1", {}}, {}, 0);
+  scheduling::IsolatedPrompt const keyed = isolation.send(prompt, "w", {1, 2});
+  (void)isolation.heard({"w", "", 0.0, true}, keyed, 0);
+  EXPECT_TRUE(isolation.send(prompt, "w", {1, 2}).cold);
+  EXPECT_EQ(isolation.other_weights(), 1u);
   // It told none of a prompt that was keyed for none: nothing to alarm of.
-  (void)walls.heard({"w", "", 0.0, true}, walls.send(prompt, "w", {1, 2}), 0);
-  EXPECT_EQ(walls.other_weights(), 1u);
+  (void)isolation.heard({"w", "", 0.0, true}, isolation.send(prompt, "w", {1, 2}), 0);
+  EXPECT_EQ(isolation.other_weights(), 1u);
 }
 
 TEST(Walls, VeryManyPartsAreTakenTogether) {
@@ -214,12 +214,12 @@
   EXPECT_EQ(tokens, 4000);
   // Prompts that differ in the last part only differ there still.
   EXPECT_NE(scheduling::named_parts(text + "x:1").back().id, scheduling::named_parts(text + "y:1").back().id);
-  EXPECT_LT(walls_with_secret().send(prompt_of("t", text), "w", {1, 2}).header.size(), 4000u);
+  EXPECT_LT(isolation_with_secret().send(prompt_of("t", text), "w", {1, 2}).header.size(), 4000u);
   EXPECT_LE(scheduling::named_parts("a:18446744073709551615").front().tokens, 1e9);
 }
 
-TEST(WallRecord, AFloodTakesNothingFromTheOthers) {
-  scheduling::Reuse reuse(100000);
+TEST(IsolationRecord, AFloodTakesNothingFromTheOthers) {
+  scheduling::PromptCacheEstimate reuse(100000);
   std::function<std::vector<scheduling::Part>(std::uint64_t, std::uint64_t)> const parts = [](std::uint64_t holder,
                                                                                               std::uint64_t key) {
     return std::vector<scheduling::Part>{{holder * 1000003, 50, holder}, {key, 50, holder}};
@@ -233,28 +233,28 @@
   for (std::uint64_t tenant = 100; tenant < 200; ++tenant) {
     EXPECT_EQ(reuse.match(parts(tenant, tenant)), 100) << tenant;
   }
-  ASSERT_NE(reuse.walled(), nullptr);
-  EXPECT_LE(reuse.walled()->tokens(), 100000);
-  EXPECT_EQ(reuse.walled()->holders(), 101u);
+  ASSERT_NE(reuse.isolated(), nullptr);
+  EXPECT_LE(reuse.isolated()->tokens(), 100000);
+  EXPECT_EQ(reuse.isolated()->holders(), 101u);
   EXPECT_EQ(reuse.match(parts(7, 1000000 + 99999)), 100) << "the flood still reuses its newest";
 }
 
-TEST(WallRecord, ManyTenantsShareWithinTheBound) {
-  scheduling::Reuse reuse(40000);
+TEST(IsolationRecord, ManyTenantsShareWithinTheBound) {
+  scheduling::PromptCacheEstimate reuse(40000);
   for (std::uint64_t tenant = 2; tenant < 8602; ++tenant) {
     reuse.remember({{tenant, 100, tenant}});
   }
-  ASSERT_NE(reuse.walled(), nullptr);
-  EXPECT_LE(reuse.walled()->tokens(), 40000);
-  EXPECT_LE(reuse.walled()->size(), 400u);
+  ASSERT_NE(reuse.isolated(), nullptr);
+  EXPECT_LE(reuse.isolated()->tokens(), 40000);
+  EXPECT_LE(reuse.isolated()->size(), 400u);
   reuse.remember({{99, 0, 99}});
   EXPECT_EQ(reuse.match({{99, 0, 99}}), 0);
-  reuse.clear_walled();
-  EXPECT_EQ(reuse.walled(), nullptr);
+  reuse.clear_isolated();
+  EXPECT_EQ(reuse.isolated(), nullptr);
 }
 
-TEST(WallRecord, ForgetsWhatWasGivenUpAndWhatIsOlder) {
-  scheduling::Reuse reuse(100000);
+TEST(IsolationRecord, ForgetsWhatWasGivenUpAndWhatIsOlder) {
+  scheduling::PromptCacheEstimate reuse(100000);
   reuse.remember({{1, 100, 5}});
   reuse.remember({{2, 100, 6}});
   reuse.remember({{3, 100, 7}});
@@ -273,17 +273,17 @@
   // Printed for docs/operating/walls.md; a sanitizer's heap tells nothing.
   std::function<double(std::size_t)> const of_tallies = [](std::size_t tenants) {
     double const before = bytes_in_use();
-    scheduling::Walls walls;
+    scheduling::PromptIsolation isolation;
     scheduling::Prompt prompt = prompt_of("", "a:100");
     for (std::size_t index = 0; index < tenants; ++index) {
       prompt.tenant = "customer-number-" + std::to_string(index);
-      walls.count(prompt, {}, 0.0);
+      isolation.count(prompt, {}, 0.0);
     }
     return bytes_in_use() - before;
   };
   std::function<double(std::size_t)> const of_records = [](std::size_t tenants) {
     double const before = bytes_in_use();
-    scheduling::Reuse reuse(1e9);
+    scheduling::PromptCacheEstimate reuse(1e9);
     for (std::uint64_t tenant = 2; tenant < tenants + 2; ++tenant) {
       reuse.remember({{tenant * 3, 400, tenant}, {tenant * 5, 200, tenant}});
     }
@@ -357,9 +357,9 @@
 
 /// Furrows, workers and tenants that all send the same prompts, with moves,
 /// restarts, new weights, lost memory and rotating secrets, by seed.
-Played play(std::uint64_t seed, scheduling::WallGuards guards) {
+Played play(std::uint64_t seed, scheduling::IsolationGuards guards) {
   std::mt19937_64 random(seed);
-  std::vector<scheduling::Walls> furrows(3, scheduling::Walls(guards));
+  std::vector<scheduling::PromptIsolation> proxies(3, scheduling::PromptIsolation(guards));
   std::vector<Memory> memories(4);
   std::vector<std::string> versions(4, "v1");
   scheduling::Secrets secrets{first_secret, "", 100};
@@ -371,13 +371,13 @@
                     ? scheduling::Secrets{std::string(32, static_cast<char>('c' + step / 500)), secrets.current, 40}
                     : scheduling::Secrets{secrets.current, "", 100};
     }
-    std::size_t const at = random() % furrows.size();
+    std::size_t const at = random() % proxies.size();
     std::size_t const worker = random() % memories.size();
     if (random() % 40 == 0 || step < 3) {
-      furrows[at].take(secrets);
+      proxies[at].take(secrets);
     }
     if (random() % 200 == 0) {
-      furrows[at] = scheduling::Walls(guards);  // restarted, for a while without secrets
+      proxies[at] = scheduling::PromptIsolation(guards);  // restarted, for a while without secrets
     }
     if (random() % 150 == 0) {
       memories[worker].lose();
@@ -391,23 +391,23 @@
         prompt_of(tenant, "a:400,b" + std::to_string(random() % 3) + ":200,c" + std::to_string(random() % 5) + ":100");
     std::string const name = "w" + std::to_string(worker);
     ++nonce;
-    scheduling::Walled const walled = furrows[at].send(prompt, name, {nonce, seed << 20u});
-    bool const expected = walled.version.empty() || walled.version == versions[worker];
+    scheduling::IsolatedPrompt const isolated = proxies[at].send(prompt, name, {nonce, seed << 20u});
+    bool const expected = isolated.version.empty() || isolated.version == versions[worker];
     double reused = 0;
     if (expected) {  // other weights: 421, nothing ran
       ++played.queries;
       std::size_t own = 0;
       played.crossed += memories[worker]
-                            .read(reader + "@" + versions[worker], scheduling::named_parts(walled.header), 60, own)
+                            .read(reader + "@" + versions[worker], scheduling::named_parts(isolated.header), 60, own)
                             .size();
       played.own += own;
       reused = memories[worker].reused();
     }
-    (void)furrows[at].heard({name, versions[worker], expected ? std::optional<double>(reused) : std::nullopt, expected},
-                            walled, 0);
+    (void)proxies[at].heard({name, versions[worker], expected ? std::optional<double>(reused) : std::nullopt, expected},
+                            isolated, 0);
   }
-  for (scheduling::Walls const& walls : furrows) {
-    played.named += walls.crossings();
+  for (scheduling::PromptIsolation const& isolation : proxies) {
+    played.named += isolation.crossings();
   }
   return played;
 }
@@ -423,7 +423,7 @@
 
 TEST(Walls, WithoutTheTenantInTheKeyHitsCross) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    scheduling::WallGuards guards;
+    scheduling::IsolationGuards guards;
     guards.tenant_in_key = false;
     Played const played = play(seed, guards);
     EXPECT_GT(played.crossed, 1000u) << "seed " << seed;
@@ -434,7 +434,7 @@
 TEST(Walls, WithoutTheVersionWhatOtherWeightsComputedIsReused) {
   std::size_t crossed = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    scheduling::WallGuards guards;
+    scheduling::IsolationGuards guards;
     guards.version_in_key = false;
     crossed += play(seed, guards).crossed;
   }
--- a/source/tests/scheduling/query_state_machine_test.cpp
+++ b/source/tests/scheduling/query_state_machine_test.cpp
@@ -14,51 +14,51 @@
 using namespace scheduling;
 namespace constants = common::constants;
 
-Chart chart(QueryTerms terms, bool budget = true) {
-  return Chart(terms, [budget](common::Moment) { return budget; });
+QueryStateMachine state_machine(QueryTerms terms, bool budget = true) {
+  return QueryStateMachine(terms, [budget](common::Moment) { return budget; });
 }
 template <class Kind>
 bool only(std::vector<QueryAction> const& actions) {
   return actions.size() == 1 && std::holds_alternative<Kind>(actions.front());
 }
 
-TEST(Chart, NotRepeatableHasOneDispatchOnceBytesMayHaveGone) {
-  Chart query = chart(QueryTerms{});
+TEST(QueryStateMachine, NotRepeatableHasOneDispatchOnceBytesMayHaveGone) {
+  QueryStateMachine query = state_machine(QueryTerms{});
   (void)query.advance(Placed{"a"}, 0);
-  EXPECT_TRUE(only<Place>(query.advance(ConnectDefect{}, 0)));  // no byte went: may go elsewhere
+  EXPECT_TRUE(only<Place>(query.advance(ConnectFailure{}, 0)));  // no byte went: may go elsewhere
   (void)query.advance(Placed{"b"}, 0);
   (void)query.advance(Connected{}, 0);
-  std::vector<QueryAction> const actions = query.advance(WorkerDefect{"no_answer"}, 0);
+  std::vector<QueryAction> const actions = query.advance(WorkerFailure{"no_answer"}, 0);
   ASSERT_TRUE(only<Apologise>(actions));
   EXPECT_TRUE(std::get<Apologise>(actions.front()).may_have_run);
   EXPECT_EQ(std::get<Apologise>(actions.front()).status, 502);
 }
 
-TEST(Chart, RefusalIsNeverReportedOnceADispatchMayHaveRun) {
+TEST(QueryStateMachine, RefusalIsNeverReportedOnceADispatchMayHaveRun) {
   QueryTerms terms;
   terms.repeatable = true;
-  Chart query = chart(terms);
+  QueryStateMachine query = state_machine(terms);
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
-  EXPECT_TRUE(only<Place>(query.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Place>(query.advance(WorkerFailure{"cut"}, 0)));
   std::vector<QueryAction> const actions = query.advance(NoRoom{}, 0);
   ASSERT_TRUE(only<Apologise>(actions));
   EXPECT_TRUE(std::get<Apologise>(actions.front()).may_have_run);
   EXPECT_NE(std::get<Apologise>(actions.front()).status, 503);
 }
 
-TEST(Chart, RefusalByAWorkerMayGoElsewhereAndIsCertain) {
-  Chart query = chart(QueryTerms{});
+TEST(QueryStateMachine, RefusalByAWorkerMayGoElsewhereAndIsCertain) {
+  QueryStateMachine query = state_machine(QueryTerms{});
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
   EXPECT_TRUE(only<Place>(query.advance(WorkerRefused{}, 0)));
   EXPECT_TRUE(only<Refuse>(query.advance(DeadlinePassed{}, 0)));
 }
 
-TEST(Chart, ARefusalByAWorkerIsNoTryOfTheRoute) {
+TEST(QueryStateMachine, ARefusalByAWorkerIsNoTryOfTheRoute) {
   QueryTerms terms;
   terms.dispatches_most = 1;
-  Chart query = chart(terms);
+  QueryStateMachine query = state_machine(terms);
   for (int refusals = 0; refusals < common::constants::refusals_most; ++refusals) {
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
@@ -69,29 +69,29 @@
   (void)query.advance(Connected{}, 0);
   EXPECT_TRUE(only<Refuse>(query.advance(WorkerRefused{}, 0)));
 
-  Chart ran = chart(terms);
+  QueryStateMachine ran = state_machine(terms);
   (void)ran.advance(Placed{"a"}, 0);
   (void)ran.advance(Connected{}, 0);
   EXPECT_TRUE(only<Place>(ran.advance(WorkerRefused{}, 0)));
   (void)ran.advance(Placed{"b"}, 0);
   (void)ran.advance(Connected{}, 0);
-  EXPECT_TRUE(only<Apologise>(ran.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Apologise>(ran.advance(WorkerFailure{"cut"}, 0)));
 }
 
-TEST(Chart, WithoutBudgetTheFirstNoIsFinal) {
-  Chart query = chart(QueryTerms{}, false);
+TEST(QueryStateMachine, WithoutBudgetTheFirstNoIsFinal) {
+  QueryStateMachine query = state_machine(QueryTerms{}, false);
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
   EXPECT_TRUE(only<Refuse>(query.advance(WorkerRefused{}, 0)));
 }
 
-TEST(Chart, StreamNeverSkipsRepeatsOrSplices) {
+TEST(QueryStateMachine, StreamNeverSkipsRepeatsOrSplices) {
   QueryTerms terms;
   terms.stream = true;
   terms.repeatable = true;
   for (bool const resumable : {false, true}) {
     terms.resumable = resumable;
-    Chart query = chart(terms);
+    QueryStateMachine query = state_machine(terms);
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     EXPECT_TRUE(only<Forward>(query.advance(Event{1, false}, 0)));
@@ -102,10 +102,10 @@
   }
 }
 
-TEST(Chart, DeadlineTellsWhetherItMayHaveRun) {
-  Chart waiting = chart(QueryTerms{});
+TEST(QueryStateMachine, DeadlineTellsWhetherItMayHaveRun) {
+  QueryStateMachine waiting = state_machine(QueryTerms{});
   EXPECT_TRUE(only<Refuse>(waiting.advance(DeadlinePassed{}, 0)));
-  Chart exposed = chart(QueryTerms{});
+  QueryStateMachine exposed = state_machine(QueryTerms{});
   (void)exposed.advance(Placed{"a"}, 0);
   (void)exposed.advance(Connected{}, 0);
   std::vector<QueryAction> const actions = exposed.advance(DeadlinePassed{}, 0);
@@ -113,20 +113,20 @@
   EXPECT_EQ(std::get<Apologise>(actions.front()).status, 504);
 }
 
-TEST(Chart, OnePassAtMostAndNoneAfterADispatch) {
+TEST(QueryStateMachine, OnePassAtMostAndNoneAfterADispatch) {
   QueryTerms terms;
   terms.may_pass = true;
-  Chart query = chart(terms);
+  QueryStateMachine query = state_machine(terms);
   EXPECT_TRUE(only<PassOn>(query.advance(NoRoom{}, 0)));
   EXPECT_TRUE(only<Refuse>(query.advance(NoRoom{}, 0)));
-  Chart dispatched = chart(terms);
+  QueryStateMachine dispatched = state_machine(terms);
   (void)dispatched.advance(Placed{"a"}, 0);
-  (void)dispatched.advance(ConnectDefect{}, 0);
+  (void)dispatched.advance(ConnectFailure{}, 0);
   EXPECT_TRUE(only<Refuse>(dispatched.advance(NoRoom{}, 0)));
 }
 
-TEST(Chart, WithdrawnPlaceIsNoRetry) {
-  Chart query = chart(QueryTerms{}, false);  // no right to retry at all
+TEST(QueryStateMachine, WithdrawnPlaceIsNoRetry) {
+  QueryStateMachine query = state_machine(QueryTerms{}, false);  // no right to retry at all
   (void)query.advance(Placed{"a"}, 0);
   EXPECT_TRUE(only<Place>(query.advance(Withdrawn{}, 0)));
   EXPECT_EQ(query.dispatches(), 0);
@@ -135,18 +135,18 @@
   EXPECT_TRUE(query.advance(Withdrawn{}, 0).empty());  // too late: bytes may have gone
 }
 
-TEST(Chart, ARelayedStreamEndsWhereItsWorkerEndedItOrVisiblyBroken) {
+TEST(QueryStateMachine, ARelayedStreamEndsWhereItsWorkerEndedItOrVisiblyBroken) {
   QueryTerms terms;
   terms.stream = true;
   for (bool const resumable : {false, true}) {
     for (bool const right : {false, true}) {
       terms.resumable = resumable;
       terms.repeatable = resumable;
-      Chart query = chart(terms, right);
+      QueryStateMachine query = state_machine(terms, right);
       (void)query.advance(Placed{"a"}, 0);
       (void)query.advance(Connected{}, 0);
       EXPECT_TRUE(only<Forward>(query.advance(Event{1, false}, 0)));
-      std::vector<QueryAction> const actions = query.advance(WorkerDefect{"cut_stream"}, 0);
+      std::vector<QueryAction> const actions = query.advance(WorkerFailure{"cut_stream"}, 0);
       if (!resumable || !right) {
         EXPECT_TRUE(only<EndBroken>(actions));  // never an apology, never a refusal: the head is out
         EXPECT_TRUE(query.settled());
@@ -163,7 +163,7 @@
   }
 }
 
-TEST(Chart, AStreamThatBeganIsNeitherRefusedNorSentHome) {
+TEST(QueryStateMachine, AStreamThatBeganIsNeitherRefusedNorSentHome) {
   QueryTerms terms;
   terms.stream = true;
   terms.resumable = true;
@@ -171,12 +171,12 @@
   std::vector<QueryMessage> const ends{DeadlinePassed{}, NoRoom{}, WorkerRefused{},
                                        Decided{true, true, true, Standing::none}};
   for (std::size_t index = 0; index < ends.size(); ++index) {
-    Chart query = chart(terms);
+    QueryStateMachine query = state_machine(terms);
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     (void)query.advance(Event{1, false}, 0);
     if (index > 0) {
-      ASSERT_TRUE(only<Place>(query.advance(WorkerDefect{"cut_stream"}, 0)));
+      ASSERT_TRUE(only<Place>(query.advance(WorkerFailure{"cut_stream"}, 0)));
     }
     std::vector<QueryAction> actions;
     if (index == 2) {  // the one it is taken up at says no, and no dispatch is left
@@ -193,18 +193,18 @@
   }
 }
 
-TEST(Chart, NoWholeAnswerFollowsPartOfAStream) {
+TEST(QueryStateMachine, NoWholeAnswerFollowsPartOfAStream) {
   QueryTerms terms;
   terms.stream = true;
   terms.resumable = true;
   terms.repeatable = true;
   for (bool const right : {true, false}) {
     int asked = 0;
-    Chart query(terms, [&asked, right](common::Moment) { return ++asked == 1 || right; });
+    QueryStateMachine query(terms, [&asked, right](common::Moment) { return ++asked == 1 || right; });
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     (void)query.advance(Event{1, false}, 0);
-    (void)query.advance(WorkerDefect{"cut_stream"}, 0);
+    (void)query.advance(WorkerFailure{"cut_stream"}, 0);
     (void)query.advance(Placed{"b"}, 0);
     (void)query.advance(Connected{}, 0);
     std::vector<QueryAction> const actions = query.advance(Whole{}, 0);
@@ -212,13 +212,13 @@
   }
 }
 
-TEST(Chart, IsDecidedAnewByTheRuleInForce) {
+TEST(QueryStateMachine, IsDecidedAnewByTheRuleInForce) {
   for (Standing const standing : {Standing::home, Standing::none}) {
     // While it waits, or is about to go, nothing ran: home, or a true refusal.
-    Chart waiting = chart(QueryTerms{});
+    QueryStateMachine waiting = state_machine(QueryTerms{});
     std::vector<QueryAction> const turned = waiting.advance(Decided{false, false, false, standing}, 0);
     EXPECT_TRUE(standing == Standing::home ? only<SendHome>(turned) : only<Refuse>(turned));
-    Chart about = chart(QueryTerms{});
+    QueryStateMachine about = state_machine(QueryTerms{});
     (void)about.advance(Placed{"a"}, 0);
     EXPECT_TRUE(about.advance(Decided{false, false, false, standing}, 0).empty());
     EXPECT_FALSE(only<Place>(about.advance(Withdrawn{}, 0)));
@@ -226,81 +226,81 @@
     // What may have run ends with an apology, never with a refusal or a 307.
     QueryTerms terms;
     terms.repeatable = true;
-    Chart ran = chart(terms);
+    QueryStateMachine ran = state_machine(terms);
     (void)ran.advance(Placed{"a"}, 0);
     (void)ran.advance(Connected{}, 0);
     EXPECT_TRUE(ran.advance(Decided{true, false, false, standing}, 0).empty());
-    EXPECT_TRUE(only<Apologise>(ran.advance(WorkerDefect{"cut"}, 0)));
+    EXPECT_TRUE(only<Apologise>(ran.advance(WorkerFailure{"cut"}, 0)));
   }
   // No longer repeatable: what was sent while it was is not sent again.
   QueryTerms terms;
   terms.repeatable = true;
-  Chart query = chart(terms);
+  QueryStateMachine query = state_machine(terms);
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
   (void)query.advance(Decided{false, false, false, Standing::serve}, 0);
-  EXPECT_TRUE(only<Apologise>(query.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Apologise>(query.advance(WorkerFailure{"cut"}, 0)));
   // Nor what already waits to be sent again.
-  Chart waits = chart(terms);
+  QueryStateMachine waits = state_machine(terms);
   (void)waits.advance(Placed{"a"}, 0);
   (void)waits.advance(Connected{}, 0);
-  EXPECT_TRUE(only<Place>(waits.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Place>(waits.advance(WorkerFailure{"cut"}, 0)));
   EXPECT_TRUE(only<Apologise>(waits.advance(Decided{false, false, false, Standing::serve}, 0)));
 }
 
-TEST(Chart, ARuleThatAllowsMoreSaysNothingOfWhatRunsAlready) {
+TEST(QueryStateMachine, ARuleThatAllowsMoreSaysNothingOfWhatRunsAlready) {
   // Sent while it might run once only: it isn't sent again, though the rule allows it by now.
-  Chart sent = chart(QueryTerms{});
+  QueryStateMachine sent = state_machine(QueryTerms{});
   (void)sent.advance(Placed{"a"}, 0);
   (void)sent.advance(Connected{}, 0);
   (void)sent.advance(Decided{true, true, false, Standing::serve}, 0);
   EXPECT_FALSE(sent.may_repeat());
-  EXPECT_TRUE(only<Apologise>(sent.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Apologise>(sent.advance(WorkerFailure{"cut"}, 0)));
   // Nothing ran yet: the newest rule alone counts.
-  Chart waits = chart(QueryTerms{});
+  QueryStateMachine waits = state_machine(QueryTerms{});
   (void)waits.advance(Decided{true, false, false, Standing::serve}, 0);
   (void)waits.advance(Placed{"a"}, 0);
   (void)waits.advance(Connected{}, 0);
-  EXPECT_TRUE(only<Place>(waits.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Place>(waits.advance(WorkerFailure{"cut"}, 0)));
 }
 
-TEST(Chart, ATakeUpBehindTheLastEventEndsTheStream) {
+TEST(QueryStateMachine, ATakeUpBehindTheLastEventEndsTheStream) {
   QueryTerms terms;
   terms.stream = terms.resumable = terms.repeatable = true;
-  Chart query = chart(terms);
+  QueryStateMachine query = state_machine(terms);
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
   (void)query.advance(Event{1, false}, 0);
-  EXPECT_TRUE(only<Place>(query.advance(WorkerDefect{"cut"}, 0)));
+  EXPECT_TRUE(only<Place>(query.advance(WorkerFailure{"cut"}, 0)));
   (void)query.advance(Placed{"b"}, 0);
   (void)query.advance(Connected{}, 0);
   EXPECT_TRUE(query.advance(StreamEnded{}, 0).empty());
   EXPECT_TRUE(query.settled());
 }
 
-TEST(Chart, AStreamWhosePlaceCannotBeToldIsNotTakenUp) {
+TEST(QueryStateMachine, AStreamWhosePlaceCannotBeToldIsNotTakenUp) {
   for (bool const told : {true, false}) {
     QueryTerms terms;
     terms.stream = terms.resumable = terms.repeatable = true;
-    Chart query = chart(terms);
+    QueryStateMachine query = state_machine(terms);
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     (void)query.advance(Event{1, false, told}, 0);
     EXPECT_EQ(query.may_repeat(), told);
-    std::vector<QueryAction> const actions = query.advance(WorkerDefect{"cut"}, 0);
+    std::vector<QueryAction> const actions = query.advance(WorkerFailure{"cut"}, 0);
     EXPECT_TRUE(told ? only<Place>(actions) : only<EndBroken>(actions));
   }
 }
 
-TEST(Chart, GoesBackToTheOneSetAsideFromWhereverItIs) {
+TEST(QueryStateMachine, GoesBackToTheOneSetAsideFromWhereverItIs) {
   for (int const stage : {0, 1, 2}) {
     QueryTerms terms;
     terms.stream = terms.resumable = terms.repeatable = true;
-    Chart query = chart(terms);
+    QueryStateMachine query = state_machine(terms);
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     (void)query.advance(Event{1, false}, 0);
-    EXPECT_TRUE(only<Place>(query.advance(WorkerDefect{"silent"}, 0)));
+    EXPECT_TRUE(only<Place>(query.advance(WorkerFailure{"silent"}, 0)));
     if (stage > 0) {
       (void)query.advance(Placed{"b"}, 0);
     }
@@ -311,17 +311,17 @@
     // What runs there finishes, although the rule says otherwise by now.
     EXPECT_TRUE(query.advance(Decided{false, false, true, Standing::none}, 0).empty());
     EXPECT_TRUE(only<Forward>(query.advance(Event{2, false}, 0)));
-    Chart ends = query;
+    QueryStateMachine ends = query;
     (void)ends.advance(Whole{}, 0);
     EXPECT_TRUE(ends.settled());
-    EXPECT_TRUE(only<EndBroken>(query.advance(WorkerDefect{"cut"}, 0)));
+    EXPECT_TRUE(only<EndBroken>(query.advance(WorkerFailure{"cut"}, 0)));
   }
 }
 
-TEST(Chart, IsNotPassedOnOnceItsFirstLegRan) {
+TEST(QueryStateMachine, IsNotPassedOnOnceItsFirstLegRan) {
   QueryTerms terms;
   terms.may_pass = true;
-  Chart query = chart(terms);
+  QueryStateMachine query = state_machine(terms);
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
   EXPECT_TRUE(only<Place>(query.advance(LegDone{}, 0)));
@@ -338,10 +338,10 @@
 };
 Shares shares(std::uint64_t seed, std::function<double(int slot)> const& rate,
               std::function<bool(int slot)> const& wrong,
-              std::function<bool(int slot, std::size_t furrow)> const& killed = nullptr) {
+              std::function<bool(int slot, std::size_t proxy)> const& killed = nullptr) {
   constexpr int slots = 900;
   std::mt19937_64 random(seed);
-  std::vector<Budget> furrows(12);
+  std::vector<RetryBudget> proxies(12);
   std::vector<int> arrivals(slots, 0);
   std::vector<int> retries(slots, 0);
   Shares result;
@@ -350,14 +350,14 @@
     std::poisson_distribution<int> count(std::max(1e-9, rate(slot) / 10));
     int const queries = rate(slot) > 0 ? count(random) : 0;
     for (int query = 0; query < queries; ++query) {
-      furrows[random() % furrows.size()].arrived(now);
+      proxies[random() % proxies.size()].arrived(now);
       ++arrivals[static_cast<std::size_t>(slot)];
     }
-    for (std::size_t furrow = 0; furrow < furrows.size(); ++furrow) {
-      if (killed && killed(slot, furrow)) {
-        furrows[furrow] = Budget();
+    for (std::size_t proxy = 0; proxy < proxies.size(); ++proxy) {
+      if (killed && killed(slot, proxy)) {
+        proxies[proxy] = RetryBudget();
       }
-      while (wrong(slot) && furrows[furrow].take(now, furrow < constants::retry_keepers)) {
+      while (wrong(slot) && proxies[proxy].take(now, proxy < constants::retry_keepers)) {
         ++retries[static_cast<std::size_t>(slot)];
         result.after_the_end += rate(slot) > 0 ? 0 : 1;
       }
@@ -374,7 +374,7 @@
   return result;
 }
 
-TEST(Budget, RetriesStayUnderAFifthThroughSwingsStartsAndKills) {
+TEST(RetryBudget, RetriesStayUnderAFifthThroughSwingsStartsAndKills) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     for (double const full : {230.0, 155.0, 65.0, 30.0, 20.0}) {
       std::function<bool(int)> const always = [](int) { return true; };
@@ -395,13 +395,13 @@
       EXPECT_LT(starts.worst, 0.2) << "starts with " << full;
       Shares const kills = shares(
           seed, [full](int) { return full; }, always,
-          [](int slot, std::size_t furrow) { return slot % 40 == static_cast<int>(furrow); });
+          [](int slot, std::size_t proxy) { return slot % 40 == static_cast<int>(proxy); });
       EXPECT_LT(kills.worst, 0.2) << "killed furrows at " << full;
     }
   }
 }
 
-TEST(Budget, AfterTheLastQueryFewRetriesAreLeft) {
+TEST(RetryBudget, AfterTheLastQueryFewRetriesAreLeft) {
   // A window without traffic has no fifth; what is held is their number: the
   // young rights of one second and those kept for a moment.
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -412,8 +412,8 @@
   }
 }
 
-TEST(Budget, RightsDieYoungAndThereIsNoFreeMinimum) {
-  Budget budget(0.1, common::milliseconds(500));
+TEST(RetryBudget, RightsDieYoungAndThereIsNoFreeMinimum) {
+  RetryBudget budget(0.1, common::milliseconds(500));
   EXPECT_FALSE(budget.take(0, true));
   for (int query = 0; query < 9; ++query) {
     budget.arrived(0);
--- a/source/tests/scheduling/route_table_test.cpp
+++ b/source/tests/scheduling/route_table_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace scheduling;
 
-schema::Lane lane(std::string const& name, std::string const& host, std::string const& prefix) {
+schema::Lane route(std::string const& name, std::string const& host, std::string const& prefix) {
   schema::Lane entry;
   entry.name = name;
   entry.host = host;
@@ -18,131 +18,131 @@
   return entry;
 }
 
-std::string found(LaneBook const& book, std::string const& host, std::string const& path) {
-  schema::Lane const* const entry = book.find(host, path);
+std::string found(RouteTable const& route_table, std::string const& host, std::string const& path) {
+  schema::Lane const* const entry = route_table.find(host, path);
   return entry == nullptr ? "" : entry->name;
 }
 
 TEST(Lanes, LongestPrefixOfTheHostDecides) {
-  schema::Charter charter;
-  charter.lanes = {lane("short", "a.example", "/x/"), lane("long", "a.example", "/x/y/"),
-                   lane("other", "b.example", "/x/y/z/"), lane("root", "c.example", "/")};
-  LaneBook const book(charter);
-  EXPECT_EQ(found(book, "a.example", "/x/1"), "short");
-  EXPECT_EQ(found(book, "a.example", "/x/y/1"), "long");
-  EXPECT_EQ(found(book, "a.example", "/x/y/z/1"), "long");
-  EXPECT_EQ(found(book, "a.example", "/x/y"), "short");  // the prefix's own slash is missing
-  EXPECT_EQ(found(book, "a.example", "/x/"), "short");
-  EXPECT_EQ(found(book, "a.example", "/x"), "");
-  EXPECT_EQ(found(book, "a.example", "/"), "");
-  EXPECT_EQ(found(book, "a.example", "/z/x/y/1"), "");
-  EXPECT_EQ(found(book, "c.example", "/any/thing"), "root");
-  EXPECT_EQ(found(book, "d.example", "/x/1"), "");
+  schema::Charter routing_config;
+  routing_config.lanes = {route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"),
+                          route("other", "b.example", "/x/y/z/"), route("root", "c.example", "/")};
+  RouteTable const route_table(routing_config);
+  EXPECT_EQ(found(route_table, "a.example", "/x/1"), "short");
+  EXPECT_EQ(found(route_table, "a.example", "/x/y/1"), "long");
+  EXPECT_EQ(found(route_table, "a.example", "/x/y/z/1"), "long");
+  EXPECT_EQ(found(route_table, "a.example", "/x/y"), "short");  // the prefix's own slash is missing
+  EXPECT_EQ(found(route_table, "a.example", "/x/"), "short");
+  EXPECT_EQ(found(route_table, "a.example", "/x"), "");
+  EXPECT_EQ(found(route_table, "a.example", "/"), "");
+  EXPECT_EQ(found(route_table, "a.example", "/z/x/y/1"), "");
+  EXPECT_EQ(found(route_table, "c.example", "/any/thing"), "root");
+  EXPECT_EQ(found(route_table, "d.example", "/x/1"), "");
 }
 
 TEST(Lanes, HostHasNoCaseAndNoPortAndTheQuestionIsNoPartOfThePath) {
-  schema::Charter charter;
-  charter.lanes = {lane("one", "Host.Example", "/x/")};
-  LaneBook const book(charter);
-  EXPECT_EQ(found(book, "hOST.eXAMPLE:8080", "/x/1"), "one");
-  EXPECT_EQ(found(book, "host.example", "/x/1?next=/y/"), "one");
-  EXPECT_EQ(found(book, "host.example", "/?path=/x/1"), "");
-  EXPECT_EQ(found(book, "host.example", "/X/1"), "");  // paths have case
-  EXPECT_EQ(found(book, "", ""), "");
-  EXPECT_EQ(found(book, "host.example", "*"), "");
+  schema::Charter routing_config;
+  routing_config.lanes = {route("one", "Host.Example", "/x/")};
+  RouteTable const route_table(routing_config);
+  EXPECT_EQ(found(route_table, "hOST.eXAMPLE:8080", "/x/1"), "one");
+  EXPECT_EQ(found(route_table, "host.example", "/x/1?next=/y/"), "one");
+  EXPECT_EQ(found(route_table, "host.example", "/?path=/x/1"), "");
+  EXPECT_EQ(found(route_table, "host.example", "/X/1"), "");  // paths have case
+  EXPECT_EQ(found(route_table, "", ""), "");
+  EXPECT_EQ(found(route_table, "host.example", "*"), "");
 }
 
 TEST(Lanes, RegionsThatAreSomeLanesHomeAreClaimedForItsServices) {
-  schema::Charter charter;
-  schema::Lane at_home = lane("at home", "a.example", "/x/");
+  schema::Charter routing_config;
+  schema::Lane at_home = route("at home", "a.example", "/x/");
   at_home.home_regions = {"dublin"};
   at_home.shares = {schema::Share{"pool", 1}, schema::Share{"old", 0}};
-  charter.lanes = {at_home, lane("anywhere", "b.example", "/")};
-  LaneBook const book(charter);
-  ASSERT_EQ(book.claims().size(), 1u);
-  EXPECT_EQ(book.claims().at("pool"), std::set<std::string>{"dublin"});
+  routing_config.lanes = {at_home, route("anywhere", "b.example", "/")};
+  RouteTable const route_table(routing_config);
+  ASSERT_EQ(route_table.claims().size(), 1u);
+  EXPECT_EQ(route_table.claims().at("pool"), std::set<std::string>{"dublin"});
 }
 
 TEST(Lanes, ServicesAreFoundByName) {
-  schema::Charter charter;
+  schema::Charter routing_config;
   schema::Service service;
   service.name = "web";
   service.capacity = 6;
-  charter.services = {service};
-  LaneBook const book(charter);
-  ASSERT_NE(book.service("web"), nullptr);
-  EXPECT_EQ(book.service("web")->capacity, 6u);
-  EXPECT_EQ(book.service("we"), nullptr);
+  routing_config.services = {service};
+  RouteTable const route_table(routing_config);
+  ASSERT_NE(route_table.service("web"), nullptr);
+  EXPECT_EQ(route_table.service("web")->capacity, 6u);
+  EXPECT_EQ(route_table.service("we"), nullptr);
 }
 
 /// The most that may go out in any window: ratio x arrivals + slack, summed.
-TEST(Rights, SumOverAllFurrowsStaysBelowTheBound) {
+TEST(RetryQuota, SumOverAllFurrowsStaysBelowTheBound) {
   double const ratio = 0.2;
   double const slack = 64;
-  for (std::size_t const furrows : {1u, 3u, 12u, 40u}) {
-    std::vector<Rights> all(furrows);
+  for (std::size_t const proxies : {1u, 3u, 12u, 40u}) {
+    std::vector<RetryQuota> all(proxies);
     std::size_t arrivals = 0;
     std::size_t taken = 0;
     for (std::size_t round = 0; round < 30; ++round) {
-      for (Rights& rights : all) {
-        rights.bound(ratio, slack, static_cast<double>(furrows));
-        rights.arrived();
+      for (RetryQuota& retry_quota : all) {
+        retry_quota.bound(ratio, slack, static_cast<double>(proxies));
+        retry_quota.arrived();
         ++arrivals;
-        while (rights.take()) {
+        while (retry_quota.take()) {
           ++taken;
         }
       }
     }
-    EXPECT_LE(static_cast<double>(taken), ratio * static_cast<double>(arrivals) + slack) << furrows;
-    EXPECT_GT(taken, 0u) << furrows;
+    EXPECT_LE(static_cast<double>(taken), ratio * static_cast<double>(arrivals) + slack) << proxies;
+    EXPECT_GT(taken, 0u) << proxies;
   }
 }
 
-TEST(Rights, WhatIsSavedUpIsBoundedByTheSlack) {
-  Rights rights;
-  rights.bound(0.2, 64, 4);
+TEST(RetryQuota, WhatIsSavedUpIsBoundedByTheSlack) {
+  RetryQuota retry_quota;
+  retry_quota.bound(0.2, 64, 4);
   for (int arrival = 0; arrival < 100000; ++arrival) {
-    rights.arrived();
+    retry_quota.arrived();
   }
   int taken = 0;
-  while (rights.take()) {
+  while (retry_quota.take()) {
     ++taken;
   }
   EXPECT_LE(taken, 16);  // its even part
-  EXPECT_FALSE(rights.available());
+  EXPECT_FALSE(retry_quota.available());
   for (int arrival = 0; arrival < 10; ++arrival) {
-    rights.arrived();
+    retry_quota.arrived();
   }
   taken = 0;
-  while (rights.take()) {
+  while (retry_quota.take()) {
     ++taken;
   }
   EXPECT_LE(taken, 2);  // a fifth of ten
 }
 
-TEST(Rights, MoreFurrowsTakeAwayWhatWasSaved) {
-  Rights rights;
-  rights.bound(0.2, 64, 1);
+TEST(RetryQuota, MoreFurrowsTakeAwayWhatWasSaved) {
+  RetryQuota retry_quota;
+  retry_quota.bound(0.2, 64, 1);
   for (int arrival = 0; arrival < 1000; ++arrival) {
-    rights.arrived();
+    retry_quota.arrived();
   }
-  rights.bound(0.2, 64, 32);
+  retry_quota.bound(0.2, 64, 32);
   int taken = 0;
-  while (rights.take()) {
+  while (retry_quota.take()) {
     ++taken;
   }
   EXPECT_LE(taken, 2);
 }
 
-TEST(Rights, NoneAtTheStartWithoutSlack) {
-  Rights rights;
-  rights.bound(0.2, 0, 1);
-  EXPECT_FALSE(rights.available());
-  EXPECT_FALSE(rights.take());
+TEST(RetryQuota, NoneAtTheStartWithoutSlack) {
+  RetryQuota retry_quota;
+  retry_quota.bound(0.2, 0, 1);
+  EXPECT_FALSE(retry_quota.available());
+  EXPECT_FALSE(retry_quota.take());
 }
 
-TEST(Reuse, APartCountsOnlyBehindAllPartsBeforeIt) {
-  Reuse reuse(100000);
+TEST(PromptCacheEstimate, APartCountsOnlyBehindAllPartsBeforeIt) {
+  PromptCacheEstimate reuse(100000);
   reuse.remember({Part{1, 800}, Part{2, 410}, Part{3, 250}});
   EXPECT_EQ(reuse.match({Part{1, 800}, Part{2, 410}, Part{4, 100}}), 1210);
   EXPECT_EQ(reuse.match({Part{1, 800}, Part{3, 250}}), 800);  // behind another part it was read anew
@@ -152,8 +152,8 @@
   EXPECT_EQ(reuse.match({Part{1, 800}}), 0);
 }
 
-TEST(Reuse, ForgetsTheOldestAndKeepsWhatIsUsed) {
-  Reuse reuse(2000);
+TEST(PromptCacheEstimate, ForgetsTheOldestAndKeepsWhatIsUsed) {
+  PromptCacheEstimate reuse(2000);
   for (std::uint64_t session = 0; session < 50; ++session) {
     reuse.remember({Part{1, 500}, Part{100 + session, 100}});
   }
--- a/source/tests/scheduling/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -11,7 +11,7 @@
 namespace finchlink {
 namespace {
 
-using scheduling::Grove;
+using scheduling::LoadBalancer;
 
 schema::WorkerEntry worker(std::string const& id, std::string const& zone, std::string const& service = "text") {
   schema::WorkerEntry entry;
@@ -23,7 +23,7 @@
   return entry;
 }
 
-schema::Charter charter() {
+schema::Charter routing_config() {
   schema::Charter made;
   schema::Service text;
   text.name = "text";
@@ -63,7 +63,7 @@
                   worker("e", "nowhere"), worker("f", "north"), worker("g", "south")};
   list.workers[5].draining = true;
   list.workers[6].phase = "decode";
-  std::map<std::string, scheduling::Pool> const pools = scheduling::pools_of(list, charter(), regions, {});
+  std::map<std::string, scheduling::Pool> const pools = scheduling::pools_of(list, routing_config(), regions, {});
   ASSERT_EQ(pools.size(), 2u);
   scheduling::Pool const& one = pools.at("r1/text");
   EXPECT_EQ(std::set<std::string>(one.workers.begin(), one.workers.end()), (std::set<std::string>{"a", "b", "g"}));
@@ -72,7 +72,8 @@
   EXPECT_EQ(one.capacity, 48u);
   EXPECT_EQ(pools.at("r2/text").workers, std::vector<std::string>{"c"});
   // An evacuated hall's workers take none, and stay in the split meanwhile.
-  std::map<std::string, scheduling::Pool> const evacuated = scheduling::pools_of(list, charter(), regions, {"north"});
+  std::map<std::string, scheduling::Pool> const evacuated =
+      scheduling::pools_of(list, routing_config(), regions, {"north"});
   EXPECT_EQ(evacuated.at("r1/text").listed.count("a"), 1u);
   for (std::string const& id : evacuated.at("r1/text").workers) {
     EXPECT_NE(id, "a");
@@ -239,10 +240,10 @@
   scheduling::ScalerAction const first = fed.tick(schema::Split(), 0);
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
   schema::Value kept;
-  consensus::Proposal const wish =
+  consensus::Proposal const desired =
       consensus::replace_at(0, scheduling::print_split(std::get<scheduling::WriteSplit>(first).split))(kept);
-  ASSERT_TRUE(std::holds_alternative<schema::Value>(wish));
-  kept = std::get<schema::Value>(wish);
+  ASSERT_TRUE(std::holds_alternative<schema::Value>(desired));
+  kept = std::get<schema::Value>(desired);
   // Whoever lost the lease meanwhile builds on what is no longer there.
   EXPECT_FALSE(std::holds_alternative<schema::Value>(consensus::replace_at(kept.revision + 7, "other")(kept)));
   // The successor reads it back whole; it has seen no report and decides nothing.
@@ -259,8 +260,8 @@
   EXPECT_FALSE(scheduling::read_split("{\"phases\":").ok());
 }
 
-scheduling::Stand stand(std::string const& id, std::string const& phase) {
-  scheduling::Stand made;
+scheduling::WorkerSpec spec(std::string const& id, std::string const& phase) {
+  scheduling::WorkerSpec made;
   made.id = id;
   made.address = "10.0.0.1:80";
   made.service = "text";
@@ -273,7 +274,7 @@
   return made;
 }
 
-std::set<std::string> fed(Grove& grove, double tokens, int count, common::Moment now) {
+std::set<std::string> fed(LoadBalancer& balancer, double tokens, int count, common::Moment now) {
   std::set<std::string> used;
   for (int index = 0; index < count; ++index) {
     scheduling::Wanted wanted;
@@ -281,52 +282,52 @@
     wanted.tokens = tokens;
     wanted.parts = {scheduling::Part{static_cast<std::uint64_t>(index) * 7919u + 1u, tokens * 0.8},
                     scheduling::Part{static_cast<std::uint64_t>(index) * 104729u + 3u, tokens * 0.2}};
-    std::variant<scheduling::Spot, scheduling::NoSpot> const found = grove.choose(wanted, now);
-    if (scheduling::Spot const* const spot = std::get_if<scheduling::Spot>(&found)) {
-      used.insert(spot->worker);
-      grove.first_token(*spot, wanted.parts, 0.1);
-      grove.ended(*spot, true, scheduling::Outcome::good, now);
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found = balancer.choose(wanted, now);
+    if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found)) {
+      used.insert(assignment->worker);
+      balancer.first_token(*assignment, wanted.parts, 0.1);
+      balancer.ended(*assignment, true, scheduling::Outcome::good, now);
     }
   }
   return used;
 }
 
-scheduling::GroveTerms terms() {
-  scheduling::GroveTerms made;
+scheduling::LoadBalancerContext terms() {
+  scheduling::LoadBalancerContext made;
   made.hall = "north";
   made.region = "r1";
   made.self = "f1";
-  made.furrows = {"f1"};
+  made.proxies = {"f1"};
   return made;
 }
 
 TEST(Split, PlacementFeedsLongPromptsAndTheRestByIt) {
-  Grove grove;
-  grove.update(
-      {stand("a", "prefill"), stand("b", "prefill"), stand("c", "decode"), stand("d", "decode"), stand("e", "both")},
+  LoadBalancer balancer;
+  balancer.update(
+      {spec("a", "prefill"), spec("b", "prefill"), spec("c", "decode"), spec("d", "decode"), spec("e", "both")},
       terms(), 0);
-  std::set<std::string> const longs = fed(grove, 16000, 60, common::seconds(1));
+  std::set<std::string> const longs = fed(balancer, 16000, 60, common::seconds(1));
   EXPECT_EQ(longs.count("c") + longs.count("d"), 0u);
   EXPECT_EQ(longs.count("a") + longs.count("b"), 2u);
-  std::set<std::string> const rest = fed(grove, 300, 60, common::seconds(1));
+  std::set<std::string> const rest = fed(balancer, 300, 60, common::seconds(1));
   EXPECT_EQ(rest.count("a") + rest.count("b"), 0u);
   EXPECT_FALSE(rest.empty());
 }
 
 TEST(Split, APhaseWithoutAWorkerThatTakesQueriesLeavesItToTheEstimate) {
-  Grove grove;
-  std::vector<scheduling::Stand> stands{stand("a", "prefill"), stand("b", "decode"), stand("c", "decode")};
-  stands[0].draining = true;
-  grove.update(stands, terms(), 0);
-  EXPECT_FALSE(fed(grove, 16000, 10, common::seconds(1)).empty());
-  EXPECT_FALSE(fed(grove, 300, 10, common::seconds(1)).empty());
+  LoadBalancer balancer;
+  std::vector<scheduling::WorkerSpec> specs{spec("a", "prefill"), spec("b", "decode"), spec("c", "decode")};
+  specs[0].draining = true;
+  balancer.update(specs, terms(), 0);
+  EXPECT_FALSE(fed(balancer, 16000, 10, common::seconds(1)).empty());
+  EXPECT_FALSE(fed(balancer, 300, 10, common::seconds(1)).empty());
 }
 
 TEST(Split, FurrowsWithDifferentViewsBothPlaceAll) {
-  Grove older;
-  Grove newer;
-  older.update({stand("a", "prefill"), stand("b", "decode"), stand("c", "decode")}, terms(), 0);
-  newer.update({stand("a", "prefill"), stand("b", "prefill"), stand("c", "decode")}, terms(), 0);
+  LoadBalancer older;
+  LoadBalancer newer;
+  older.update({spec("a", "prefill"), spec("b", "decode"), spec("c", "decode")}, terms(), 0);
+  newer.update({spec("a", "prefill"), spec("b", "prefill"), spec("c", "decode")}, terms(), 0);
   EXPECT_EQ(fed(older, 16000, 40, common::seconds(1)), std::set<std::string>{"a"});
   EXPECT_EQ(fed(newer, 16000, 40, common::seconds(1)), (std::set<std::string>{"a", "b"}));
   EXPECT_EQ(fed(newer, 300, 40, common::seconds(1)), std::set<std::string>{"c"});
@@ -334,13 +335,14 @@
   scheduling::Wanted wanted;
   wanted.shares = {schema::Share{"text", 1}};
   wanted.tokens = 300;
-  std::variant<scheduling::Spot, scheduling::NoSpot> const before = older.choose(wanted, common::seconds(1));
-  ASSERT_TRUE(std::holds_alternative<scheduling::Spot>(before));
-  scheduling::Spot const spot = std::get<scheduling::Spot>(before);
-  std::vector<scheduling::Stand> switched{stand("a", "decode"), stand("b", "prefill"), stand("c", "prefill")};
+  std::variant<scheduling::Assignment, scheduling::NoAssignment> const before =
+      older.choose(wanted, common::seconds(1));
+  ASSERT_TRUE(std::holds_alternative<scheduling::Assignment>(before));
+  scheduling::Assignment const assignment = std::get<scheduling::Assignment>(before);
+  std::vector<scheduling::WorkerSpec> switched{spec("a", "decode"), spec("b", "prefill"), spec("c", "prefill")};
   older.update(switched, terms(), common::seconds(2));
-  EXPECT_TRUE(older.usable(spot.worker));
-  EXPECT_EQ(older.running_on(spot.worker, common::seconds(2)), 1);
+  EXPECT_TRUE(older.usable(assignment.worker));
+  EXPECT_EQ(older.running_on(assignment.worker, common::seconds(2)), 1);
   EXPECT_EQ(fed(older, 300, 10, common::seconds(2)), std::set<std::string>{"a"});
 }
 
--- a/source/tests/scheduling/stall_detector_test.cpp
+++ b/source/tests/scheduling/stall_detector_test.cpp
@@ -10,53 +10,53 @@
 namespace constants = common::constants;
 using scheduling::GiveUp;
 using scheduling::ProbeWorker;
-using scheduling::SilenceAction;
-using scheduling::SilenceWatch;
+using scheduling::StallAction;
+using scheduling::StallDetector;
 using scheduling::WaitUntil;
 
 constexpr common::Moment never = -common::seconds(100);  // the worker was not heard of late
 constexpr common::Moment sent = common::seconds(1);
 constexpr common::Moment first_bound = sent + common::milliseconds(480);
 
-bool gives_up(SilenceAction const& action) {
+bool gives_up(StallAction const& action) {
   return std::holds_alternative<GiveUp>(action);
 }
 
-TEST(SilenceWatch, AShortPromptIsAskedElsewhereWhileItsSetPointCanBeMet) {
-  SilenceWatch watch;
+TEST(StallDetector, AShortPromptIsAskedElsewhereWhileItsSetPointCanBeMet) {
+  StallDetector watch;
   EXPECT_EQ(watch.begin({800, 0.05, 300, true}, sent).due, first_bound);
   EXPECT_TRUE(gives_up(watch.rang(never, first_bound)));
 }
 
-TEST(SilenceWatch, TheBoundIsTwiceWhatWasPredictedIfThatIsLonger) {
-  SilenceWatch watch;
+TEST(StallDetector, TheBoundIsTwiceWhatWasPredictedIfThatIsLonger) {
+  StallDetector watch;
   EXPECT_EQ(watch.begin({800, 0.5, 300, true}, sent).due, sent + common::seconds(1));
   EXPECT_EQ(watch.begin({0, 0, 300, true}, sent).due, sent + common::milliseconds(600));
 }
 
-TEST(SilenceWatch, AWorkerThatGaveBytesToOthersIsBusyForTwiceTheBound) {
-  SilenceWatch watch;
+TEST(StallDetector, AWorkerThatGaveBytesToOthersIsBusyForTwiceTheBound) {
+  StallDetector watch;
   (void)watch.begin({800, 0.05, 300, true}, sent);
-  SilenceAction const action = watch.rang(first_bound - common::milliseconds(100), first_bound);
+  StallAction const action = watch.rang(first_bound - common::milliseconds(100), first_bound);
   ASSERT_TRUE(std::holds_alternative<WaitUntil>(action));
   EXPECT_EQ(std::get<WaitUntil>(action).due, first_bound + constants::alive_step);
   EXPECT_TRUE(gives_up(watch.rang(sent + common::milliseconds(950), sent + common::milliseconds(960))));
 }
 
-TEST(SilenceWatch, ALongPromptIsNotReadTwiceForABusyWorker) {
-  SilenceWatch watch;
+TEST(StallDetector, ALongPromptIsNotReadTwiceForABusyWorker) {
+  StallDetector watch;
   (void)watch.begin({800, 0.05, 17000, true}, sent);
   common::Moment now = first_bound;
   int probes = 0;
   while (true) {
-    SilenceAction const action = watch.rang(never, now);
+    StallAction const action = watch.rang(never, now);
     if (gives_up(action)) {
       break;
     }
     ASSERT_TRUE(std::holds_alternative<ProbeWorker>(action));
     EXPECT_EQ(std::get<ProbeWorker>(action).due, now + constants::relay_connect_near);
     ++probes;
-    SilenceAction const alive = watch.probed(true, now + common::milliseconds(1));
+    StallAction const alive = watch.probed(true, now + common::milliseconds(1));
     ASSERT_TRUE(std::holds_alternative<WaitUntil>(alive));
     now = std::get<WaitUntil>(alive).due;
   }
@@ -65,10 +65,10 @@
   EXPECT_GE(now - sent, constants::silence_bounds_most * common::milliseconds(480));
 }
 
-TEST(SilenceWatch, ALostWorkerIsGivenUpAtOnce) {
-  SilenceWatch watch;
+TEST(StallDetector, ALostWorkerIsGivenUpAtOnce) {
+  StallDetector watch;
   (void)watch.begin({800, 0.05, 17000, false}, sent);
-  SilenceAction const action = watch.rang(never, first_bound);
+  StallAction const action = watch.rang(never, first_bound);
   ASSERT_TRUE(std::holds_alternative<ProbeWorker>(action));
   EXPECT_EQ(std::get<ProbeWorker>(action).due, first_bound + constants::relay_connect_deadline);
   EXPECT_TRUE(gives_up(watch.probed(false, first_bound + common::milliseconds(3))));
@@ -78,8 +78,8 @@
   EXPECT_TRUE(gives_up(watch.rang(never, first_bound + constants::relay_connect_deadline)));
 }
 
-TEST(SilenceWatch, BytesThatCameDuringAProbeBeginTheWaitAnew) {
-  SilenceWatch watch;
+TEST(StallDetector, BytesThatCameDuringAProbeBeginTheWaitAnew) {
+  StallDetector watch;
   (void)watch.begin({800, 0.05, 17000, true}, sent);
   (void)watch.rang(never, first_bound);
   EXPECT_EQ(watch.begin({300, 0.05, 17000, true}, first_bound + 5).due, first_bound + 5 + common::milliseconds(180));
@@ -87,8 +87,8 @@
   EXPECT_EQ(watch.since(), first_bound + 5);
 }
 
-TEST(SilenceWatch, WithoutTheProbeABusyWorkerIsGivenUp) {
-  SilenceWatch watch(scheduling::SilenceGuards{true, false});
+TEST(StallDetector, WithoutTheProbeABusyWorkerIsGivenUp) {
+  StallDetector watch(scheduling::StallGuards{true, false});
   (void)watch.begin({800, 0.05, 17000, true}, sent);
   EXPECT_TRUE(gives_up(watch.rang(never, first_bound)));
 }
--- a/source/tests/simulator/catch_up_test.cpp
+++ b/source/tests/simulator/catch_up_test.cpp
@@ -112,7 +112,7 @@
   // by a vouch for a revision whose content never came.
   ControlReport const report = run("calm", 1, [](ControlOptions& options) {
     options.length = common::seconds(20);
-    options.vouch_guards.contents_whole = false;
+    options.freshness_guards.contents_whole = false;
   });
   EXPECT_GT(report.empty_adopted, 0u);
 }
--- a/source/tests/simulator/control_test.cpp
+++ b/source/tests/simulator/control_test.cpp
@@ -63,12 +63,12 @@
 }
 TEST(Control, UnvouchedFurrowsTakeNothing) {
   EXPECT_NE(first_break("freezes", 4,
-                        [](simulator::ControlOptions& options) { options.vouch_guards.stop_unvouched = false; }),
+                        [](simulator::ControlOptions& options) { options.freshness_guards.stop_unvouched = false; }),
             "");
 }
 TEST(Control, TheVouchCountsFromTheAsk) {
   EXPECT_NE(first_break("freezes", 6,
-                        [](simulator::ControlOptions& options) { options.vouch_guards.count_from_ask = false; }),
+                        [](simulator::ControlOptions& options) { options.freshness_guards.count_from_ask = false; }),
             "");
 }
 TEST(Control, TheTrellisConfirmsAfterTheAsk) {
--- a/source/tests/simulator/decisions_test.cpp
+++ b/source/tests/simulator/decisions_test.cpp
@@ -7,10 +7,10 @@
 
 constexpr std::uint64_t seeds = 12;
 
-simulator::DecisionReport play(std::uint64_t seed, scheduling::GroveGuards const& guards = {}) {
+simulator::DecisionReport play(std::uint64_t seed, scheduling::LoadBalancerGuards const& guards = {}) {
   simulator::DecisionOptions options;
   options.seed = seed;
-  options.grove = guards;
+  options.balancer = guards;
   return simulator::play_decisions(options);
 }
 
@@ -39,7 +39,7 @@
 TEST(Decisions, WithoutOwnersSharedPartsAreReadMoreOften) {
   double with = 0;
   double without = 0;
-  scheduling::GroveGuards no_owners;
+  scheduling::LoadBalancerGuards no_owners;
   no_owners.owners = false;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     with += play(seed).read_again_tokens;
--- a/source/tests/simulator/operators_test.cpp
+++ b/source/tests/simulator/operators_test.cpp
@@ -13,7 +13,7 @@
   options.seed = seed;
   options.length = common::seconds(15);
   options.faults = *simulator::control_scenario(scenario);
-  options.furrows = 1;
+  options.proxies = 1;
   options.operators = 1;
   options.orders.operators = operators;
   if (change) {
--- a/source/tests/simulator/prompt_isolation_test.cpp
+++ b/source/tests/simulator/prompt_isolation_test.cpp
@@ -5,8 +5,8 @@
 namespace finchlink {
 namespace {
 
-simulator::WallsOptions run_of(std::uint64_t seed) {
-  simulator::WallsOptions run;
+simulator::IsolationOptions run_of(std::uint64_t seed) {
+  simulator::IsolationOptions run;
   run.seed = seed;
   run.length = common::seconds(40);
   return run;
@@ -20,7 +20,7 @@
   std::uint64_t rotations = 0;
   std::uint64_t faults = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-    simulator::WallsReport const report = simulator::run_walls(run_of(seed));
+    simulator::IsolationReport const report = simulator::run_isolation(run_of(seed));
     EXPECT_TRUE(report.violations.empty()) << "seed " << seed << ": " << report.violations.front();
     EXPECT_EQ(report.crossed_hits, 0u) << "seed " << seed;
     EXPECT_EQ(report.old_hits, 0u) << "seed " << seed;
@@ -43,9 +43,9 @@
 
 TEST(AlmanacWalls, WithoutTheTenantInTheKeyHitsCross) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    simulator::WallsOptions run = run_of(seed);
+    simulator::IsolationOptions run = run_of(seed);
     run.guards.tenant_in_key = false;
-    simulator::WallsReport const report = simulator::run_walls(run);
+    simulator::IsolationReport const report = simulator::run_isolation(run);
     EXPECT_GT(report.crossed_hits, 1000u) << "seed " << seed;
     EXPECT_GT(report.named, 0u) << "seed " << seed;
     EXPECT_FALSE(report.violations.empty());
@@ -55,16 +55,16 @@
 TEST(AlmanacWalls, WithoutTheVersionWhatOtherWeightsComputedIsRead) {
   std::uint64_t old_hits = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-    simulator::WallsOptions run = run_of(seed);
+    simulator::IsolationOptions run = run_of(seed);
     run.guards.version_in_key = false;
-    old_hits += simulator::run_walls(run).old_hits;
+    old_hits += simulator::run_isolation(run).old_hits;
   }
   EXPECT_GT(old_hits, 50u);
 }
 
 TEST(AlmanacWalls, TheSameSeedGivesTheSameTrace) {
-  EXPECT_EQ(simulator::run_walls(run_of(7)).trace_hash, simulator::run_walls(run_of(7)).trace_hash);
-  EXPECT_NE(simulator::run_walls(run_of(7)).trace_hash, simulator::run_walls(run_of(8)).trace_hash);
+  EXPECT_EQ(simulator::run_isolation(run_of(7)).trace_hash, simulator::run_isolation(run_of(7)).trace_hash);
+  EXPECT_NE(simulator::run_isolation(run_of(7)).trace_hash, simulator::run_isolation(run_of(8)).trace_hash);
 }
 
 }  // namespace
--- a/source/tests/simulator/query_path_test.cpp
+++ b/source/tests/simulator/query_path_test.cpp
@@ -5,13 +5,13 @@
 namespace finchlink {
 namespace {
 
-simulator::FieldReport run(std::string const& scenario, std::uint64_t seed,
-                           std::function<void(simulator::FieldOptions&)> const& change = nullptr) {
-  simulator::FieldOptions options;
+simulator::QueryPathReport run(std::string const& scenario, std::uint64_t seed,
+                               std::function<void(simulator::QueryPathOptions&)> const& change = nullptr) {
+  simulator::QueryPathOptions options;
   options.seed = seed;
   options.length = common::seconds(30);
-  options.deployment = *simulator::field_deployment(FINCHLINK_SOURCE_FOLDER "/deployments/pruebaviva");
-  options.faults = *simulator::field_scenario(scenario);
+  options.deployment = *simulator::query_path_deployment(FINCHLINK_SOURCE_FOLDER "/deployments/pruebaviva");
+  options.faults = *simulator::query_path_scenario(scenario);
   options.aims.window_ms = 10000;
   options.aims.hold_ms = 3000;
   options.aims.warm_up_ms = 5000;
@@ -19,16 +19,16 @@
   if (change) {
     change(options);
   }
-  return simulator::run_field(options);
+  return simulator::run_query_path(options);
 }
-void corrib(simulator::FieldOptions& options) {
-  options.deployment = *simulator::field_deployment(FINCHLINK_SOURCE_FOLDER "/deployments/corrib");
+void corrib(simulator::QueryPathOptions& options) {
+  options.deployment = *simulator::query_path_deployment(FINCHLINK_SOURCE_FOLDER "/deployments/corrib");
   options.aims.manner = "paired";
 }
 std::string first_break(std::string const& scenario, std::uint64_t seeds,
-                        std::function<void(simulator::FieldOptions&)> const& off) {
+                        std::function<void(simulator::QueryPathOptions&)> const& off) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    simulator::FieldReport const report = run(scenario, seed, off);
+    simulator::QueryPathReport const report = run(scenario, seed, off);
     if (!report.violations.empty()) {
       return report.violations.front();
     }
@@ -37,12 +37,12 @@
 }
 
 TEST(Field, HoldsUnderEveryMixOfFaultsInBothDeployments) {
-  for (std::string const& scenario : simulator::field_scenarios()) {
+  for (std::string const& scenario : simulator::query_path_scenarios()) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
-      simulator::FieldReport const first = run(scenario, seed);
+      simulator::QueryPathReport const first = run(scenario, seed);
       EXPECT_TRUE(first.violations.empty()) << scenario << " seed " << seed << ": " << first.violations.front();
       EXPECT_GT(first.good, first.sent / 3) << scenario;  // field-setups is beyond capacity for most of its time
-      simulator::FieldReport const second = run(scenario, seed, corrib);
+      simulator::QueryPathReport const second = run(scenario, seed, corrib);
       EXPECT_TRUE(second.violations.empty())
           << scenario << " corrib seed " << seed << ": " << second.violations.front();
     }
@@ -50,14 +50,14 @@
 }
 
 TEST(Field, SameSeedSameTrace) {
-  simulator::FieldReport const first = run("field-storm", 5);
-  simulator::FieldReport const again = run("field-storm", 5);
+  simulator::QueryPathReport const first = run("field-storm", 5);
+  simulator::QueryPathReport const again = run("field-storm", 5);
   EXPECT_EQ(first.trace_hash, again.trace_hash);
   EXPECT_EQ(first.events, again.events);
 }
 
 TEST(Field, ScalerSettlesAndThenHolds) {
-  simulator::FieldReport const report = run("field-calm", 1);
+  simulator::QueryPathReport const report = run("field-calm", 1);
   ASSERT_EQ(report.prefill_workers.size(), 2u);
   EXPECT_GE(report.prefill_workers[0], 1u);
   EXPECT_LE(report.prefill_workers[0], 9u);
@@ -68,7 +68,7 @@
 
 TEST(Field, OneDispatchForWhatMayNotBeRepeated) {
   EXPECT_NE(first_break("field-cuts", 6,
-                        [](simulator::FieldOptions& options) {
+                        [](simulator::QueryPathOptions& options) {
                           corrib(options);
                           options.dispatch_once = false;
                         })
@@ -77,7 +77,7 @@
 }
 TEST(Field, NoRefusalOnceItMayHaveRun) {
   EXPECT_NE(first_break("field-cuts", 6,
-                        [](simulator::FieldOptions& options) {
+                        [](simulator::QueryPathOptions& options) {
                           corrib(options);
                           options.honest_refusal = false;
                         })
@@ -85,9 +85,9 @@
             std::string::npos);
 }
 TEST(Field, RetriesNeedARight) {
-  EXPECT_EQ(first_break("field-cuts", 3, [](simulator::FieldOptions& options) { options.faults.cut = 0.35; }), "");
+  EXPECT_EQ(first_break("field-cuts", 3, [](simulator::QueryPathOptions& options) { options.faults.cut = 0.35; }), "");
   EXPECT_NE(first_break("field-cuts", 8,
-                        [](simulator::FieldOptions& options) {
+                        [](simulator::QueryPathOptions& options) {
                           options.faults.cut = 0.35;
                           options.budget = false;
                         })
@@ -96,7 +96,7 @@
 }
 TEST(Field, ColdWorkersAreTendedByOne) {
   EXPECT_NE(first_break("field-crashes", 4,
-                        [](simulator::FieldOptions& options) {
+                        [](simulator::QueryPathOptions& options) {
                           options.scale = 2.5;
                           options.tend_cold = false;
                         })
@@ -104,18 +104,18 @@
             std::string::npos);
 }
 TEST(Field, QueriesGoByTheSetupInForce) {
-  std::function<void(simulator::FieldOptions&)> const off = [](simulator::FieldOptions& options) {
+  std::function<void(simulator::QueryPathOptions&)> const off = [](simulator::QueryPathOptions& options) {
     options.decide_anew = false;
   };
   EXPECT_NE(first_break("field-setups", 3, off), "");
-  simulator::FieldReport const report = run("field-setups", 1);
+  simulator::QueryPathReport const report = run("field-setups", 1);
   EXPECT_TRUE(report.violations.empty()) << report.violations.front();
   EXPECT_GT(report.faults, 5u);
   EXPECT_GT(report.decided_anew, 20u);
 }
 TEST(Field, WorkersThatMissedALookAreTakenForCold) {
   EXPECT_NE(first_break("field-blinks", 10,
-                        [](simulator::FieldOptions& options) {
+                        [](simulator::QueryPathOptions& options) {
                           options.scale = 2;
                           options.placement.doubt = false;
                         })
@@ -125,9 +125,9 @@
 TEST(Field, BeyondCapacityWorkGoesOnAndRefusalsAreImmediate) {
   // Fifteen times the rate is about three times what the workers bear; refused
   // callers come back when they were told to.
-  std::vector<simulator::FieldReport> reports;
+  std::vector<simulator::QueryPathReport> reports;
   for (bool const guard : {true, false}) {
-    reports.push_back(run("field-overload", 1, [guard](simulator::FieldOptions& options) {
+    reports.push_back(run("field-overload", 1, [guard](simulator::QueryPathOptions& options) {
       corrib(options);
       options.faults.crowd = 15;
       options.faults.crowd_at = common::seconds(10);
@@ -136,7 +136,7 @@
       options.placement.finish_begun = guard;
     }));
   }
-  simulator::FieldReport const& held = reports[0];
+  simulator::QueryPathReport const& held = reports[0];
   EXPECT_TRUE(held.violations.empty());
   EXPECT_GT(held.refused, 10000u);  // the crowd really was too much
   EXPECT_GT(held.crowd_good, 600);  // of about 1000 a second that they bear
@@ -146,7 +146,7 @@
   EXPECT_GT(reports[1].apologies, 500u);  // half-run work thrown away
 }
 TEST(Field, ACrowdOnOneServiceLeavesTheOthersAlone) {
-  simulator::FieldReport const report = run("field-overload", 1, [](simulator::FieldOptions& options) {
+  simulator::QueryPathReport const report = run("field-overload", 1, [](simulator::QueryPathOptions& options) {
     options.faults.crowd = 15;
     options.faults.crowd_on_first = true;
     options.faults.crowd_at = common::seconds(10);
@@ -157,7 +157,7 @@
 }
 TEST(Whole, ControlAndQueriesInOneWorldHoldUnderFaults) {
   for (std::string const scenario : {"whole-storm", "whole-herds", "whole-kills"}) {
-    simulator::FieldReport const report = run("field-calm", 1, [&scenario](simulator::FieldOptions& options) {
+    simulator::QueryPathReport const report = run("field-calm", 1, [&scenario](simulator::QueryPathOptions& options) {
       ASSERT_TRUE(simulator::apply_whole(scenario, options));
       if (scenario == "whole-herds") {
         corrib(options);
@@ -166,16 +166,16 @@
     EXPECT_TRUE(report.violations.empty()) << scenario << ": " << report.violations.front();
     EXPECT_GT(report.good, report.sent / 3) << scenario;
     EXPECT_GT(report.control.acknowledged, 10u) << scenario;
-    EXPECT_GT(report.unvouched, 0u) << scenario;  // the control plane really was away at times
+    EXPECT_GT(report.unconfirmed, 0u) << scenario;  // the control plane really was away at times
   }
 }
 TEST(Whole, QueriesNeedTheControlPlanesGuards) {
   std::map<std::string, std::function<void(simulator::ControlOptions&)>> const guards{
-      {"stop_unvouched", [](simulator::ControlOptions& control) { control.vouch_guards.stop_unvouched = false; }},
+      {"stop_unvouched", [](simulator::ControlOptions& control) { control.freshness_guards.stop_unvouched = false; }},
       {"acknowledge_waits", [](simulator::ControlOptions& control) { control.acknowledge_waits = false; }}};
   for (std::pair<std::string const, std::function<void(simulator::ControlOptions&)>> const& guard : guards) {
     EXPECT_NE(first_break("field-calm", 3,
-                          [&guard](simulator::FieldOptions& options) {
+                          [&guard](simulator::QueryPathOptions& options) {
                             ASSERT_TRUE(simulator::apply_whole("whole-storm", options));
                             guard.second(*options.control);
                           }),
@@ -184,7 +184,7 @@
   }
 }
 TEST(Field, DrainingWorkersGetNothingNew) {
-  EXPECT_NE(first_break("field-drains", 2, [](simulator::FieldOptions& options) { options.drop_drained = false; })
+  EXPECT_NE(first_break("field-drains", 2, [](simulator::QueryPathOptions& options) { options.drop_drained = false; })
                 .find("shown draining"),
             std::string::npos);
 }
