--- a/source/data_plane/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -162,8 +162,8 @@
     std::string_view const left = view(query.header[station.dialect().left]);
     std::optional<common::Span> const bearable =
         left.empty() ? std::nullopt
-                     : std::optional<common::Span>(common::milliseconds(
-                           static_cast<std::int64_t>(std::min<std::uint64_t>(natural(left, 86400000), 86400000))));
+                     : std::optional<common::Span>(common::milliseconds(static_cast<std::int64_t>(
+                           std::min<std::uint64_t>(leading_number(left, 86400000), 86400000))));
     common::Span const hold =
         scheduling::first_hold(station.routing_config_hold, query.arrived - station.begun_at(), bearable);
     while (!station.begun() && common::boot_now() - query.arrived < hold) {
--- a/source/data_plane/relay/event_cutter.hpp
+++ b/source/data_plane/relay/event_cutter.hpp
@@ -12,7 +12,7 @@
 namespace finchlink::data_plane {
 
 /// The number that a text begins with; none: the other.
-inline std::uint64_t natural(std::string_view text, std::uint64_t otherwise) {
+inline std::uint64_t leading_number(std::string_view text, std::uint64_t otherwise) {
   std::uint64_t value = 0;
   std::from_chars_result const parsed = std::from_chars(text.data(), text.data() + text.size(), value);
   return parsed.ec == std::errc() ? value : otherwise;
@@ -28,7 +28,7 @@
     bool gap = false;         ///< the next event leaves one out; nothing behind it counts
   };
   /// Takes bytes; gives all whole events that the caller doesn't have.
-  Whole feed(std::string_view bytes, Numbering& numbering) {
+  Whole feed(std::string_view bytes, EventNumbering& numbering) {
     Whole whole;
     pending_.append(bytes);
     std::size_t begin = 0;
@@ -42,14 +42,14 @@
       }
       std::string_view const event = std::string_view(pending_).substr(begin, end - begin);
       std::optional<std::uint64_t> const number = number_of(event);
-      Numbering::Verdict const verdict = number.has_value()    ? numbering.judge(*number)
-                                         : carries_data(event) ? numbering.judge_unnumbered()
-                                                               : Numbering::Verdict::pass;
-      if (verdict == Numbering::Verdict::gap) {
+      EventNumbering::Verdict const verdict = number.has_value()    ? numbering.judge(*number)
+                                              : carries_data(event) ? numbering.judge_unnumbered()
+                                                                    : EventNumbering::Verdict::pass;
+      if (verdict == EventNumbering::Verdict::gap) {
         whole.gap = true;
         break;
       }
-      if (verdict == Numbering::Verdict::pass) {
+      if (verdict == EventNumbering::Verdict::pass) {
         whole.bytes.append(event);
         whole.count += number.has_value() ? 1 : 0;
       }
--- a/source/data_plane/relay/header_fields.hpp
+++ b/source/data_plane/relay/header_fields.hpp
@@ -41,7 +41,7 @@
   }
 }
 
-/// What `natural` gives where no number stands.
-inline constexpr std::uint64_t not_natural = std::numeric_limits<std::uint64_t>::max();
+/// What `leading_number` gives where no number stands.
+inline constexpr std::uint64_t no_number = std::numeric_limits<std::uint64_t>::max();
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/numbering.hpp
+++ b/source/data_plane/relay/numbering.hpp
@@ -8,12 +8,12 @@
 /// Which events of a stream the caller has, and how their numbers rise, so that a
 /// gap at a worker that takes the stream up can be told (section 13.8). Where
 /// numbers rise unevenly nothing can be told, and any that rise are taken.
-class Numbering {
+class EventNumbering {
  public:
   enum class Verdict { pass, known, gap };
 
-  Numbering() = default;
-  explicit Numbering(std::optional<std::uint64_t> last) : last_(last) {}
+  EventNumbering() = default;
+  explicit EventNumbering(std::optional<std::uint64_t> last) : last_(last) {}
 
   /// A worker begins to answer, the first one or one that takes the stream up.
   void begin_run() {
--- a/source/data_plane/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -29,15 +29,17 @@
       silence_(station.mechanisms().silence) {
   std::string_view const left = view(query.header[station.dialect().left]);
   if (!left.empty()) {
-    deadline_ = std::min(deadline_, query.arrived + common::milliseconds(static_cast<std::int64_t>(
-                                                        std::min<std::uint64_t>(natural(left, 86400000), 86400000))));
+    deadline_ =
+        std::min(deadline_, query.arrived + common::milliseconds(static_cast<std::int64_t>(
+                                                std::min<std::uint64_t>(leading_number(left, 86400000), 86400000))));
   }
-  std::uint64_t const behind = natural(view(query.header[station.dialect().last_event]), not_natural);
-  numbering_ = Numbering(behind == not_natural ? std::nullopt : std::optional<std::uint64_t>(behind));
+  std::uint64_t const behind = leading_number(view(query.header[station.dialect().last_event]), no_number);
+  numbering_ = EventNumbering(behind == no_number ? std::nullopt : std::optional<std::uint64_t>(behind));
   std::string_view const tokens = view(query.header[station.dialect().tokens]);
-  wanted_.tokens = static_cast<double>(natural(tokens, 0));
+  wanted_.tokens = static_cast<double>(leading_number(tokens, 0));
   std::size_t const comma = tokens.find(',');
-  wanted_.outputs = comma == std::string_view::npos ? 0 : static_cast<double>(natural(tokens.substr(comma + 1), 0));
+  wanted_.outputs =
+      comma == std::string_view::npos ? 0 : static_cast<double>(leading_number(tokens.substr(comma + 1), 0));
   enter_isolation();
 }
 
--- a/source/data_plane/relay/relay.hpp
+++ b/source/data_plane/relay/relay.hpp
@@ -196,7 +196,7 @@
   std::optional<scheduling::QueryMessage> after_;
   std::string whole_;
   std::string whole_body_;
-  Numbering numbering_;  ///< of the events that the caller has
+  EventNumbering numbering_;  ///< of the events that the caller has
   scheduling::StallDetector silence_;
   std::shared_ptr<Socket> probe_;  ///< connects to a worker that says nothing, to tell a busy one from a lost one
   int connects_ = 0;
--- a/source/data_plane/relay/tenant_prompt.cpp
+++ b/source/data_plane/relay/tenant_prompt.cpp
@@ -35,7 +35,7 @@
   Dialect const& dialect = station_.dialect();
   scheduling::IsolationAnswer answer{assignment_.worker, std::string(view(got[dialect.weights])), std::nullopt, ran};
   if (ran && !got[dialect.reused].empty()) {
-    answer.reused = static_cast<double>(natural(view(got[dialect.reused]), 0));
+    answer.reused = static_cast<double>(leading_number(view(got[dialect.reused]), 0));
   }
   for (scheduling::IsolationAction const& action :
        station_.isolation().heard(answer, isolated_, wanted_.tokens - assignment_.uncached)) {
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -132,7 +132,7 @@
   double figures[3] = {0, 0, 0};
   for (double& figure : figures) {
     std::string_view const word = text.substr(0, text.find(','));
-    figure = static_cast<double>(natural(word.substr(std::min(word.size(), word.find_first_not_of(' '))), 0));
+    figure = static_cast<double>(leading_number(word.substr(std::min(word.size(), word.find_first_not_of(' '))), 0));
     text.remove_prefix(std::min(text.size(), word.size() + 1));
   }
   station_.balancer().told(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
@@ -151,9 +151,9 @@
   std::string_view const told = view(parser.get()["Keep-Alive"]);
   std::size_t const at = told.find("timeout=");
   if (at != std::string_view::npos) {
-    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(natural(told.substr(at + 8), 1))) / 2);
+    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(leading_number(told.substr(at + 8), 1))) / 2);
   } else if (!told.empty()) {
-    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(natural(told, 1))) / 2);
+    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(leading_number(told, 1))) / 2);
   }
   keep_worker(longest);
 }
