--- a/source/data_plane/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -1,3 +1,4 @@
+// Relay: one attempt to dispatch a query: assignment, connection, retry tokens, return to a stalled worker.
 #include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
@@ -17,21 +18,21 @@
   if (!spend) {
     return retry_quota.available();
   }
-  bool const good = reserved_ || retry_quota.take();
+  bool const granted = reserved_ || retry_quota.take();
   reserved_ = false;
-  station_.tally().retries += good ? 1 : 0;
-  return good;
+  station_.tally().retries += granted ? 1 : 0;
+  return granted;
 }
 
 bool Relay::find_place() {
-  common::Span const hold =
+  common::Span const longest_wait =
       route_.set_point_ms > 0
           ? common::milliseconds(static_cast<std::int64_t>(route_.set_point_ms * constants::hold_part))
           : constants::hold_plain;
-  common::Span const again = began_ ? common::milliseconds(static_cast<std::int64_t>(route_.gap_set_point_ms / 2))
-                             : state_machine_.dispatches() > 0 ? constants::place_pause
-                                                               : 0;
-  common::Moment const until = std::max(query_.arrived + hold, common::boot_now() + again);
+  common::Span const retry_wait = began_ ? common::milliseconds(static_cast<std::int64_t>(route_.gap_set_point_ms / 2))
+                                  : state_machine_.dispatches() > 0 ? constants::place_pause
+                                                                    : 0;
+  common::Moment const until = std::max(query_.arrived + longest_wait, common::boot_now() + retry_wait);
   while (true) {
     follow();
     if (state_machine_.settled() || gone_ || back_) {
@@ -40,11 +41,11 @@
     wanted_.shares = route_.shares;
     wanted_.homes = homes_;
     wanted_.once = !repeatable();
-    wanted_.draw = draw();
+    wanted_.draw = random_fraction();
     common::Moment const now = common::boot_now();
-    std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
+    std::variant<scheduling::Assignment, scheduling::NoAssignment> const choice =
         station_.balancer().choose(wanted_, now);
-    if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found)) {
+    if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&choice)) {
       assignment_ = *assignment;
       trail_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + assignment->worker + " predicted " +
                 std::to_string(static_cast<int>(assignment->predicted_seconds * 1000)) + "/" +
@@ -77,7 +78,7 @@
   first_seen_ = false;
   scheduling::Outcome outcome = scheduling::Outcome::unreachable;
   if (!reach()) {
-    // Nothing reached it: another place is no retry, but not without end.
+    // The worker received nothing, so another assignment is no retry; connects_most bounds how often.
     station_.balancer().ended(assignment_, false, gone_ ? scheduling::Outcome::abandoned : outcome, common::boot_now());
     wanted_.avoid.push_back(assignment_.worker);
     if (!gone_) {
@@ -90,10 +91,10 @@
     }
     return;
   }
-  std::shared_ptr<scheduling::RouteTable const> const before = route_table_;
+  std::shared_ptr<scheduling::RouteTable const> const previous_routes = route_table_;
   follow();
   if (state_machine_.settled() || back_ || !station_.balancer().usable(assignment_.worker) ||
-      (route_table_ != before && !still_named())) {
+      (route_table_ != previous_routes && !still_named())) {
     station_.balancer().ended(assignment_, false, scheduling::Outcome::abandoned, common::boot_now());
     keep_worker(constants::worker_idle);
     if (!back_) {
@@ -162,7 +163,7 @@
     later_.reset();
   }
   expect_bytes(pause_set_point_ms(), common::boot_now());
-  (void)read_events(*reading_);  // the grove has counted its end already
+  (void)read_events(*reading_);  // the load balancer has counted the end of this dispatch already
   after_talk();
 }
 
@@ -192,7 +193,8 @@
 }
 
 bool Relay::reach() {
-  // Without an id a surplus answer could not be told from its own.
+  // A request without an id always gets a fresh connection: on a kept one, a surplus answer to an earlier request
+  // could not be told from its own.
   if (repeatable() && !id_.empty()) {
     worker_ = station_.kept(assignment_.worker);
     if (worker_ != nullptr) {
--- a/source/data_plane/relay/caller_answer.cpp
+++ b/source/data_plane/relay/caller_answer.cpp
@@ -1,3 +1,4 @@
+// Relay: what is written to the caller.
 #include "data_plane/relay/relay.hpp"
 
 #include <boost/asio/write.hpp>
@@ -24,7 +25,7 @@
 
 void Relay::act(scheduling::Apologise const& apologise) {
   if (!whole_.empty()) {
-    (void)write_whole();  // the worker's own failure says more than ours
+    (void)write_whole();  // the worker's own error response is more specific than a 502 or 504 of the relay
   } else {
     answer(apologise.status == 504 ? "504 Gateway Timeout" : "502 Bad Gateway", apologise.reason, false);
   }
@@ -32,7 +33,7 @@
 
 void Relay::act(scheduling::EndBroken const& broken) {
   common::note(common::Event::QueryCut, id_ + " " + broken.reason);
-  keep_ = false;  // no closing chunk: nobody can take it for whole
+  keep_ = false;  // without the last chunk no caller can take the stream for complete
 }
 
 void Relay::answer(std::string const& status, std::string const& reason, bool come_back) {
@@ -40,8 +41,8 @@
   std::string text = "HTTP/1.1 " + status + "\r\n" + station_.dialect().query + ": " + id_ +
                      "\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) + "\r\n";
   if (come_back) {
-    double const point = route_.set_point_ms > 0 ? route_.set_point_ms / 1000 : 1.0;
-    text += "Retry-After: " + std::to_string(point * (0.15 + 0.15 * draw())) + "\r\n";
+    double const set_point_seconds = route_.set_point_ms > 0 ? route_.set_point_ms / 1000 : 1.0;
+    text += "Retry-After: " + std::to_string(set_point_seconds * (0.15 + 0.15 * random_fraction())) + "\r\n";
   }
   (void)write(text + closing_line() + "\r\n" + (bare_ ? "" : body));
 }
@@ -68,18 +69,18 @@
 }
 
 bool Relay::write_whole() {
-  bool const good = write(whole_ + closing_line() + "\r\n" + whole_body_);
-  return good;
+  bool const written = write(whole_ + closing_line() + "\r\n" + whole_body_);
+  return written;
 }
 
 std::string Relay::answer_head(Parser const& parser) const {
   std::string text =
       "HTTP/1.1 " + std::to_string(parser.get().result_int()) + " " + std::string(view(parser.get().reason())) + "\r\n";
-  // The ids that parts went out under stay between us and the workers.
-  std::vector<std::string_view> const left_out =
+  // The ids under which prompt parts were sent are only for the proxy and its workers.
+  std::vector<std::string_view> const removed =
       prompt_.has_value() ? std::vector<std::string_view>{station_.dialect().parts, station_.dialect().expected}
                           : std::vector<std::string_view>();
-  copy_fields(parser.get(), std::string(view(parser.get()[http::field::connection])), left_out, text);
+  copy_fields(parser.get(), std::string(view(parser.get()[http::field::connection])), removed, text);
   return text;
 }
 
--- a/source/data_plane/relay/caller_monitor.cpp
+++ b/source/data_plane/relay/caller_monitor.cpp
@@ -1,3 +1,4 @@
+// Relay: detects a caller that disconnects, and enforces the deadline.
 #include "data_plane/relay/relay.hpp"
 
 #include <sys/socket.h>
@@ -25,8 +26,8 @@
 
 bool Relay::look_at_caller() {
   while (ahead_.buffer.size() < constants::read_ahead_most) {
-    boost::beast::flat_buffer::mutable_buffers_type const room = ahead_.buffer.prepare(constants::piece_bytes);
-    ssize_t const count = recv(caller_.native_handle(), room.data(), room.size(), MSG_DONTWAIT);
+    boost::beast::flat_buffer::mutable_buffers_type const free_space = ahead_.buffer.prepare(constants::piece_bytes);
+    ssize_t const count = recv(caller_.native_handle(), free_space.data(), free_space.size(), MSG_DONTWAIT);
     if (count > 0) {
       ahead_.buffer.commit(static_cast<std::size_t>(count));
       ahead_.since = ahead_.since == 0 ? common::boot_now() : ahead_.since;
@@ -62,7 +63,7 @@
     }
     return;
   }
-  if (writing_) {  // it is the caller who is slow
+  if (writing_) {  // the caller is slow to read, not the worker to answer
     alarm_->set(deadline_);
     return;
   }
--- a/source/data_plane/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -1,3 +1,4 @@
+// Serves a caller's connection: reads its requests one after the other and relays each, or rejects it.
 #include <array>
 #include <boost/asio/write.hpp>
 
@@ -15,11 +16,12 @@
 
 namespace {
 
-/// A final answer of our own without a dispatch; `bare`: to a HEAD.
-bool write_small(Socket& socket, std::string const& status, std::string const& extra, std::string const& reason,
+/// Writes an error response of the relay itself, without a dispatch; `bare`: to a HEAD, so without a body.
+/// False: the connection is to be closed.
+bool write_error(Socket& socket, std::string const& status, std::string const& extra_lines, std::string const& reason,
                  bool keep, bool bare, common::Yield yield) {
   std::string const body = "{\"error\":\"" + reason + "\"}";
-  std::string const text = "HTTP/1.1 " + status + "\r\n" + extra +
+  std::string const text = "HTTP/1.1 " + status + "\r\n" + extra_lines +
                            "Content-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
                            (keep ? "\r\n\r\n" : "\r\nConnection: close\r\n\r\n") + (bare ? "" : body);
   error_code error;
@@ -27,83 +29,85 @@
   return keep && !error;
 }
 
-/// What ends a caller's connection when time is up: between queries and once an
-/// answer was given it is closed, a query that doesn't come whole is answered first.
-struct Patience {
-  bool close = true;
-  bool out = false;
+/// What a timeout does to a caller's connection: between queries and once a response was written the connection is
+/// closed; while a query is being read only the read is cancelled, so that the caller still gets a response.
+struct ReadTimeout {
+  bool closes_socket = true;  ///< close the connection; else cancel what waits on it
+  bool expired = false;       ///< the timeout has fired
 };
 
-/// A final answer before all of the query is read. Closing with unread bytes
-/// would reset the connection, and the answer might never be read: what comes
-/// is thrown away, for a moment and up to a size (section 13.8).
-void refuse_unread(Socket& socket, Alarm& alarm, Patience& patience, std::string const& status,
-                   std::string const& extra, std::string const& reason, bool bare, common::Yield yield) {
-  patience.close = true;
+/// Writes a final response before the whole query was read, and closes the connection. Closing with unread bytes would
+/// reset it, and the caller might never read the response: so what still arrives is discarded first, for at most
+/// refused_linger and refused_bytes (section 13.8).
+void reject_unread(Socket& socket, Alarm& alarm, ReadTimeout& timeout, std::string const& status,
+                   std::string const& extra_lines, std::string const& reason, bool bare, common::Yield yield) {
+  timeout.closes_socket = true;
   alarm.set(common::boot_now() + constants::refused_linger);
-  (void)write_small(socket, status, extra, reason, false, bare, yield);
+  (void)write_error(socket, status, extra_lines, reason, false, bare, yield);
   error_code error;
   socket.shutdown(Socket::shutdown_send, error);
-  std::array<char, constants::piece_bytes> thrown_away;
+  std::array<char, constants::piece_bytes> discarded;
   std::size_t total = 0;
   while (!error && total < constants::refused_bytes) {
-    total += socket.async_read_some(asio::buffer(thrown_away), yield[error]);
+    total += socket.async_read_some(asio::buffer(discarded), yield[error]);
   }
 }
 
 }  // namespace
 
-void serve_caller(RelayServer& station, std::shared_ptr<Socket> const& socket, common::Yield yield) {
+void serve_caller(RelayServer& server, std::shared_ptr<Socket> const& socket, common::Yield yield) {
   ReadAhead ahead;
   boost::beast::flat_buffer& buffer = ahead.buffer;
-  std::shared_ptr<Patience> const patience = std::make_shared<Patience>();
-  std::shared_ptr<Alarm> const alarm = std::make_shared<Alarm>(station.context(), [socket, patience] {
+  std::shared_ptr<ReadTimeout> const timeout = std::make_shared<ReadTimeout>();
+  std::shared_ptr<Alarm> const alarm = std::make_shared<Alarm>(server.context(), [socket, timeout] {
     error_code ignored;
-    patience->out = true;
-    patience->close ? socket->close(ignored) : socket->cancel(ignored);
+    timeout->expired = true;
+    timeout->closes_socket ? socket->close(ignored) : socket->cancel(ignored);
   });
   schema::CallerLimits limits;
-  bool again = true;
-  while (again) {
-    if (station.route_table() != nullptr) {
-      limits = station.route_table()->routing_config().limits;
+  bool keep_serving = true;
+  while (keep_serving) {
+    if (server.route_table() != nullptr) {
+      limits = server.route_table()->routing_config().limits;
     }
     error_code error;
-    if (buffer.size() == 0) {  // an idle connection may wait, a begun header may not
-      patience->close = true;
+    if (buffer.size() ==
+        0) {  // an idle connection may wait for idle_ms, a header that has begun only for header_wait_ms
+      timeout->closes_socket = true;
       alarm->set(common::boot_now() + common::milliseconds(static_cast<std::int64_t>(limits.idle_ms)));
       std::size_t const count = socket->async_read_some(buffer.prepare(4096), yield[error]);
       if (error) {
         break;
       }
       buffer.commit(count);
-      if (station.route_table() != nullptr) {
-        limits = station.route_table()->routing_config().limits;  // they may have changed while the connection rested
+      if (server.route_table() != nullptr) {
+        limits =
+            server.route_table()->routing_config().limits;  // the limits may have changed while the connection was idle
       }
     }
-    patience->close = false;
-    patience->out = false;
+    timeout->closes_socket = false;
+    timeout->expired = false;
     alarm->set(common::boot_now() + common::milliseconds(static_cast<std::int64_t>(limits.header_wait_ms)));
     http::request_parser<http::string_body> parser;
     parser.header_limit(static_cast<std::uint32_t>(limits.header_bytes));
     parser.body_limit(limits.body_bytes);
     http::async_read_header(*socket, buffer, parser, yield[error]);
-    if (patience->out) {
-      refuse_unread(*socket, *alarm, *patience, "408 Request Timeout", "", "too_slow", false, yield);
+    if (timeout->expired) {
+      reject_unread(*socket, *alarm, *timeout, "408 Request Timeout", "", "too_slow", false, yield);
       break;
     }
     if (error == http::error::header_limit) {
-      refuse_unread(*socket, *alarm, *patience, "431 Request Header Fields Too Large", "", "too_large", false, yield);
+      reject_unread(*socket, *alarm, *timeout, "431 Request Header Fields Too Large", "", "too_large", false, yield);
       break;
     }
-    if (error == http::error::body_limit) {  // announced too large: no byte of it is read
-      refuse_unread(*socket, *alarm, *patience, "413 Payload Too Large", "", "too_large",
+    if (error == http::error::body_limit) {  // Content-Length is over the limit: no byte of the body is read
+      reject_unread(*socket, *alarm, *timeout, "413 Payload Too Large", "", "too_large",
                     parser.get().method() == http::verb::head, yield);
       break;
     }
     if (error && error.category() == http::make_error_code(http::error::bad_value).category() &&
         error != http::error::end_of_stream && error != http::error::partial_message) {
-      refuse_unread(*socket, *alarm, *patience, "400 Bad Request", "", "malformed", false, yield);
+      reject_unread(*socket, *alarm, *timeout, "400 Bad Request", "", "malformed", false, yield);
       break;
     }
     if (error) {
@@ -111,19 +115,19 @@
     }
     Query query;
     query.arrived = ahead.since != 0 ? ahead.since : common::boot_now();
-    station.opened();
-    std::string const named =
-        station.dialect().query + ": " + std::string(view(parser.get()[station.dialect().query])) + "\r\n";
+    server.opened();
+    std::string const query_id_line =
+        server.dialect().query + ": " + std::string(view(parser.get()[server.dialect().query])) + "\r\n";
     bool const bare = parser.get().method() == http::verb::head;
-    if (station.route_table() != nullptr && station.route_table()->isolated()) {
-      // Refused before a body byte is read (section 14.1).
+    if (server.route_table() != nullptr && server.route_table()->isolated()) {
+      // A request without a valid tenant is rejected before a byte of its body is read (section 14.1).
       schema::Lane const* const route =
-          station.route_table()->find(view(parser.get()[http::field::host]), view(parser.get().target()));
+          server.route_table()->find(view(parser.get()[http::field::host]), view(parser.get().target()));
       if (route != nullptr && route->tenancy.has_value()) {
         scheduling::TenantReading const reading = tenant_of(*route->tenancy, parser.get());
         if (reading.end == scheduling::TenantEnd::refused) {
-          refuse_unread(*socket, *alarm, *patience, "400 Bad Request", named, reading.fault, bare, yield);
-          station.closed();
+          reject_unread(*socket, *alarm, *timeout, "400 Bad Request", query_id_line, reading.fault, bare, yield);
+          server.closed();
           break;
         }
       }
@@ -131,23 +135,23 @@
     if (boost::beast::iequals(parser.get()[http::field::expect], "100-continue")) {
       asio::async_write(*socket, asio::buffer(std::string("HTTP/1.1 100 Continue\r\n\r\n")), yield[error]);
     }
-    // What comes behind a body names no tenant and no prompt.
+    // Fields in a chunked body's trailer must not name a tenant or a prompt: only the header before the body counts.
     std::optional<http::request_header<>> before_body;
     if (parser.chunked()) {
       before_body = parser.get().base();
     }
-    if (!patience->out) {
+    if (!timeout->expired) {
       http::async_read(*socket, buffer, parser, yield[error]);
     }
-    if (error || patience->out) {
-      if (patience->out) {
-        refuse_unread(*socket, *alarm, *patience, "408 Request Timeout", named, "too_slow", bare, yield);
+    if (error || timeout->expired) {
+      if (timeout->expired) {
+        reject_unread(*socket, *alarm, *timeout, "408 Request Timeout", query_id_line, "too_slow", bare, yield);
       } else if (error == http::error::body_limit) {
-        refuse_unread(*socket, *alarm, *patience, "413 Payload Too Large", named, "too_large", bare, yield);
+        reject_unread(*socket, *alarm, *timeout, "413 Payload Too Large", query_id_line, "too_large", bare, yield);
       } else if (error == http::error::bad_chunk || error == http::error::bad_chunk_extension) {
-        refuse_unread(*socket, *alarm, *patience, "400 Bad Request", named, "malformed", bare, yield);
+        reject_unread(*socket, *alarm, *timeout, "400 Bad Request", query_id_line, "malformed", bare, yield);
       }
-      station.closed();
+      server.closed();
       break;
     }
     query.had_length = parser.content_length().has_value() || parser.chunked();
@@ -155,41 +159,41 @@
     query.body = std::make_shared<std::string const>(std::move(parser.get().body()));
     ahead.since = buffer.size() > 0 ? common::boot_now() : 0;
     query.header = before_body.has_value() ? std::move(*before_body) : std::move(parser.get().base());
-    patience->close = true;
+    timeout->closes_socket = true;
     alarm->set(common::boot_now() + common::seconds(3600));
-    // Right after a start charter and list come within a moment (section 13.8):
-    // the query waits for them as it would for a place, then is refused.
-    std::string_view const left = view(query.header[station.dialect().left]);
-    std::optional<common::Span> const bearable =
+    // Right after a start the routing configuration and the list of workers arrive shortly (section 13.8): the query
+    // waits for them as it would for an assignment, then is rejected.
+    std::string_view const left = view(query.header[server.dialect().left]);
+    std::optional<common::Span> const time_left =
         left.empty() ? std::nullopt
                      : std::optional<common::Span>(common::milliseconds(static_cast<std::int64_t>(
                            std::min<std::uint64_t>(leading_number(left, 86400000), 86400000))));
-    common::Span const hold =
-        scheduling::first_hold(station.routing_config_hold, query.arrived - station.begun_at(), bearable);
-    while (!station.begun() && common::boot_now() - query.arrived < hold) {
-      common::pause(station.context(), constants::place_pause, yield);
+    common::Span const longest_wait =
+        scheduling::first_hold(server.routing_config_hold, query.arrived - server.begun_at(), time_left);
+    while (!server.begun() && common::boot_now() - query.arrived < longest_wait) {
+      common::pause(server.context(), constants::place_pause, yield);
     }
-    std::shared_ptr<scheduling::RouteTable const> const route_table = station.route_table();
-    bool const keep = query.keep && !station.draining();
+    std::shared_ptr<scheduling::RouteTable const> const route_table = server.route_table();
+    bool const keep = query.keep && !server.draining();
     if (route_table == nullptr) {
-      again = write_small(*socket, "503 Service Unavailable", named + "Retry-After: 0.5\r\n", "no_setup", keep, bare,
-                          yield);
+      keep_serving = write_error(*socket, "503 Service Unavailable", query_id_line + "Retry-After: 0.5\r\n", "no_setup",
+                                 keep, bare, yield);
     } else {
       schema::Lane const* const route =
           route_table->find(view(query.header[http::field::host]), view(query.header.target()));
-      if (route == nullptr && !station.routing_config_confirmed()) {
-        // A newer charter may have the route; this furrow can't know (section 13.15).
-        again = write_small(*socket, "503 Service Unavailable", named + "Retry-After: 0.5\r\n", "charter_unconfirmed",
-                            keep, bare, yield);
+      if (route == nullptr && !server.routing_config_confirmed()) {
+        // A newer routing configuration may have the route, and this proxy can't know it (section 13.15).
+        keep_serving = write_error(*socket, "503 Service Unavailable", query_id_line + "Retry-After: 0.5\r\n",
+                                   "charter_unconfirmed", keep, bare, yield);
       } else if (route == nullptr) {
-        again = write_small(*socket, "404 Not Found", named, "unknown_rule", keep, bare, yield);
+        keep_serving = write_error(*socket, "404 Not Found", query_id_line, "unknown_rule", keep, bare, yield);
       } else {
         std::unique_ptr<Relay> const relay =
-            std::make_unique<Relay>(station, query, *route, *socket, ahead, route_table, yield);
-        again = relay->run();
+            std::make_unique<Relay>(server, query, *route, *socket, ahead, route_table, yield);
+        keep_serving = relay->run();
       }
     }
-    station.closed();
+    server.closed();
   }
   alarm->stop();
 }
--- a/source/data_plane/relay/event_cutter.hpp
+++ b/source/data_plane/relay/event_cutter.hpp
@@ -11,60 +11,63 @@
 
 namespace finchlink::data_plane {
 
-/// The number that a text begins with; none: the other.
-inline std::uint64_t leading_number(std::string_view text, std::uint64_t otherwise) {
+/// The decimal number that `text` begins with; `fallback` if it begins with none, or with one too large.
+inline std::uint64_t leading_number(std::string_view text, std::uint64_t fallback) {
   std::uint64_t value = 0;
   std::from_chars_result const parsed = std::from_chars(text.data(), text.data() + text.size(), value);
-  return parsed.ec == std::errc() ? value : otherwise;
+  return parsed.ec == std::errc() ? value : fallback;
 }
 
-/// Events of a stream as they come (section 13.8): whole ones are passed on, the rest waits,
-/// so that a cut never leaves half an event with the caller.
+/// Splits the bytes of an event stream into events (section 13.8). Only complete events are given out and an incomplete
+/// one is held back, so that a broken connection never leaves the caller with half an event.
 class EventCutter {
  public:
-  struct Whole {
+  /// Complete events to pass on.
+  struct CompleteEvents {
     std::string bytes;
-    std::uint64_t count = 0;  ///< of numbered events in it
-    bool gap = false;         ///< the next event leaves one out; nothing behind it counts
+    std::uint64_t count = 0;  ///< how many of them have a number
+    bool gap = false;         ///< the event behind them skips a number; it and what follows is not given out
   };
-  /// Takes bytes; gives all whole events that the caller doesn't have.
-  Whole feed(std::string_view bytes, EventNumbering& numbering) {
-    Whole whole;
+  /// Takes the next bytes of a worker's stream; gives all complete events that the caller doesn't have.
+  CompleteEvents feed(std::string_view bytes, EventNumbering& numbering) {
+    CompleteEvents complete;
     pending_.append(bytes);
     std::size_t begin = 0;
     while (true) {
-      std::size_t const unix_end = pending_.find("\n\n", begin);
-      std::size_t const other_end = pending_.find("\r\n\r\n", begin);
-      std::size_t const end = std::min(unix_end == std::string::npos ? unix_end : unix_end + 2,
-                                       other_end == std::string::npos ? other_end : other_end + 4);
+      std::size_t const lf_end = pending_.find("\n\n", begin);
+      std::size_t const crlf_end = pending_.find("\r\n\r\n", begin);
+      std::size_t const end = std::min(lf_end == std::string::npos ? lf_end : lf_end + 2,
+                                       crlf_end == std::string::npos ? crlf_end : crlf_end + 4);
       if (end == std::string::npos) {
         break;
       }
       std::string_view const event = std::string_view(pending_).substr(begin, end - begin);
       std::optional<std::uint64_t> const number = number_of(event);
-      EventNumbering::Verdict const verdict = number.has_value()    ? numbering.judge(*number)
-                                              : carries_data(event) ? numbering.judge_unnumbered()
+      EventNumbering::Verdict const verdict = number.has_value()    ? numbering.classify(*number)
+                                              : carries_data(event) ? numbering.classify_unnumbered()
                                                                     : EventNumbering::Verdict::pass;
       if (verdict == EventNumbering::Verdict::gap) {
-        whole.gap = true;
+        complete.gap = true;
         break;
       }
       if (verdict == EventNumbering::Verdict::pass) {
-        whole.bytes.append(event);
-        whole.count += number.has_value() ? 1 : 0;
+        complete.bytes.append(event);
+        complete.count += number.has_value() ? 1 : 0;
       }
       begin = end;
     }
     pending_.erase(0, begin);
-    return whole;
+    return complete;
   }
-  [[nodiscard]] std::string const& rest() const { return pending_; }
+  /// The bytes of the event that is not complete yet.
+  [[nodiscard]] std::string const& incomplete() const { return pending_; }
 
  private:
-  /// Comments and other events without data show nothing, so that it does no harm to pass them on twice.
+  /// Comments and other events without data are invisible to the caller's code: passing them on twice does no harm.
   static bool carries_data(std::string_view event) {
     return event.rfind("data", 0) == 0 || event.find("\ndata") != std::string_view::npos;
   }
+  /// The number in the event's `id:` line.
   static std::optional<std::uint64_t> number_of(std::string_view event) {
     std::size_t at = event.rfind("id:", 0) == 0 ? 0 : event.find("\nid:");
     if (at == std::string_view::npos) {
--- a/source/data_plane/relay/event_stream.cpp
+++ b/source/data_plane/relay/event_stream.cpp
@@ -1,3 +1,4 @@
+// Relay: an answer that is a stream of events.
 #include "data_plane/relay/relay.hpp"
 
 #include <cstdio>
@@ -13,7 +14,7 @@
   reading.sighting.sent = reading.sent;
   reading.resumed = state_machine_.last_event() > 0;
   station_.tally().resumed += reading.resumed ? 1 : 0;
-  numbering_.begin_run();
+  numbering_.begin_segment();
   return read_events(reading);
 }
 
@@ -28,29 +29,29 @@
       after_ = scheduling::WorkerFailure{"cut_stream"};
       return scheduling::Outcome::failure;
     }
-    setting_aside_ = false;  // bytes were there first
-    EventCutter::Whole const whole = reading.cutter.feed(bytes, numbering_);
-    if (whole.gap) {  // nothing of it was passed on: another may do better
+    setting_aside_ = false;  // bytes arrived before the read was cancelled
+    EventCutter::CompleteEvents const complete = reading.cutter.feed(bytes, numbering_);
+    if (complete.gap) {  // nothing behind the gap was passed on: another worker may have the missing events
       after_ = scheduling::WorkerFailure{"gap"};
       return scheduling::Outcome::failure;
     }
-    if (parser.is_done() && (!reading.cutter.rest().empty() || !ended_whole(parser))) {
+    if (parser.is_done() && (!reading.cutter.incomplete().empty() || !ended_whole(parser))) {
       after_ = scheduling::WorkerFailure{"cut_event"};
       return scheduling::Outcome::failure;
     }
-    if (whole.count == 0 && whole.bytes.empty()) {
+    if (complete.count == 0 && complete.bytes.empty()) {
       continue;
     }
     common::Moment const now = common::boot_now();
     station_.balancer().heard(assignment_.worker, now);
-    sighting.event(whole.count, now);
+    sighting.event(complete.count, now);
     if (first_at_ == 0) {
       first_at_ = now;
     }
     if (reading.first) {
       reading.first = false;
       first_seen_ = true;
-      aside_.reset();  // this one goes on
+      aside_.reset();  // this worker continues the stream: the one set aside is no longer needed
       station_.balancer().first_token(assignment_, kept_parts(), static_cast<double>(now - sent) / 1e6);
     }
     expect_bytes(pause_set_point_ms(), now);
@@ -60,9 +61,9 @@
       text = answer_head(parser) + "Transfer-Encoding: chunked\r\n" + closing_line() + "\r\n";
     }
     char size[24];
-    std::snprintf(size, sizeof(size), "%zx\r\n", whole.bytes.size());
-    text.append(size).append(whole.bytes).append("\r\n");
-    // The chart counts what was passed on, whatever the worker's numbers are.
+    std::snprintf(size, sizeof(size), "%zx\r\n", complete.bytes.size());
+    text.append(size).append(complete.bytes).append("\r\n");
+    // The query state machine counts the events passed on, whatever numbers the worker gave them.
     feed(scheduling::Event{state_machine_.last_event() + 1, false, numbering_.position_known()});
     if (parser.is_done()) {
       ended = true;
@@ -77,7 +78,7 @@
     after_ = scheduling::WorkerFailure{"no_event"};
     return scheduling::Outcome::failure;
   }
-  if (!ended) {  // the end came by itself, behind the last event
+  if (!ended) {  // the end of the body came separately, after the last event
     (void)write("0\r\n\r\n");
   }
   feed(scheduling::StreamEnded{});
--- a/source/data_plane/relay/header_fields.cpp
+++ b/source/data_plane/relay/header_fields.cpp
@@ -8,19 +8,21 @@
 
 namespace {
 
-/// Some servers take "_" in a field's name for "-".
-char folded(char letter) {
-  return letter == '_' ? '-' : static_cast<char>(letter >= 'A' && letter <= 'Z' ? letter - 'A' + 'a' : letter);
+/// Lower case, with "_" as "-": some servers treat both alike in a field's name.
+char fold(char character) {
+  return character == '_' ? '-'
+                          : static_cast<char>(character >= 'A' && character <= 'Z' ? character - 'A' + 'a' : character);
 }
 
 }  // namespace
 
-bool same_name(std::string_view one, std::string_view other) {
-  return std::equal(one.begin(), one.end(), other.begin(), other.end(),
-                    [](char left, char right) { return folded(left) == folded(right); });
+bool same_field_name(std::string_view left, std::string_view right) {
+  return std::equal(
+      left.begin(), left.end(), right.begin(), right.end(),
+      [](char left_character, char right_character) { return fold(left_character) == fold(right_character); });
 }
 
-bool of_connection(std::string_view name) {
+bool is_hop_by_hop(std::string_view name) {
   static constexpr std::string_view names[] = {"connection", "keep-alive", "proxy-connection",
                                                "te",         "trailer",    "transfer-encoding",
                                                "upgrade",    "expect",     "content-length"};
@@ -32,7 +34,7 @@
   return false;
 }
 
-double draw() {
+double random_fraction() {
   return static_cast<double>(common::random_number() % 1000000) / 1e6;
 }
 
--- a/source/data_plane/relay/request_head.cpp
+++ b/source/data_plane/relay/request_head.cpp
@@ -1,3 +1,4 @@
+// Relay: the request head that is sent to a worker.
 #include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
--- a/source/data_plane/relay/stall.cpp
+++ b/source/data_plane/relay/stall.cpp
@@ -1,3 +1,4 @@
+// Relay: a worker that has stalled: probes it, gives it up, or sets it aside.
 #include <algorithm>
 
 #include "common/relay_constants.hpp"
@@ -18,14 +19,14 @@
 
 void Relay::act(scheduling::ProbeWorker const& probe) {
   if (!may_ask_another(common::boot_now())) {
-    alarm_->set(deadline_);  // whatever the probe showed, nothing would follow
+    alarm_->set(deadline_);  // a probe would be of no use: no other worker may be asked
     return;
   }
   alarm_->set(std::min(deadline_, probe.due));
   absl::StatusOr<common::Endpoint> const endpoint = common::read_endpoint(assignment_.address);
   probe_ = std::make_shared<Socket>(station_.context());
   if (!endpoint.ok() || common::open_own(*probe_, *endpoint)) {
-    return;  // its moment ends it
+    return;  // the stall detector gives up the probe when its time is over
   }
   ++station_.tally().probes;
   probe_->async_connect(*endpoint, [guard = guard_, socket = probe_](error_code const& error) {
@@ -47,10 +48,10 @@
 
 bool Relay::may_ask_another(common::Moment now) {
   wanted_.avoid.push_back(assignment_.worker);
-  bool const other = repeatable() && state_machine_.dispatches() < static_cast<int>(route_.dispatches) &&
-                     may_spend(false) && station_.balancer().alternative(wanted_, now);
+  bool const possible = repeatable() && state_machine_.dispatches() < static_cast<int>(route_.dispatches) &&
+                        may_spend(false) && station_.balancer().alternative(wanted_, now);
   wanted_.avoid.pop_back();
-  return other;
+  return possible;
 }
 
 void Relay::act(scheduling::GiveUp const&) {
@@ -59,13 +60,14 @@
     alarm_->set(deadline_);
     return;
   }
-  // The right is taken now: others whose worker fell silent at the same moment must not count on the same one.
+  // The retry token is taken now: other queries whose worker stalled at the same moment must not count on it too.
   reserved_ = station_.retry_quota(service_).take();
-  // Slow, not dark, if anything came from it since: no reason for it to rest.
+  // A worker that sent anything since then is slow, not unreachable: no reason to eject it.
   slow_ = station_.balancer().heard_at(assignment_.worker) >= silence_.since();
   if (station_.mechanisms().set_aside && worker_ != nullptr &&
       std::holds_alternative<scheduling::Streaming>(state_machine_.state()) && reading_->sending->whole()) {
-    // Part of its stream is with the caller: it is only set aside until another one goes on, since that may refuse.
+    // The caller has part of its stream: the worker is only set aside until another one continues the stream, since
+    // the other one may refuse.
     setting_aside_ = true;
     error_code ignored;
     worker_->cancel(ignored);
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -1,3 +1,4 @@
+// Relay: a worker's answer: a refusal, a whole answer, a stream, or no valid answer.
 #include "data_plane/relay/relay.hpp"
 
 #include <algorithm>
@@ -41,7 +42,7 @@
 }
 
 bool Relay::read_head(Reading& reading) {
-  for (int heads = 0; heads <= constants::interim_answers_most; ++heads) {
+  for (int head_count = 0; head_count <= constants::interim_answers_most; ++head_count) {
     reading.parser = std::make_unique<Parser>();
     reading.parser->header_limit(constants::answer_header_limit);
     reading.parser->body_limit(boost::none);
@@ -67,14 +68,14 @@
   Dialect const& dialect = station_.dialect();
   std::string_view const id = view(got[dialect.query]);
   if (!id.empty() && id != id_) {
-    return false;  // late, and of another request: this one may run
+    return false;  // a late answer to another request: this request may be running
   }
   unsigned int const status = got.result_int();
   return status == 421 || (status >= 400 && !got[dialect.not_run].empty());
 }
 
 bool Relay::ended_whole(Parser const& parser) const {
-  // A failed write took the word of a reset with it: the end that is read then looks orderly.
+  // Once a write has failed with the connection's reset, the next read sees an orderly end: it proves nothing then.
   return !parser.need_eof() || !reading_->sending->failed;
 }
 
@@ -131,15 +132,16 @@
   }
   double figures[3] = {0, 0, 0};
   for (double& figure : figures) {
-    std::string_view const word = text.substr(0, text.find(','));
-    figure = static_cast<double>(leading_number(word.substr(std::min(word.size(), word.find_first_not_of(' '))), 0));
-    text.remove_prefix(std::min(text.size(), word.size() + 1));
+    std::string_view const number_text = text.substr(0, text.find(','));
+    figure = static_cast<double>(
+        leading_number(number_text.substr(std::min(number_text.size(), number_text.find_first_not_of(' '))), 0));
+    text.remove_prefix(std::min(text.size(), number_text.size() + 1));
   }
   station_.balancer().told(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
 }
 
 void Relay::after_answer(boost::beast::flat_buffer const& buffer, Parser const& parser) {
-  // While the worker still reads the request, other bytes on the connection would count as the rest of its body.
+  // While the worker still reads this request, the next one on the connection would be taken for the rest of its body.
   if (!reading_->sending->whole()) {
     return;
   }
@@ -148,12 +150,13 @@
     return;
   }
   common::Span longest = constants::worker_idle;
-  std::string_view const told = view(parser.get()["Keep-Alive"]);
-  std::size_t const at = told.find("timeout=");
+  std::string_view const keep_alive_field = view(parser.get()["Keep-Alive"]);
+  std::size_t const at = keep_alive_field.find("timeout=");
   if (at != std::string_view::npos) {
-    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(leading_number(told.substr(at + 8), 1))) / 2);
-  } else if (!told.empty()) {
-    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(leading_number(told, 1))) / 2);
+    longest = std::min(
+        longest, common::seconds(static_cast<std::int64_t>(leading_number(keep_alive_field.substr(at + 8), 1))) / 2);
+  } else if (!keep_alive_field.empty()) {
+    longest = std::min(longest, common::seconds(static_cast<std::int64_t>(leading_number(keep_alive_field, 1))) / 2);
   }
   keep_worker(longest);
 }
@@ -188,7 +191,7 @@
     station_.balancer().first_token(assignment_, status < 300 ? kept_parts() : std::vector<scheduling::Part>(), 0);
   }
   first_at_ = common::boot_now();
-  // An answer to HEAD tells the length that the body would have.
+  // A response to HEAD gives the length that the body would have.
   std::string const length = bare_  ? std::string(view(parser.get()[http::field::content_length]))
                              : bare ? ""
                                     : std::to_string(body.size());
--- a/source/tests/relay/event_cutter_test.cpp
+++ b/source/tests/relay/event_cutter_test.cpp
@@ -1,3 +1,4 @@
+/// Splitting a stream into events, and detecting gaps and duplicates when another worker resumes it.
 #include <gtest/gtest.h>
 
 #include "data_plane/relay/dialect.hpp"
@@ -17,37 +18,37 @@
   std::string const text = event(1) + event(2, "two\ndata: lines") + event(3);
   for (std::size_t piece = 1; piece <= text.size(); ++piece) {
     EventCutter cutter;
-    data_plane::Numbering numbering;
+    data_plane::EventNumbering numbering;
     std::string passed;
     std::uint64_t count = 0;
     for (std::size_t at = 0; at < text.size(); at += piece) {
-      EventCutter::Whole const whole = cutter.feed(std::string_view(text).substr(at, piece), numbering);
-      EXPECT_TRUE(whole.bytes.empty() || whole.bytes.substr(whole.bytes.size() - 2) == "\n\n");
-      passed += whole.bytes;
-      count += whole.count;
+      EventCutter::CompleteEvents const complete = cutter.feed(std::string_view(text).substr(at, piece), numbering);
+      EXPECT_TRUE(complete.bytes.empty() || complete.bytes.substr(complete.bytes.size() - 2) == "\n\n");
+      passed += complete.bytes;
+      count += complete.count;
     }
     EXPECT_EQ(passed, text) << piece;
     EXPECT_EQ(numbering.last(), 3u);
     EXPECT_EQ(count, 3u);
-    EXPECT_TRUE(cutter.rest().empty());
+    EXPECT_TRUE(cutter.incomplete().empty());
   }
 }
 
 TEST(EventCutter, KeepsAHalfEventBack) {
   EventCutter cutter;
-  data_plane::Numbering numbering;
-  EventCutter::Whole const whole = cutter.feed(event(1) + "id: 2\ndata: ha", numbering);
-  EXPECT_EQ(whole.bytes, event(1));
+  data_plane::EventNumbering numbering;
+  EventCutter::CompleteEvents const complete = cutter.feed(event(1) + "id: 2\ndata: ha", numbering);
+  EXPECT_EQ(complete.bytes, event(1));
   EXPECT_EQ(numbering.last(), 1u);
-  EXPECT_EQ(cutter.rest(), "id: 2\ndata: ha");
+  EXPECT_EQ(cutter.incomplete(), "id: 2\ndata: ha");
 }
 
 TEST(EventCutter, LeavesOutWhatTheCallerHasAlready) {
   EventCutter cutter;
-  data_plane::Numbering numbering(4);
-  EventCutter::Whole const whole = cutter.feed(event(4) + event(5) + event(5) + event(6), numbering);
-  EXPECT_EQ(whole.bytes, event(5) + event(6));
-  EXPECT_EQ(whole.count, 2u);
+  data_plane::EventNumbering numbering(4);
+  EventCutter::CompleteEvents const complete = cutter.feed(event(4) + event(5) + event(5) + event(6), numbering);
+  EXPECT_EQ(complete.bytes, event(5) + event(6));
+  EXPECT_EQ(complete.count, 2u);
   EXPECT_EQ(numbering.last(), 6u);
 }
 
@@ -55,30 +56,33 @@
   EventCutter cutter;
   std::string const first = "revision: 3\r\nid:7\r\ndata: x\r\n\r\n";
   std::string const second = ": only a comment\n\n";
-  data_plane::Numbering numbering(6);
-  EventCutter::Whole const whole = cutter.feed(first + second, numbering);
-  EXPECT_EQ(whole.bytes, first + second);
+  data_plane::EventNumbering numbering(6);
+  EventCutter::CompleteEvents const complete = cutter.feed(first + second, numbering);
+  EXPECT_EQ(complete.bytes, first + second);
   EXPECT_EQ(numbering.last(), 7u);
-  EXPECT_EQ(whole.count, 1u);  // the comment is passed on and counts as none
+  EXPECT_EQ(complete.count, 1u);  // the comment is passed on but not counted
 }
 
-/// What is passed on of a run that goes on behind events of another one.
-struct Joined {
+/// What is passed on of a segment that resumes a stream, and whether it skips an event.
+struct ResumedSegment {
   std::string bytes;
   bool gap = false;
 };
-Joined join(std::string const& before, std::string const& behind, std::optional<std::uint64_t> had = std::nullopt) {
-  data_plane::Numbering numbering(had);
-  numbering.begin_run();
+/// Feeds the events `before` as one worker's segment, then `behind` as the segment of a worker that resumes it. `had`:
+/// the last event that the caller had already when it asked.
+ResumedSegment resume(std::string const& before, std::string const& behind,
+                      std::optional<std::uint64_t> had = std::nullopt) {
+  data_plane::EventNumbering numbering(had);
+  numbering.begin_segment();
   EventCutter first;
   (void)first.feed(before, numbering);
-  numbering.begin_run();
+  numbering.begin_segment();
   EventCutter second;
-  EventCutter::Whole const whole = second.feed(behind, numbering);
-  return Joined{whole.bytes, whole.gap};
+  EventCutter::CompleteEvents const complete = second.feed(behind, numbering);
+  return ResumedSegment{complete.bytes, complete.gap};
 }
 
-TEST(Numbering, AGapWhereARunGoesOnIsToldWhereNumbersRiseEvenly) {
+TEST(EventNumbering, DetectsAGapBetweenSegmentsWhereNumbersRiseEvenly) {
   struct Case {
     std::string before;
     std::string behind;
@@ -89,26 +93,27 @@
   for (Case const& entry : {
            Case{event(1) + event(2), event(3) + event(4), event(3) + event(4), false},
            Case{event(1) + event(2), event(4), "", true},
-           Case{event(1) + event(2), event(1) + event(2) + event(3), event(3), false},  // all of it again
+           Case{event(1) + event(2), event(1) + event(2) + event(3), event(3),
+                false},  // the whole stream from its start
            Case{event(1) + event(2), event(2) + event(4), "", true}, Case{event(1), event(2), event(2), false},
            Case{event(1), event(3), "", true}, Case{event(0), event(0) + event(1), event(1), false},
            Case{event(0), event(2), "", true}, Case{event(8), event(9), event(9), false, 7},
-           Case{event(8), event(10), "", true, 7},  // the caller had seven
+           Case{event(8), event(10), "", true, 7},  // the caller had event 7 already
            Case{event(5) + event(10), event(15) + event(17), event(15) + event(17), false},
            Case{event(5) + event(10), event(20), "", true},
-           Case{event(5) + event(10), event(12), event(12), false},          // the last may be shorter
-           Case{event(1) + event(4) + event(5), event(9), event(9), false},  // uneven: nothing can be told
+           Case{event(5) + event(10), event(12), event(12), false},  // the step to the last event may be smaller
+           Case{event(1) + event(4) + event(5), event(9), event(9), false},  // uneven steps: no gap can be detected
            Case{event(5), event(9), event(9), false}, Case{"", event(9), event(9), false, 7},
            Case{event(1) + event(2), event(3) + event(7), event(3) + event(7),
-                false},  // its own run: as the worker has it
+                false},  // within one segment the worker's numbers are accepted as they are
        }) {
-    Joined const joined = join(entry.before, entry.behind, entry.had);
-    EXPECT_EQ(joined.bytes, entry.passed) << entry.before << entry.behind;
-    EXPECT_EQ(joined.gap, entry.gap) << entry.before << entry.behind;
+    ResumedSegment const resumed = resume(entry.before, entry.behind, entry.had);
+    EXPECT_EQ(resumed.bytes, entry.passed) << entry.before << entry.behind;
+    EXPECT_EQ(resumed.gap, entry.gap) << entry.before << entry.behind;
   }
 }
 
-TEST(Numbering, BehindAnEventWithoutANumberNobodyCanBeToldWhereToGoOn) {
+TEST(EventNumbering, PositionIsUnknownAfterAnUnnumberedEvent) {
   std::string const plain = "data: no number\n\n";
   std::string const comment = ": still there\n\n";
   struct Case {
@@ -118,19 +123,19 @@
   for (Case const& entry :
        {Case{"", true}, Case{event(1), true}, Case{event(1) + plain, false}, Case{event(1) + plain + event(2), true},
         Case{plain, false}, Case{event(1) + comment, true}, Case{comment, true}}) {
-    data_plane::Numbering numbering;
-    numbering.begin_run();
+    data_plane::EventNumbering numbering;
+    numbering.begin_segment();
     EventCutter cutter;
     EXPECT_EQ(cutter.feed(entry.passed, numbering).bytes, entry.passed);
     EXPECT_EQ(numbering.position_known(), entry.known) << entry.passed;
   }
 }
 
-TEST(Numbering, EventsWithoutANumberBetweenKnownOnesAreKnown) {
+TEST(EventNumbering, UnnumberedEventsBetweenDuplicatesAreDuplicates) {
   std::string const plain = "data: no number\n\n";
-  EXPECT_EQ(join(event(1) + plain + event(2), event(1) + plain + event(2) + event(3)).bytes, event(3));
-  EXPECT_EQ(join(event(1) + event(2), plain + event(3)).bytes, plain + event(3));  // it goes on right behind
-  EXPECT_EQ(join(event(1) + event(2), event(2) + plain + event(3)).bytes, plain + event(3));
+  EXPECT_EQ(resume(event(1) + plain + event(2), event(1) + plain + event(2) + event(3)).bytes, event(3));
+  EXPECT_EQ(resume(event(1) + event(2), plain + event(3)).bytes, plain + event(3));  // it follows the last one directly
+  EXPECT_EQ(resume(event(1) + event(2), event(2) + plain + event(3)).bytes, plain + event(3));
 }
 
 TEST(Parts, AreReadFromTextAndNeverFail) {
--- a/source/tests/relay/exchange_fuzz_test.cpp
+++ b/source/tests/relay/exchange_fuzz_test.cpp
@@ -1,6 +1,7 @@
-/// Exchanges by seeds: scripted callers and scripted workers misbehave at once, a ledger of both ends tells
-/// afterwards whether each answer belonged to its own request, was whole, and what ran how often.
-/// FINCHLINK_EXCHANGES sets how many exchanges each seed plays, FINCHLINK_SEEDS how many seeds.
+/// Fuzz test of the relay: scripted callers and workers misbehave at random, by seed. Records of both ends show
+/// afterwards whether each answer belonged to its own request and was complete, and how often each request ran.
+/// FINCHLINK_EXCHANGES sets the number of exchanges per seed, FINCHLINK_SEEDS the number of seeds,
+/// FINCHLINK_FIRST_SEED the first one.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,39 +18,39 @@
 
 constexpr int route_deadline_ms = 400;
 constexpr double route_set_point_ms = 80;
-constexpr std::size_t callers_at_once = 16;
+constexpr std::size_t concurrent_callers = 16;
 constexpr std::size_t workers_of_each_kind = 20;
-constexpr std::uint64_t attempts_most = 3;
-/// After this long nothing more may reach a worker for a caller that left, and no worker may be at work for it.
-constexpr common::Span left_span = common::milliseconds(500);
-/// A connection that carried bytes nobody asked for may still get what was on its way to it, no longer than this.
-constexpr common::Span taint_span = common::milliseconds(100);
+constexpr std::uint64_t max_attempts = 3;
+/// This long after a caller left, no request of it may reach a worker any more, and no worker may still serve one.
+constexpr common::Span departure_grace = common::milliseconds(500);
+/// A connection that carried unrequested bytes may still get requests that were on their way to it, for this long.
+constexpr common::Span taint_grace = common::milliseconds(100);
 constexpr char const* last_chunk = "0\r\n\r\n";
 
-std::size_t from_environment(char const* name, std::size_t otherwise) {
+std::size_t from_environment(char const* name, std::size_t fallback) {
   char const* const text = std::getenv(name);
-  return text == nullptr ? otherwise : static_cast<std::size_t>(std::strtoull(text, nullptr, 10));
+  return text == nullptr ? fallback : static_cast<std::size_t>(std::strtoull(text, nullptr, 10));
 }
 
-/// What one caller asked, and what both ends saw of it.
-struct Entry {
+/// One request of a caller, and what both ends saw of it.
+struct ExchangeRecord {
   std::string route;
   std::string id;
   std::string body;
   bool head = false;         ///< a HEAD: its answer has no body
   bool expects = false;      ///< it waits for 100 Continue
   std::uint64_t behind = 0;  ///< Last-Event-ID of the caller
-  std::uint64_t events = 0;  ///< of its stream
+  std::uint64_t events = 0;  ///< number of events in its stream
   bool numbered = true;      ///< its events have numbers
-  common::Moment left = 0;   ///< when the caller left; 0: it is there
-  bool over = false;         ///< answered, broken or left
-  unsigned int status = 0;   ///< as told to the caller
+  common::Moment left = 0;   ///< when the caller left; 0: it has not
+  bool over = false;         ///< answered, broken off, or its caller left
+  unsigned int status = 0;   ///< that the caller got
   std::uint64_t runs = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t refusals = 0;                  ///< attempts at workers that promised not to have run it
-  std::set<std::string> bodies;                ///< whole answers that workers gave
-  std::set<std::string> failures;              ///< bodies of 500s
-  std::vector<std::shared_ptr<Line>> working;  ///< workers at work on it
+  std::uint64_t refusals = 0;                  ///< attempts that a worker refused with the promise not to have run it
+  std::set<std::string> bodies;                ///< of the complete answers that workers gave
+  std::set<std::string> failures;              ///< bodies of the 500s that workers gave
+  std::vector<std::shared_ptr<Line>> working;  ///< connections of workers that serve it now
   [[nodiscard]] bool stream() const { return route == "talk" || route == "tale"; }
   [[nodiscard]] bool repeatable() const { return route == "plain" || route == "tale"; }
   [[nodiscard]] std::string piece(std::uint64_t number) const {
@@ -65,25 +66,26 @@
   }
 };
 
-/// A step of a worker's script that is due later.
-struct Later {
+/// A delayed step of a worker's script.
+struct DelayedStep {
   common::Moment due;
   std::function<void()> act;
 };
 
 struct ScriptedCaller {
   std::shared_ptr<Line> line;
-  std::deque<Entry*> waiting;  ///< asked on this line, in order
+  std::deque<ExchangeRecord*> waiting;  ///< requests sent on this connection, in order
 };
 
-class Play {
+/// One run of the fuzz test: a seed and a number of exchanges.
+class FuzzRun {
  public:
-  Play(std::uint64_t seed, std::size_t exchanges) : random_(seed), exchanges_(exchanges) {
+  FuzzRun(std::uint64_t seed, std::size_t exchanges) : random_(seed), exchanges_(exchanges) {
     for (schema::Lane& route : fleet_.routing_config.lanes) {
       route.deadline_ms = route_deadline_ms;
       route.set_point_ms = route_set_point_ms;
       route.gap_set_point_ms = route.stream ? route_set_point_ms : 0;
-      route.dispatches = attempts_most;
+      route.dispatches = max_attempts;
     }
     fleet_.settings.bounds.retry_ratio = 10;
     fleet_.settings.bounds.retry_slack = 1e6;
@@ -95,21 +97,22 @@
   }
 
   void run() {
-    callers_.resize(callers_at_once);
-    common::Moment const most = common::boot_now() + common::seconds(static_cast<std::int64_t>(20 + exchanges_ / 10));
-    while ((asked_ < exchanges_ || !all_over()) && common::boot_now() < most) {
-      step();
+    callers_.resize(concurrent_callers);
+    common::Moment const give_up_at =
+        common::boot_now() + common::seconds(static_cast<std::int64_t>(20 + exchanges_ / 10));
+    while ((requests_sent_ < exchanges_ || !all_finished()) && common::boot_now() < give_up_at) {
+      poll_once();
     }
-    EXPECT_TRUE(all_over()) << "not all were answered";
+    EXPECT_TRUE(all_finished()) << "some requests were not answered";
     common::Moment const end = common::boot_now() + common::milliseconds(60);
     while (common::boot_now() < end) {
-      step();
+      poll_once();
     }
-    judge();
+    check_records();
   }
 
   [[nodiscard]] std::string summary() const {
-    std::string text = std::to_string(asked_) + " exchanges, " + std::to_string(attempts_) + " attempts, " +
+    std::string text = std::to_string(requests_sent_) + " exchanges, " + std::to_string(attempts_) + " attempts, " +
                        std::to_string(runs_) + " runs;";
     for (std::pair<std::string const, std::uint64_t> const& entry : tally_) {
       text += " " + entry.first + " " + std::to_string(entry.second);
@@ -118,55 +121,56 @@
   }
 
  private:
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
-  bool chance(std::uint64_t percent) { return below(100) < percent; }
-  void later(std::uint64_t delay_ms, std::function<void()> act) {
-    later_.push_back({common::boot_now() + common::milliseconds(static_cast<std::int64_t>(delay_ms)), std::move(act)});
+  std::uint64_t random_below(std::uint64_t bound) { return random_() % bound; }
+  bool chance(std::uint64_t percent) { return random_below(100) < percent; }
+  void run_later(std::uint64_t delay_ms, std::function<void()> act) {
+    delayed_.push_back(
+        {common::boot_now() + common::milliseconds(static_cast<std::int64_t>(delay_ms)), std::move(act)});
   }
-  [[nodiscard]] bool all_over() const {
-    return std::all_of(ledger_.begin(), ledger_.end(),
-                       [](std::pair<std::string const, Entry> const& entry) { return entry.second.over; });
+  [[nodiscard]] bool all_finished() const {
+    return std::all_of(records_.begin(), records_.end(),
+                       [](std::pair<std::string const, ExchangeRecord> const& entry) { return entry.second.over; });
   }
 
-  void step() {
+  void poll_once() {
     fleet_.context->run_one_for(std::chrono::milliseconds(1));
     fleet_.context->poll();
-    look_at_workers();
-    play_due();
+    poll_workers();
+    run_due_steps();
     for (ScriptedCaller& caller : callers_) {
       read_answers(caller);
-      ask_or_leave(caller);
+      send_or_leave(caller);
     }
-    look_at_those_who_left();
+    check_departed_callers();
   }
 
-  void play_due() {
-    std::vector<Later> due;
+  void run_due_steps() {
+    std::vector<DelayedStep> due;
     common::Moment const now = common::boot_now();
-    for (std::size_t index = 0; index < later_.size();) {
-      if (later_[index].due <= now) {
-        due.push_back(std::move(later_[index]));
-        later_[index] = std::move(later_.back());
-        later_.pop_back();
+    for (std::size_t index = 0; index < delayed_.size();) {
+      if (delayed_[index].due <= now) {
+        due.push_back(std::move(delayed_[index]));
+        delayed_[index] = std::move(delayed_.back());
+        delayed_.pop_back();
       } else {
         ++index;
       }
     }
-    for (Later const& entry : due) {
+    for (DelayedStep const& entry : due) {
       entry.act();
     }
   }
 
   // --- callers ---
 
-  void ask_or_leave(ScriptedCaller& caller) {
+  void send_or_leave(ScriptedCaller& caller) {
     if (caller.line != nullptr && !caller.waiting.empty()) {
-      if (below(400) == 0) {
+      if (random_below(400) == 0) {
         leave(caller);
       }
       return;
     }
-    if (asked_ >= exchanges_) {
+    if (requests_sent_ >= exchanges_) {
       return;
     }
     if (caller.line == nullptr || caller.line->ended || chance(10)) {
@@ -174,8 +178,8 @@
     }
     std::uint64_t const pipelined = chance(10) ? 2 : 1;
     std::string text;
-    for (std::uint64_t index = 0; index < pipelined && asked_ < exchanges_; ++index) {
-      text += ask(caller);
+    for (std::uint64_t index = 0; index < pipelined && requests_sent_ < exchanges_; ++index) {
+      text += make_request(caller);
     }
     caller.line->send_long(text);
     if (chance(2)) {
@@ -183,24 +187,24 @@
     }
   }
 
-  /// Some bodies are longer than the systems' buffers hold.
+  /// Some bodies are longer than the socket buffers of both ends hold.
   std::size_t body_size() {
     if (chance(1)) {
       return 3500000;
     }
-    return chance(5) ? 200000 : below(2000);
+    return chance(5) ? 200000 : random_below(2000);
   }
 
-  std::string ask(ScriptedCaller& caller) {
-    static constexpr char const* lanes[] = {"plain", "once", "talk", "tale"};
-    Entry entry;
-    entry.id = "q" + std::to_string(++asked_);
-    entry.route = lanes[below(4)];
+  std::string make_request(ScriptedCaller& caller) {
+    static constexpr char const* routes[] = {"plain", "once", "talk", "tale"};
+    ExchangeRecord entry;
+    entry.id = "q" + std::to_string(++requests_sent_);
+    entry.route = routes[random_below(4)];
     entry.head = !entry.stream() && chance(5);
     entry.body = entry.head ? "" : entry.id + std::string(body_size(), 'b');
-    entry.events = entry.stream() ? 2 + below(12) : 0;
+    entry.events = entry.stream() ? 2 + random_below(12) : 0;
     entry.numbered = !chance(10);
-    entry.behind = entry.stream() && entry.numbered && chance(10) ? 1 + below(entry.events - 1) : 0;
+    entry.behind = entry.stream() && entry.numbered && chance(10) ? 1 + random_below(entry.events - 1) : 0;
     entry.expects = !entry.head && chance(5);
     std::string text = std::string(entry.head ? "HEAD" : "POST") + " /" + entry.route + "/" + entry.id +
                        " HTTP/1.1\r\nHost: h.example\r\n" + with_id(entry.id);
@@ -215,13 +219,13 @@
     } else {
       text += "Content-Length: " + std::to_string(entry.body.size()) + "\r\n\r\n" + entry.body;
     }
-    caller.waiting.push_back(&ledger_.emplace(entry.id, entry).first->second);
+    caller.waiting.push_back(&records_.emplace(entry.id, entry).first->second);
     return text;
   }
 
   void leave(ScriptedCaller& caller) {
     caller.line->close();
-    for (Entry* const entry : caller.waiting) {
+    for (ExchangeRecord* const entry : caller.waiting) {
       entry->left = common::boot_now();
       entry->over = true;
       ++tally_["left"];
@@ -232,7 +236,7 @@
 
   void read_answers(ScriptedCaller& caller) {
     while (caller.line != nullptr && !caller.waiting.empty()) {
-      Entry& entry = *caller.waiting.front();
+      ExchangeRecord& entry = *caller.waiting.front();
       std::string& got = caller.line->got;
       if (entry.expects && got.rfind("HTTP/1.1 100 ", 0) == 0) {
         got.erase(0, got.find("\r\n\r\n") + 4);
@@ -241,7 +245,7 @@
       std::size_t const head_end = got.find("\r\n\r\n");
       bool const done = head_end != std::string::npos && read_answer(entry, got);
       if (!done && caller.line->ended) {
-        end_of_line(caller, got);
+        handle_connection_end(caller, got);
         return;
       }
       if (!done) {
@@ -252,23 +256,23 @@
       caller.waiting.pop_front();
     }
     if (caller.line != nullptr && !caller.line->got.empty()) {
-      ADD_FAILURE() << "bytes that no request waits for: " << caller.line->got.substr(0, 300);
+      ADD_FAILURE() << "bytes that belong to no request: " << caller.line->got.substr(0, 300);
       caller.line->got.clear();
     }
   }
 
-  /// The line ended: the first was broken off, the rest was never read.
-  void end_of_line(ScriptedCaller& caller, std::string const& got) {
-    Entry& entry = *caller.waiting.front();
+  /// The connection ended: the first waiting request was broken off, the others were never read.
+  void handle_connection_end(ScriptedCaller& caller, std::string const& got) {
+    ExchangeRecord& entry = *caller.waiting.front();
     std::size_t const head_end = got.find("\r\n\r\n");
     if (head_end != std::string::npos) {
       EXPECT_TRUE(entry.stream()) << entry.id << " " << got.substr(0, 300);
       check_events(entry, passed(got));
     } else {
       EXPECT_EQ(got, "");
-      EXPECT_FALSE(entry.attempts > 0 && !entry.stream()) << entry.id << " ran and its caller was told nothing";
+      EXPECT_FALSE(entry.attempts > 0 && !entry.stream()) << entry.id << " may have run, and its caller got no answer";
     }
-    for (Entry* const each : caller.waiting) {
+    for (ExchangeRecord* const each : caller.waiting) {
       each->over = true;
       ++tally_[each->route + (each == &entry && head_end != std::string::npos ? " broken" : " unread")];
     }
@@ -276,11 +280,11 @@
     caller.line = nullptr;
   }
 
-  /// Takes the answer off the text when it is whole.
-  bool read_answer(Entry& entry, std::string& got) {
+  /// Removes the answer from `got` and checks it, once it is complete; false: it isn't yet.
+  bool read_answer(ExchangeRecord& entry, std::string& got) {
     std::size_t const head_end = got.find("\r\n\r\n") + 4;
     EXPECT_NE(got.substr(0, head_end).find(with_id(entry.id)), std::string::npos)
-        << "another's answer for " << entry.id << ": " << got.substr(0, head_end);
+        << "answer of another request for " << entry.id << ": " << got.substr(0, head_end);
     unsigned int const status = static_cast<unsigned int>(std::strtoul(got.c_str() + 9, nullptr, 10));
     if (entry.head) {
       entry.status = status;
@@ -303,27 +307,27 @@
       return false;
     }
     entry.status = status;
-    check_whole(entry, answer->message);
+    check_whole_answer(entry, answer->message);
     got.erase(0, answer->length);
     return true;
   }
 
-  void check_whole(Entry const& entry, Response const& answer) {
+  void check_whole_answer(ExchangeRecord const& entry, Response const& answer) {
     if (answer.result_int() == 200) {
       EXPECT_EQ(entry.bodies.count(answer.body()), 1u)
-          << entry.id << " got what no worker gave for it: " << answer.base() << answer.body().size() << " bytes, "
-          << answer.body().substr(0, 60);
+          << entry.id << " got an answer that no worker gave for it: " << answer.base() << answer.body().size()
+          << " bytes, " << answer.body().substr(0, 60);
       EXPECT_NE(std::string(answer["Finchlink-Seal"]), "");
     } else if (answer.result_int() == 500) {
       EXPECT_EQ(entry.failures.count(answer.body()), 1u) << entry.id;
     }
   }
 
-  void check_events(Entry const& entry, Passed const& stream) {
+  void check_events(ExchangeRecord const& entry, Passed const& stream) {
     std::string const due = entry.pieces(entry.behind + 1, entry.events);
     EXPECT_EQ(stream.events, due.substr(0, stream.events.size())) << entry.id;
     if (stream.whole) {
-      EXPECT_EQ(stream.events.size(), due.size()) << entry.id << " looks complete and isn't";
+      EXPECT_EQ(stream.events.size(), due.size()) << entry.id << " ended in order but is incomplete";
     } else {
       EXPECT_EQ(stream.behind, "") << entry.id;
     }
@@ -331,7 +335,7 @@
 
   // --- workers ---
 
-  void look_at_workers() {
+  void poll_workers() {
     for (std::pair<std::string const, std::unique_ptr<Worker>>& named : fleet_.workers) {
       Worker& worker = *named.second;
       worker.pause_reading_at = chance(10) ? 1 : std::numeric_limits<std::size_t>::max();
@@ -340,13 +344,13 @@
       std::vector<Arrival> arrivals = std::move(worker.arrivals);
       worker.arrivals.clear();
       for (Arrival& arrival : arrivals) {
-        take(arrival);
+        check_arrival(arrival);
       }
       std::erase_if(worker.lines, [](std::shared_ptr<Line> const& line) { return line->ended; });
     }
   }
 
-  /// Some answer once they have the head and read the body later.
+  /// Some workers answer as soon as they have the head, and read the body later.
   void answer_early(Worker& worker) {
     for (std::shared_ptr<Line> const& line : worker.lines) {
       std::size_t const at = line->got.find("Finchlink-Query: ");
@@ -358,49 +362,50 @@
         continue;
       }
       std::string const id = line->got.substr(at + 17, line->got.find("\r\n", at) - at - 17);
-      if (ledger_.count(id) == 0 || !early_.insert({line, id}).second) {
+      if (records_.count(id) == 0 || !early_.insert({line, id}).second) {
         continue;
       }
-      Entry& entry = ledger_.at(id);
+      ExchangeRecord& entry = records_.at(id);
       count_attempt(entry, line);
       if (entry.stream() || chance(30)) {
         ++entry.refusals;
         line->send(refusal_of(id, "503 Busy"));
-        finished(entry, line);
+        stop_working(entry, line);
       } else {
-        line->send(success(id, run_of(entry)));
-        finished(entry, line);
+        line->send(success(id, run_and_answer(entry)));
+        stop_working(entry, line);
       }
-      later(below(40), [line] { line->read_on(); });
+      run_later(random_below(40), [line] { line->read_on(); });
     }
   }
 
-  void count_attempt(Entry& entry, std::shared_ptr<Line> const& line) {
+  void count_attempt(ExchangeRecord& entry, std::shared_ptr<Line> const& line) {
     common::Moment const now = common::boot_now();
     ++attempts_;
     ++entry.attempts;
-    std::uint64_t const no_tries = std::min<std::uint64_t>(entry.refusals, common::constants::refusals_most);
-    EXPECT_LE(entry.attempts, attempts_most + no_tries) << entry.id;
-    EXPECT_LE(entry.runs, attempts_most) << entry.id;
-    EXPECT_FALSE(entry.left > 0 && now - entry.left > left_span)
+    std::uint64_t const free_attempts = std::min<std::uint64_t>(entry.refusals, common::constants::refusals_most);
+    EXPECT_LE(entry.attempts, max_attempts + free_attempts) << entry.id;
+    EXPECT_LE(entry.runs, max_attempts) << entry.id;
+    EXPECT_FALSE(entry.left > 0 && now - entry.left > departure_grace)
         << entry.id << " reached a worker after its caller left";
     std::map<std::shared_ptr<Line>, common::Moment>::const_iterator const tainted = tainted_.find(line);
-    EXPECT_FALSE(tainted != tainted_.end() && now - tainted->second > taint_span)
-        << entry.id << " went out on a connection with bytes that nobody asked for";
+    EXPECT_FALSE(tainted != tainted_.end() && now - tainted->second > taint_grace)
+        << entry.id << " was sent on a connection with unrequested bytes";
     entry.working.push_back(line);
   }
 
-  void take(Arrival& arrival) {
+  void check_arrival(Arrival& arrival) {
     std::string const id = arrival.header("Finchlink-Query");
-    ASSERT_EQ(ledger_.count(id), 1u) << "a request that nobody sent: " << id;
-    Entry& entry = ledger_.at(id);
+    ASSERT_EQ(records_.count(id), 1u) << "a request that no caller sent: " << id;
+    ExchangeRecord& entry = records_.at(id);
     EXPECT_EQ(arrival.request.body(), entry.body) << id;
     EXPECT_EQ(std::string(arrival.request.target()), "/" + entry.route + "/" + id);
     EXPECT_EQ(arrival.header("Expect"), "");
     if (early_.count({arrival.line, id}) > 0) {
       return;
     }
-    // Attempts may be seen in another order than they were sent in; the table compares one with the next.
+    // Attempts may be seen in another order than sent, so only the bound is checked here; exchange_table_test compares
+    // the time left of one attempt with the next.
     EXPECT_LE(std::stoi(arrival.header("Finchlink-Left")), route_deadline_ms) << id;
     count_attempt(entry, arrival.line);
     if (entry.head) {
@@ -413,27 +418,29 @@
     }
   }
 
-  std::string run_of(Entry& entry) {
+  std::string run_and_answer(ExchangeRecord& entry) {
     ++runs_;
     ++entry.runs;
-    std::string const body = entry.id + " run " + std::to_string(entry.runs) + std::string(below(4000), 'a');
+    std::string const body = entry.id + " run " + std::to_string(entry.runs) + std::string(random_below(4000), 'a');
     entry.bodies.insert(body);
     return body;
   }
-  void count_run(Entry& entry) {
+  void count_run(ExchangeRecord& entry) {
     ++runs_;
     ++entry.runs;
   }
-  static void finished(Entry& entry, std::shared_ptr<Line> const& line) { std::erase(entry.working, line); }
+  static void stop_working(ExchangeRecord& entry, std::shared_ptr<Line> const& line) {
+    std::erase(entry.working, line);
+  }
   void taint(std::shared_ptr<Line> const& line) { tainted_.emplace(line, common::boot_now()); }
 
   static std::string refusal_of(std::string const& id, std::string const& status) { return not_run(id, status); }
-  /// An answer that another request got, or would have got.
-  std::string answer_of_another(Entry const& entry) {
-    std::string const id = "q" + std::to_string(1 + below(asked_));
-    // One that is over: no worker has a late answer to a request that has yet to come to it.
-    std::string const other = ledger_.at(id).over ? id : "q0";
-    switch (below(3)) {
+  /// An answer to another request, or one that it might have got.
+  std::string answer_of_another(ExchangeRecord const& entry) {
+    std::string const id = "q" + std::to_string(1 + random_below(requests_sent_));
+    // Only to a request that is over: no worker has a late answer to a request that it has yet to get.
+    std::string const other = records_.at(id).over ? id : "q0";
+    switch (random_below(3)) {
       case 0:
         return refusal_of(other, "503 Busy");
       case 1:
@@ -443,46 +450,46 @@
     }
   }
 
-  void answer_head_request(Entry& entry, std::shared_ptr<Line> const& line) {
+  void answer_head_request(ExchangeRecord& entry, std::shared_ptr<Line> const& line) {
     count_run(entry);
     line->send("HTTP/1.1 200 OK\r\n" + with_id(entry.id) + "Finchlink-Seal: s\r\nContent-Length: 7\r\n\r\n");
-    finished(entry, line);
-    if (chance(10)) {  // a body that must not be there
+    stop_working(entry, line);
+    if (chance(10)) {  // a body, which an answer to HEAD must not have
       line->send("surplus");
       taint(line);
     }
   }
 
-  /// Sends a text in pieces with pauses.
+  /// Sends a text in two pieces with a pause between them.
   void send_slowly(std::shared_ptr<Line> const& line, std::string const& text) {
-    std::size_t const half = text.empty() ? 0 : below(text.size());
+    std::size_t const half = text.empty() ? 0 : random_below(text.size());
     line->send(text.substr(0, half));
-    slow_.insert(line);
-    later(below(10), [this, line, rest = text.substr(half)] {
-      slow_.erase(line);
+    partly_answered_.insert(line);
+    run_later(random_below(10), [this, line, rest = text.substr(half)] {
+      partly_answered_.erase(line);
       if (!line->ended) {
         line->send(rest);
       }
     });
   }
 
-  void answer_whole(Entry& entry, std::shared_ptr<Line> const& line) {
+  void answer_whole(ExchangeRecord& entry, std::shared_ptr<Line> const& line) {
     std::string const& id = entry.id;
-    std::uint64_t const how = below(48);
+    std::uint64_t const how = random_below(48);
     if (how == 0) {
       ++entry.refusals;
       line->send(refusal_of(id, "503 Busy"));
-      return finished(entry, line);
+      return stop_working(entry, line);
     }
     if (how == 1) {
       ++entry.refusals;
       line->send(refusal_of(id, "429 Too Many Requests"));
-      return finished(entry, line);
+      return stop_working(entry, line);
     }
     if (how == 2) {
       ++entry.refusals;
       line->send("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
-      return finished(entry, line);
+      return stop_working(entry, line);
     }
     if (how == 3) {
       count_run(entry);
@@ -490,9 +497,9 @@
       entry.failures.insert(body);
       line->send("HTTP/1.1 500 Internal\r\n" + with_id(id) + "Content-Length: " + std::to_string(body.size()) +
                  "\r\n\r\n" + body);
-      return finished(entry, line);
+      return stop_working(entry, line);
     }
-    std::string const body = run_of(entry);
+    std::string const body = run_and_answer(entry);
     std::string const whole = success(id, body);
     std::string const open = "HTTP/1.1 200 OK\r\n" + with_id(id) + "Finchlink-Seal: s\r\nX-Open: 1\r\n\r\n";
     switch (how) {
@@ -522,13 +529,13 @@
         line->send(answer_of_another(entry));
         break;
       case 11:
-        return;  // silence
+        return;  // stalls
       case 12:
-        return later(60 + below(200), [this, line, whole, &entry] {
+        return run_later(60 + random_below(200), [this, line, whole, &entry] {
           if (!line->ended) {
             line->send(whole);
           }
-          finished(entry, line);
+          stop_working(entry, line);
         });
       case 13:
         line->send("no answer at all\r\n\r\n");
@@ -565,8 +572,8 @@
       case 26:
       case 27:
         line->send(whole);
-        later(5 + below(60), [this, line, &entry] {
-          if (!line->ended && slow_.count(line) == 0) {  // never within an answer
+        run_later(5 + random_below(60), [this, line, &entry] {
+          if (!line->ended && partly_answered_.count(line) == 0) {  // not in the middle of an answer
             line->send(answer_of_another(entry));
             taint(line);
           }
@@ -579,25 +586,25 @@
       default:
         line->send(whole);
     }
-    finished(entry, line);
+    stop_working(entry, line);
   }
 
-  void answer_stream(Entry& entry, std::shared_ptr<Line> const& line, std::uint64_t behind) {
-    std::uint64_t const how = below(30);
+  void answer_stream(ExchangeRecord& entry, std::shared_ptr<Line> const& line, std::uint64_t behind) {
+    std::uint64_t const how = random_below(30);
     if (how == 0) {
       ++entry.refusals;
       line->send(refusal_of(entry.id, "503 Busy"));
-      return finished(entry, line);
+      return stop_working(entry, line);
     }
     count_run(entry);
-    bool const taken_up = behind != entry.behind;
+    bool const resumed = behind != entry.behind;
     std::uint64_t first = behind + 1;
-    if (how == 1 && taken_up) {
-      first = 1 + below(behind);  // begins with what the caller has
-    } else if (how == 2 && taken_up && behind + 2 <= entry.events) {
-      first = behind + 2;  // leaves one out
+    if (how == 1 && resumed) {
+      first = 1 + random_below(behind);  // repeats events that the caller has
+    } else if (how == 2 && resumed && behind + 2 <= entry.events) {
+      first = behind + 2;  // skips an event
     }
-    std::uint64_t const cut = std::min(first + below(entry.events), entry.events);
+    std::uint64_t const cut = std::min(first + random_below(entry.events), entry.events);
     std::string const head = stream_head(entry.id);
     std::string const open =
         "HTTP/1.1 200 OK\r\n" + with_id(entry.id) + "Finchlink-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -619,7 +626,7 @@
         break;
       case 6:
         line->send(head + piece(half));
-        later(10, [line] {
+        run_later(10, [line] {
           if (!line->ended) {
             line->reset();
           }
@@ -629,23 +636,24 @@
         line->send(head + piece(half) + (some.empty() ? "" : last_chunk));
         break;
       case 8:
-        line->send(head + piece(some));  // then silence
+        line->send(head + piece(some));  // then stalls
         return;
       case 9:
         line->send(head + piece(some));
-        return later(50 + below(150), [this, line, rest = entry.pieces(cut + 1, entry.events), piece, &entry] {
-          if (!line->ended) {
-            line->send(piece(rest) + last_chunk);
-          }
-          finished(entry, line);
-        });
+        return run_later(50 + random_below(150),
+                         [this, line, rest = entry.pieces(cut + 1, entry.events), piece, &entry] {
+                           if (!line->ended) {
+                             line->send(piece(rest) + last_chunk);
+                           }
+                           stop_working(entry, line);
+                         });
       case 10:
         line->send(open + all);
         line->close();
         break;
       case 11:
         line->send(open + some);
-        later(10, [line] {
+        run_later(10, [line] {
           if (!line->ended) {
             line->reset();
           }
@@ -679,27 +687,27 @@
       default:
         line->send(head + piece(some) + piece(entry.pieces(cut + 1, entry.events)) + last_chunk);
     }
-    finished(entry, line);
+    stop_working(entry, line);
   }
 
-  void look_at_those_who_left() {
+  void check_departed_callers() {
     common::Moment const now = common::boot_now();
-    for (std::pair<std::string const, Entry>& each : ledger_) {
-      Entry& entry = each.second;
-      if (entry.left == 0 || now - entry.left < left_span || entry.working.empty()) {
+    for (std::pair<std::string const, ExchangeRecord>& each : records_) {
+      ExchangeRecord& entry = each.second;
+      if (entry.left == 0 || now - entry.left < departure_grace || entry.working.empty()) {
         continue;
       }
       for (std::shared_ptr<Line> const& line : entry.working) {
-        EXPECT_TRUE(line->ended || line->paused()) << entry.id << ": a worker works on for a caller that left";
+        EXPECT_TRUE(line->ended || line->paused()) << entry.id << ": a worker still serves a caller that left";
       }
       entry.working.clear();
     }
   }
 
-  /// What both ends say, once all is over.
-  void judge() {
-    for (std::pair<std::string const, Entry> const& each : ledger_) {
-      Entry const& entry = each.second;
+  /// Checks the records of both ends once all exchanges are over.
+  void check_records() {
+    for (std::pair<std::string const, ExchangeRecord> const& each : records_) {
+      ExchangeRecord const& entry = each.second;
       if (!entry.repeatable()) {
         EXPECT_LE(entry.runs, 1u) << entry.id << " of " << entry.route << " ran twice";
       }
@@ -712,14 +720,14 @@
   std::mt19937_64 random_;
   std::size_t const exchanges_;
   Fleet fleet_;
-  std::map<std::string, Entry> ledger_;
+  std::map<std::string, ExchangeRecord> records_;
   std::vector<ScriptedCaller> callers_;
-  std::vector<Later> later_;
+  std::vector<DelayedStep> delayed_;
   std::set<std::pair<std::shared_ptr<Line>, std::string>> early_;  ///< answered before the body was read
-  std::map<std::shared_ptr<Line>, common::Moment> tainted_;        ///< lines with bytes that nobody asked for
-  std::set<std::shared_ptr<Line>> slow_;                           ///< half of an answer went out
+  std::map<std::shared_ptr<Line>, common::Moment> tainted_;        ///< connections with unrequested bytes, since when
+  std::set<std::shared_ptr<Line>> partly_answered_;                ///< connections on which half an answer was sent
   std::map<std::string, std::uint64_t> tally_;
-  std::size_t asked_ = 0;
+  std::size_t requests_sent_ = 0;
   std::uint64_t attempts_ = 0;
   std::uint64_t runs_ = 0;
 };
@@ -730,9 +738,9 @@
   std::size_t const first = from_environment("FINCHLINK_FIRST_SEED", 1);
   for (std::size_t seed = first; seed < first + seeds; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Play play(seed, exchanges);
-    play.run();
-    std::cout << "seed " << seed << ": " << play.summary() << std::endl;
+    FuzzRun fuzz_run(seed, exchanges);
+    fuzz_run.run();
+    std::cout << "seed " << seed << ": " << fuzz_run.summary() << std::endl;
     if (::testing::Test::HasFailure()) {
       return;
     }
--- a/source/tests/relay/exchange_table_test.cpp
+++ b/source/tests/relay/exchange_table_test.cpp
@@ -1,5 +1,6 @@
-/// Every cell of the table in docs/hardening/exchanges.md: one exchange is brought into a state, one event
-/// happens, and what caller and worker got is compared with the row. The names of the rows are those of the page.
+/// Tests every cell of the table in docs/hardening/exchanges.md: one exchange is brought into a state, one event
+/// happens, and what the caller and the worker got is compared with the expected outcome. The cells have the same names
+/// as the rows of that page.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,43 +14,45 @@
 
 /// How far the exchange has come when the event happens.
 enum class State {
-  queued,        ///< the request waits for a worker: none has a place
-  connecting,    ///< its worker is chosen, no byte has gone out
-  sent,          ///< a worker has the whole request, on a fresh connection
-  sent_on_kept,  ///< the same on a connection that carried an exchange before
+  queued,        ///< the request waits for an assignment: there is no worker
+  connecting,    ///< a worker is assigned, no byte has been sent
+  sent,          ///< a worker has the whole request, on a new connection
+  sent_on_kept,  ///< the same on a connection that carried an earlier exchange
   body_unread,   ///< the worker has the head and reads no more of a long body
   head_read,     ///< the worker sent the head of a whole answer and part of its body
-  mid_stream,    ///< two events of a stream are with the caller
-  mid_event,     ///< the same, and half of the third came
-  open_stream,   ///< two events of a stream without length or chunks
-  kept           ///< the answer is with the caller, the worker's connection is kept
+  mid_stream,    ///< the caller has two events of a stream
+  mid_event,     ///< the same, and the worker sent half of the third
+  open_stream,   ///< the caller has two events of a stream without length or chunks
+  kept           ///< the caller has the answer, the worker's connection is kept for reuse
 };
 
-/// What the caller has in the end.
+/// What the caller got in the end.
 enum class Outcome {
-  first,        ///< the first worker's answer, whole
-  second,       ///< the second worker's answer, whole
+  first,        ///< the first worker's answer, complete
+  second,       ///< the second worker's answer, complete
   joined,       ///< a stream begun by the first and finished by the second worker
   refused,      ///< 503: nothing ran
   bad_gateway,  ///< 502: it may have run
   timed_out,    ///< 504: it may have run
   own_error,    ///< the first worker's own 500
-  broken,       ///< a stream that visibly ends early
-  nobody        ///< no caller is there any more
+  broken,       ///< a stream that visibly breaks off
+  nobody        ///< the caller has left
 };
 
+/// What becomes of the first worker's connection.
 enum class Connection { kept, closed };
 
 struct Exchange;
+/// One cell of the table: a state, an event, and the expected outcome.
 struct Cell {
-  char const* name;  ///< STATE/EVENT/LANE
+  char const* name;  ///< STATE/EVENT/ROUTE
   State state;
   char const* route;  ///< plain: repeatable, once: not; tale: resumable stream, talk: not
   std::function<void(Exchange&)> event;
   Outcome outcome;
-  std::size_t attempts;    ///< times that the request reached a worker
-  Connection connection;   ///< what becomes of the first worker's connection
-  std::size_t others = 1;  ///< other workers that could take it
+  std::size_t attempts;  ///< how often the request reached a worker
+  Connection connection;
+  std::size_t other_workers = 1;  ///< number of other workers that could serve it
 };
 
 std::string stream_events(std::uint64_t first, std::uint64_t last) {
@@ -62,12 +65,12 @@
 constexpr char const* last_chunk = "0\r\n\r\n";
 constexpr std::uint64_t stream_length = 5;
 constexpr int deadline_ms = 1500;
-constexpr double set_point_ms = 500;          ///< far above what the harness needs to bring a state about
-constexpr std::size_t long_body = 4u << 20u;  ///< more than both systems' buffers hold
+constexpr double set_point_ms = 500;          ///< far longer than the harness needs to reach a state
+constexpr std::size_t long_body = 4u << 20u;  ///< more than the socket buffers of both ends hold
 
 /// One exchange between a scripted caller and scripted workers.
 struct Exchange {
-  explicit Exchange(Cell const& of) : cell(of) {
+  explicit Exchange(Cell const& table_cell) : cell(table_cell) {
     for (schema::Lane& route : fleet.routing_config.lanes) {
       route.deadline_ms = deadline_ms;
       route.set_point_ms = set_point_ms;
@@ -94,8 +97,8 @@
     check_next_request();
   }
 
-  // --- what events are made of ---
-  void say(std::string const& text) { line->send(text); }
+  // --- building blocks of events ---
+  void send(std::string const& text) { line->send(text); }
   void end_orderly() { line->close(); }
   void reset() { line->reset(); }
   void leave() { caller->close(); }
@@ -104,14 +107,14 @@
   Fleet fleet;
   std::string service;
   std::shared_ptr<Line> caller;
-  std::shared_ptr<Line> line;  ///< of the first worker
+  std::shared_ptr<Line> line;  ///< the first worker's connection
   Worker* first = nullptr;
   std::string id = "q1";
   std::string body = "the body";
-  common::Moment seen = std::numeric_limits<common::Moment>::max() / 2;  ///< when the first worker had it
+  common::Moment seen = std::numeric_limits<common::Moment>::max() / 2;  ///< when the first worker had the request
   common::Moment happened = 0;
-  std::uint64_t length = stream_length;  ///< events of the stream
-  std::size_t earlier = 0;               ///< arrivals of other requests before
+  std::uint64_t length = stream_length;  ///< number of events in the stream
+  std::size_t earlier = 0;               ///< number of requests that arrived before this one
 
   [[nodiscard]] bool streams() const { return service == "pool"; }
 
@@ -160,9 +163,9 @@
     begin_answer();
   }
 
-  /// The others come once the first has the request, so that all know who is the first.
+  /// The other workers are added once the first one has the request, so that it is known which is the first.
   void add_others() {
-    for (std::size_t index = 0; index < cell.others; ++index) {
+    for (std::size_t index = 0; index < cell.other_workers; ++index) {
       fleet.worker("w" + std::to_string(index + 2), service);
     }
     ASSERT_TRUE(fleet.until([this] { return fleet.station->balancer().size() == fleet.list.workers.size(); }));
@@ -170,21 +173,21 @@
 
   void begin_answer() {
     if (cell.state == State::head_read) {
-      say("HTTP/1.1 200 OK\r\n" + with_id(id) + "Finchlink-Seal: s\r\nContent-Length: 5\r\n\r\nfir");
+      send("HTTP/1.1 200 OK\r\n" + with_id(id) + "Finchlink-Seal: s\r\nContent-Length: 5\r\n\r\nfir");
     } else if (cell.state == State::mid_stream || cell.state == State::mid_event) {
-      say(stream_head(id) + chunk(stream_events(1, 2)));
+      send(stream_head(id) + chunk(stream_events(1, 2)));
     } else if (cell.state == State::open_stream) {
-      say("HTTP/1.1 200 OK\r\n" + with_id(id) + "Finchlink-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n" +
-          stream_events(1, 2));
+      send("HTTP/1.1 200 OK\r\n" + with_id(id) + "Finchlink-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n" +
+           stream_events(1, 2));
     } else if (cell.state == State::kept) {
-      say(success(id, "first"));
+      send(success(id, "first"));
       ASSERT_TRUE(fleet.answer_on(caller).has_value());
     }
     if (streams() && cell.state != State::sent) {
       ASSERT_TRUE(fleet.until([this] { return passed(caller->got).events == stream_events(1, 2); }));
     }
     if (cell.state == State::mid_event) {
-      say(chunk(event(3).substr(0, 10)));
+      send(chunk(event(3).substr(0, 10)));
       fleet.rest(10);
     }
     if (cell.state == State::kept) {
@@ -193,7 +196,7 @@
     }
   }
 
-  /// Whoever else gets the request answers it well.
+  /// Every other worker that gets the request answers it successfully.
   void answer_others() {
     for (std::pair<std::string const, std::unique_ptr<Worker>>& entry : fleet.workers) {
       for (Arrival& arrival : entry.second->arrivals) {
@@ -257,7 +260,7 @@
     if (cell.outcome == Outcome::first || cell.outcome == Outcome::second) {
       EXPECT_EQ(got->message.body(), cell.outcome == Outcome::first ? "first" : "second");
     }
-    EXPECT_EQ(got->length, caller->got.size()) << "bytes behind the answer";
+    EXPECT_EQ(got->length, caller->got.size()) << "surplus bytes after the answer";
   }
 
   [[nodiscard]] unsigned int status() const {
@@ -290,7 +293,7 @@
         if (arrival.line == line) {
           first_left = left;
         }
-        // The first was handed on before it was seen, any further one after the event.
+        // The first attempt was forwarded before the test saw it, every further one after the event.
         EXPECT_LE(left, arrival.line == line || cell.attempts < 2
                             ? deadline_ms
                             : first_left - std::max<common::Span>(0, happened - seen) / 1000 + 1);
@@ -311,24 +314,24 @@
     }
   }
 
-  /// Whatever happened, the next caller gets its own answer and nothing else.
+  /// Whatever the event was, the next caller gets its own answer and nothing else.
   void check_next_request() {
-    if (fleet.workers.empty() || (line == nullptr && cell.others == 0)) {
+    if (fleet.workers.empty() || (line == nullptr && cell.other_workers == 0)) {
       return;
     }
     std::string const route = service == "pool" ? "/tale/" : "/plain/";
     std::string const next = "next";
     std::shared_ptr<Line> const other = fleet.call(query(route + "next", next));
-    std::set<std::shared_ptr<Line>> done;
-    std::string const good =
+    std::set<std::shared_ptr<Line>> answered_next;
+    std::string const good_answer =
         service == "pool" ? stream_head(next) + chunk(event(1)) + last_chunk : success(next, "for the next");
     (void)fleet.until(
         [&] {
           for (std::pair<std::string const, std::unique_ptr<Worker>>& entry : fleet.workers) {
             for (Arrival& arrival : entry.second->arrivals) {
-              if (arrival.header("Finchlink-Query") == next && done.insert(arrival.line).second) {
+              if (arrival.header("Finchlink-Query") == next && answered_next.insert(arrival.line).second) {
                 EXPECT_TRUE(cell.connection == Connection::kept || arrival.line != line);
-                arrival.line->send(good);
+                arrival.line->send(good_answer);
               }
             }
           }
@@ -338,7 +341,7 @@
     std::optional<Read<false>> const got = read_first<false>(other->got);
     ASSERT_TRUE(got.has_value()) << other->got;
     if (got->message.result_int() == 503) {
-      return;  // its worker rests: nothing ran
+      return;  // the worker is ejected: nothing ran
     }
     EXPECT_EQ(got->message.result_int(), 200u);
     EXPECT_EQ(std::string(got->message["Finchlink-Query"]), next);
@@ -347,7 +350,7 @@
   }
 
  public:
-  char const* broken_events = nullptr;  ///< what a broken stream has shown, where it isn't the first two
+  char const* broken_events = nullptr;  ///< events that a broken stream passed on, where not the first two
 
  private:
   std::set<std::shared_ptr<Line>> answered;
@@ -363,65 +366,65 @@
 
 void nothing(Exchange&) {}
 void answers(Exchange& exchange) {
-  exchange.say(success(exchange.id, "first"));
+  exchange.send(success(exchange.id, "first"));
 }
 void answers_and_more(Exchange& exchange) {
-  exchange.say(success(exchange.id, "first") + success(exchange.id, "surplus"));
+  exchange.send(success(exchange.id, "first") + success(exchange.id, "surplus"));
 }
 void answers_and_closes(Exchange& exchange) {
-  exchange.say(success(exchange.id, "first", "Connection: close\r\n"));
+  exchange.send(success(exchange.id, "first", "Connection: close\r\n"));
 }
 void answers_in_chunks(Exchange& exchange) {
-  exchange.say("HTTP/1.1 200 OK\r\n" + with_id(exchange.id) +
-               "Finchlink-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("fi") + chunk("rst") + last_chunk);
+  exchange.send("HTTP/1.1 200 OK\r\n" + with_id(exchange.id) +
+                "Finchlink-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk("fi") + chunk("rst") + last_chunk);
 }
 void answers_until_close(Exchange& exchange) {
-  exchange.say(answer_without_length(exchange.id, "first"));
+  exchange.send(answer_without_length(exchange.id, "first"));
   exchange.end_orderly();
 }
 void answers_until_reset(Exchange& exchange) {
-  exchange.say(answer_without_length(exchange.id, "first"));
+  exchange.send(answer_without_length(exchange.id, "first"));
   exchange.reset();
 }
 void answers_behind_interim(Exchange& exchange) {
-  exchange.say(std::string("HTTP/1.1 100 Continue\r\n\r\n") + interim + success(exchange.id, "first"));
+  exchange.send(std::string("HTTP/1.1 100 Continue\r\n\r\n") + interim + success(exchange.id, "first"));
 }
 void interim_and_end(Exchange& exchange) {
-  exchange.say(interim);
+  exchange.send(interim);
   exchange.end_orderly();
 }
 void answers_another(Exchange& exchange) {
-  exchange.say(success("q0", "another's"));
+  exchange.send(success("q0", "another's"));
 }
 void answers_without_id(Exchange& exchange) {
-  exchange.say("HTTP/1.1 200 OK\r\nFinchlink-Seal: s\r\nContent-Length: 3\r\n\r\nwho");
+  exchange.send("HTTP/1.1 200 OK\r\nFinchlink-Seal: s\r\nContent-Length: 3\r\n\r\nwho");
 }
 void answers_unsealed(Exchange& exchange) {
-  exchange.say("HTTP/1.1 200 OK\r\n" + with_id(exchange.id) + "Content-Length: 3\r\n\r\nwho");
+  exchange.send("HTTP/1.1 200 OK\r\n" + with_id(exchange.id) + "Content-Length: 3\r\n\r\nwho");
 }
-void fails_itself(Exchange& exchange) {
-  exchange.say("HTTP/1.1 500 Internal\r\n" + with_id(exchange.id) + "Content-Length: 4\r\n\r\noops");
+void answers_own_error(Exchange& exchange) {
+  exchange.send("HTTP/1.1 500 Internal\r\n" + with_id(exchange.id) + "Content-Length: 4\r\n\r\noops");
 }
 void busy_without_promise(Exchange& exchange) {
-  exchange.say("HTTP/1.1 503 Busy\r\n" + with_id(exchange.id) + "Content-Length: 0\r\n\r\n");
+  exchange.send("HTTP/1.1 503 Busy\r\n" + with_id(exchange.id) + "Content-Length: 0\r\n\r\n");
 }
 void refuses(Exchange& exchange) {
-  exchange.say(refusal(with_id(exchange.id), "503 Busy"));
+  exchange.send(refusal(with_id(exchange.id), "503 Busy"));
 }
 void refuses_another(Exchange& exchange) {
-  exchange.say(refusal(with_id("q0"), "503 Busy"));
+  exchange.send(refusal(with_id("q0"), "503 Busy"));
 }
 void refuses_without_id(Exchange& exchange) {
-  exchange.say(refusal("", "400 Bad Request"));
+  exchange.send(refusal("", "400 Bad Request"));
 }
 void succeeds_and_refuses(Exchange& exchange) {
-  exchange.say(success(exchange.id, "both", "Finchlink-Refused: 1\r\n"));
+  exchange.send(success(exchange.id, "both", "Finchlink-Refused: 1\r\n"));
 }
 void misdirected(Exchange& exchange) {
-  exchange.say("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
+  exchange.send("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
 }
 void misdirected_another(Exchange& exchange) {
-  exchange.say("HTTP/1.1 421 Misdirected Request\r\n" + with_id("q0") + "Content-Length: 0\r\n\r\n");
+  exchange.send("HTTP/1.1 421 Misdirected Request\r\n" + with_id("q0") + "Content-Length: 0\r\n\r\n");
 }
 void resets(Exchange& exchange) {
   exchange.reset();
@@ -429,8 +432,8 @@
 void closes(Exchange& exchange) {
   exchange.end_orderly();
 }
-void says_no_http(Exchange& exchange) {
-  exchange.say("no answer at all\r\n\r\n");
+void sends_invalid_http(Exchange& exchange) {
+  exchange.send("no answer at all\r\n\r\n");
 }
 void caller_leaves(Exchange& exchange) {
   exchange.leave();
@@ -438,7 +441,7 @@
 void caller_half_closes(Exchange& exchange) {
   exchange.caller->half_close();
 }
-/// The next request is there already, so that an end of the caller doesn't show as readable bytes.
+/// The next request has arrived already, so the end of the caller's connection lies behind unread bytes.
 void caller_pipelines_and_leaves(Exchange& exchange) {
   exchange.caller->send(query("/plain/b", "q9"));
   exchange.fleet.rest(30);
@@ -453,12 +456,12 @@
     }
   }
 }
-/// The descriptor of the caller that left is given to the next one.
+/// The file descriptor of the caller that left is reused for the next caller.
 void caller_leaves_and_another_comes(Exchange& exchange) {
   exchange.leave();
   std::shared_ptr<Line> const other = exchange.fleet.call("");
   EXPECT_TRUE(exchange.fleet.until([&] { return exchange.line->ended; }, 500));
-  exchange.say(success("q1", "late"));
+  exchange.send(success("q1", "late"));
   exchange.fleet.rest(20);
   EXPECT_EQ(other->got, "");
   EXPECT_FALSE(other->ended);
@@ -466,8 +469,9 @@
 void caller_pipelines(Exchange& exchange) {
   exchange.caller->send(query("/plain/b", "q9"));
   exchange.fleet.rest(20);
-  EXPECT_EQ(exchange.fleet.order.size(), exchange.earlier + 1) << "one after the other";
-  exchange.say(success(exchange.id, "first"));
+  EXPECT_EQ(exchange.fleet.order.size(), exchange.earlier + 1)
+      << "a pipelined request was sent before the first was answered";
+  exchange.send(success(exchange.id, "first"));
   std::optional<Response> const own = exchange.fleet.answer_on(exchange.caller);
   ASSERT_TRUE(own.has_value());
   EXPECT_EQ(own->body(), "first");
@@ -477,9 +481,9 @@
   exchange.id = "q9";
   exchange.body = "";
 }
-/// The rest of a long body is read after its answer was given: no other bytes may come there.
+/// The rest of a long body is read after the answer was sent: no bytes of another request may appear in it.
 void answers_early_and_reads_on(Exchange& exchange) {
-  exchange.say(success(exchange.id, "first"));
+  exchange.send(success(exchange.id, "first"));
   EXPECT_TRUE(exchange.fleet.until([&] { return read_first<false>(exchange.caller->got).has_value(); }, 600));
   std::shared_ptr<Line> const other = exchange.fleet.call(query("/plain/c", "q9"));
   exchange.fleet.rest(50);
@@ -488,81 +492,81 @@
   std::string const& got = exchange.line->got;
   std::size_t const head = got.find("\r\n\r\n");
   if (head != std::string::npos) {
-    EXPECT_EQ(got.find_first_not_of('b', head + 4), std::string::npos) << "other bytes in the body";
+    EXPECT_EQ(got.find_first_not_of('b', head + 4), std::string::npos) << "bytes of another request in the body";
   }
   other->close();
 }
 void refuses_early(Exchange& exchange) {
-  exchange.say(refusal(with_id(exchange.id), "503 Busy"));
+  exchange.send(refusal(with_id(exchange.id), "503 Busy"));
 }
 void resets_early_answer(Exchange& exchange) {
-  exchange.say(answer_without_length(exchange.id, "fir"));
+  exchange.send(answer_without_length(exchange.id, "fir"));
   exchange.reset();
 }
-void rest_and_reset(Exchange& exchange) {
+void resets_in_body(Exchange& exchange) {
   exchange.reset();
 }
-/// All events are with the caller; only the end is missing.
+/// The caller has all events; only the end of the stream is missing.
 void resets_behind_the_last_event(Exchange& exchange) {
   exchange.length = 2;
   exchange.reset();
 }
 void rest_of_body(Exchange& exchange) {
-  exchange.say("st");
+  exchange.send("st");
 }
 void rest_of_body_and_more(Exchange& exchange) {
-  exchange.say("st" + success(exchange.id, "surplus"));
+  exchange.send("st" + success(exchange.id, "surplus"));
 }
 void rest_of_stream(Exchange& exchange) {
   std::string const third = event(3);
-  exchange.say((exchange.cell.state == State::mid_event ? chunk(third.substr(10)) : chunk(third)) +
-               chunk(stream_events(4, stream_length)) + last_chunk);
+  exchange.send((exchange.cell.state == State::mid_event ? chunk(third.substr(10)) : chunk(third)) +
+                chunk(stream_events(4, stream_length)) + last_chunk);
 }
 void rest_of_stream_and_more(Exchange& exchange) {
-  exchange.say(chunk(stream_events(3, stream_length)) + last_chunk + success(exchange.id, "surplus"));
+  exchange.send(chunk(stream_events(3, stream_length)) + last_chunk + success(exchange.id, "surplus"));
 }
 void rest_until_close(Exchange& exchange) {
-  exchange.say(stream_events(3, stream_length));
+  exchange.send(stream_events(3, stream_length));
   exchange.end_orderly();
 }
 void ends_in_event(Exchange& exchange) {
-  exchange.say(event(3).substr(0, 10));
+  exchange.send(event(3).substr(0, 10));
   exchange.end_orderly();
 }
 void last_chunk_in_event(Exchange& exchange) {
-  exchange.say(last_chunk);
+  exchange.send(last_chunk);
 }
 void bad_chunk(Exchange& exchange) {
-  exchange.say("zz\r\n");
+  exchange.send("zz\r\n");
 }
-/// An event without a number: nobody can say behind which one to go on.
+/// An event without a number: no worker can be told after which event to resume.
 void unnumbered_and_reset(Exchange& exchange) {
   exchange.broken_events = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\ndata: no number\n\n";
-  exchange.say(chunk("data: no number\n\n"));
+  exchange.send(chunk("data: no number\n\n"));
   EXPECT_TRUE(exchange.fleet.until([&] { return passed(exchange.caller->got).events == exchange.broken_events; }));
   exchange.reset();
 }
-/// Kept connection: then the next request comes.
+/// Sends the next request after an answer on a connection that is kept.
 void next_request(Exchange& exchange) {
   exchange.caller->send(query(std::string("/") + exchange.cell.route + "/b", exchange.id, exchange.body));
   ASSERT_NE(exchange.fleet.holder(2), nullptr);
 }
-void next_after(Exchange& exchange, std::function<void()> const& trouble) {
-  trouble();
+void next_after(Exchange& exchange, std::function<void()> const& disturb) {
+  disturb();
   exchange.fleet.rest(20);
   next_request(exchange);
 }
 void next_answered_on_kept(Exchange& exchange) {
   next_request(exchange);
   EXPECT_EQ(exchange.first->arrivals.back().line, exchange.line);
-  exchange.say(success(exchange.id, "first"));
+  exchange.send(success(exchange.id, "first"));
 }
 void next_without_id(Exchange& exchange) {
   exchange.id = "";
   next_request(exchange);
 }
 void surplus_then_next(Exchange& exchange) {
-  next_after(exchange, [&] { exchange.say(success("q1", "surplus")); });
+  next_after(exchange, [&] { exchange.send(success("q1", "surplus")); });
 }
 void close_then_next(Exchange& exchange) {
   next_after(exchange, [&] { exchange.end_orderly(); });
@@ -570,7 +574,7 @@
 void reset_then_next(Exchange& exchange) {
   next_after(exchange, [&] { exchange.reset(); });
 }
-void new_life_then_next(Exchange& exchange) {
+void worker_leaves_list_then_next(Exchange& exchange) {
   next_after(exchange, [&] {
     std::erase_if(exchange.fleet.list.workers, [](schema::WorkerEntry const& entry) { return entry.id == "w1"; });
     ++exchange.fleet.list_digest;
@@ -611,8 +615,8 @@
       {"sent/answer_without_id/once", sent, "once", answers_without_id, bad_gateway, 1, closed},
       {"sent/unsealed/plain", sent, "plain", answers_unsealed, second, 2, closed},
       {"sent/unsealed/once", sent, "once", answers_unsealed, bad_gateway, 1, closed},
-      {"sent/own_error/plain", sent, "plain", fails_itself, second, 2, keeps},
-      {"sent/own_error/once", sent, "once", fails_itself, own_error, 1, keeps},
+      {"sent/own_error/plain", sent, "plain", answers_own_error, second, 2, keeps},
+      {"sent/own_error/once", sent, "once", answers_own_error, own_error, 1, keeps},
       {"sent/busy_without_promise/plain", sent, "plain", busy_without_promise, second, 2, closed},
       {"sent/busy_without_promise/once", sent, "once", busy_without_promise, bad_gateway, 1, closed},
       {"sent/refusal/plain", sent, "plain", refuses, second, 2, keeps},
@@ -630,8 +634,8 @@
       {"sent/reset/talk", sent, "talk", resets, bad_gateway, 1, closed},
       {"sent/close/plain", sent, "plain", closes, second, 2, closed},
       {"sent/close/once", sent, "once", closes, bad_gateway, 1, closed},
-      {"sent/no_http/plain", sent, "plain", says_no_http, second, 2, closed},
-      {"sent/no_http/once", sent, "once", says_no_http, bad_gateway, 1, closed},
+      {"sent/no_http/plain", sent, "plain", sends_invalid_http, second, 2, closed},
+      {"sent/no_http/once", sent, "once", sends_invalid_http, bad_gateway, 1, closed},
       {"sent/silence/plain", sent, "plain", nothing, second, 2, closed},
       {"sent/silence/once", sent, "once", nothing, timed_out, 1, closed},
       {"sent/silence/tale", sent, "tale", nothing, second, 2, closed},
@@ -662,8 +666,8 @@
 
       {"head_read/rest/plain", head_read, "plain", rest_of_body, first, 1, keeps},
       {"head_read/rest_and_surplus/once", head_read, "once", rest_of_body_and_more, first, 1, closed},
-      {"head_read/reset/plain", head_read, "plain", rest_and_reset, second, 2, closed},
-      {"head_read/reset/once", head_read, "once", rest_and_reset, bad_gateway, 1, closed},
+      {"head_read/reset/plain", head_read, "plain", resets_in_body, second, 2, closed},
+      {"head_read/reset/once", head_read, "once", resets_in_body, bad_gateway, 1, closed},
       {"head_read/close/plain", head_read, "plain", closes, second, 2, closed},
       {"head_read/close/once", head_read, "once", closes, bad_gateway, 1, closed},
       {"head_read/silence/plain", head_read, "plain", nothing, second, 2, closed},
@@ -703,7 +707,7 @@
       {"kept/surplus/plain", kept, "plain", surplus_then_next, second, 1, closed, 0},
       {"kept/close/plain", kept, "plain", close_then_next, second, 1, closed, 0},
       {"kept/reset/plain", kept, "plain", reset_then_next, second, 1, closed, 0},
-      {"kept/worker_left_the_list/plain", kept, "plain", new_life_then_next, second, 1, closed, 1},
+      {"kept/worker_left_the_list/plain", kept, "plain", worker_leaves_list_then_next, second, 1, closed, 1},
   };
 }
 
@@ -724,8 +728,8 @@
 }
 INSTANTIATE_TEST_SUITE_P(Cells, ExchangeTable, ::testing::ValuesIn(cells()), test_name);
 
-/// The rows of the page: lines of a table that begin with a cell's name in backquotes.
-std::set<std::string> named_on_the_page() {
+/// The names of the rows of the page: table lines that begin with a cell's name in backquotes.
+std::set<std::string> names_on_the_page() {
   std::ifstream file(std::string(FINCHLINK_SOURCE_FOLDER) + "/docs/hardening/exchanges.md");
   std::set<std::string> names;
   std::string line;
@@ -743,7 +747,7 @@
     tested.insert(cell.name);
   }
   EXPECT_EQ(tested.size(), cells().size());
-  EXPECT_EQ(named_on_the_page(), tested);
+  EXPECT_EQ(names_on_the_page(), tested);
 }
 
 }  // namespace
