--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -167,7 +167,7 @@
   for (schema::Member const& member : plan()->members) {
     proxies.push_back(member.name);
   }
-  bool const keeps = scheduling::keeps_right(rule, settings_.name, proxies);
+  bool const keeps = scheduling::holds_reserve_token(rule, settings_.name, proxies);
   std::lock_guard<std::mutex> const guard(services_lock_);
   return services_[rule].budget.take(now, keeps);
 }
--- a/source/data_plane/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -131,8 +131,8 @@
     terms.repeatable = rule_.repeatable;
     terms.resumable = rule_.resumable;
     terms.stream = rule_.stream;
-    terms.may_pass = !facts_.passed;
-    terms.dispatches_most = constants::dispatches_most;
+    terms.may_forward = !facts_.passed;
+    terms.max_dispatches = constants::dispatches_most;
     return terms;
   }
 
@@ -168,22 +168,22 @@
       field_.metrics().count("furrow_retries_total", "rule=\"" + serve_.rule + "\"");
     }
   }
-  void act(scheduling::PassOn const&) { pass_next_ = true; }
-  void act(scheduling::SendHome const&) {
+  void act(scheduling::ForwardToRegion const&) { pass_next_ = true; }
+  void act(scheduling::RedirectHome const&) {
     common::Answer answer = send_home(*plan_, home_, facts_.id, facts_.target);
     write_answer(answer);
   }
-  void act(scheduling::Forward const&) { write_event(); }
-  void act(scheduling::Deliver const&) { write_answer(whole_); }
-  void act(scheduling::Refuse const& refuse) {
+  void act(scheduling::SendEvent const&) { write_event(); }
+  void act(scheduling::SendResponse const&) { write_answer(whole_); }
+  void act(scheduling::RejectQuery const& refuse) {
     common::Answer answer = refusal(facts_.id, refuse.reason, expected_seconds_);
     write_answer(answer);
   }
-  void act(scheduling::Apologise const& apologise) {
+  void act(scheduling::FailUncertain const& apologise) {
     common::Answer answer = apology(facts_.id, apologise.status, apologise.reason, apologise.may_have_run);
     write_answer(answer);
   }
-  void act(scheduling::EndBroken const& broken) {
+  void act(scheduling::EndWithError const& broken) {
     common::note(common::Event::QueryCut, facts_.id + " " + broken.reason);
     common::Tree object(cJSON_CreateObject());
     cJSON_AddStringToObject(object.get(), "error", broken.reason.c_str());
@@ -194,7 +194,7 @@
     (void)write_chunk(text);
     keep_ = false;
   }
-  void act(scheduling::Abandon const&) { keep_ = false; }
+  void act(scheduling::CancelDispatch const&) { keep_ = false; }
 
   void write_answer(common::Answer& answer) {
     error_code error;
@@ -313,7 +313,7 @@
   void withdraw(std::uint64_t ticket) {
     finish_ticket(ticket, scheduling::Ending::abandoned);
     field_.reconcile();
-    feed(scheduling::Withdrawn{});
+    feed(scheduling::PlacementWithdrawn{});
   }
 
   void dispatch() {
@@ -336,7 +336,7 @@
       if (denied->reason == "deadline") {
         feed(scheduling::DeadlinePassed{});
       } else {
-        feed(scheduling::NoRoom{});
+        feed(scheduling::NoCapacity{});
       }
       return;
     }
@@ -468,7 +468,7 @@
       body += bytes;
     }
     if (status >= 500) {
-      after_ = scheduling::WorkerAnswered{502};
+      after_ = scheduling::WorkerErrorResponse{502};
       return scheduling::Ending::good;
     }
     if (leg_ == Leg::prefill) {
@@ -478,7 +478,7 @@
         return scheduling::Ending::failure;
       }
       note_prefill();
-      after_ = scheduling::LegDone{};
+      after_ = scheduling::PrefillDone{};
       return scheduling::Ending::good;
     }
     if (rule_.kind == "model" && status == 200) {
@@ -487,7 +487,7 @@
     }
     whole_ = common::answer_text(static_cast<http::status>(status), std::move(body),
                                  std::string(parser.get()[http::field::content_type]));
-    after_ = scheduling::Whole{};
+    after_ = scheduling::WholeResponse{};
     return scheduling::Ending::good;
   }
 
@@ -572,7 +572,7 @@
     cJSON_AddNumberToObject(object.get(), "events", static_cast<double>(events));
     cJSON_AddBoolToObject(object.get(), "complete", 1);
     whole_ = common::answer_text(http::status::ok, common::print_tree(object.get()));
-    after_ = scheduling::Whole{};
+    after_ = scheduling::WholeResponse{};
   }
 
   /// What the first token shows of the prefill (section 8.2).
@@ -633,7 +633,7 @@
     }
     std::vector<schema::Member> const targets = scheduling::pass_targets(*plan_, field_.name(), pool(), serve_.bound);
     if (targets.empty() || !field_.confirmed(common::boot_now())) {
-      feed(scheduling::NoRoom{});
+      feed(scheduling::NoCapacity{});
       return;
     }
     go_ = scheduling::Go{0, "pass", targets[common::random_number() % targets.size()].address, 0, 0};
@@ -642,7 +642,7 @@
         common::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
     if (!connection.ok() || interrupt_->set() || follow_plan() || !field_.confirmed(common::boot_now())) {
       if (!interrupt_->set()) {
-        feed(scheduling::NoRoom{});
+        feed(scheduling::NoCapacity{});
       }
       return;
     }
@@ -683,7 +683,7 @@
       return;
     }
     if (parser.get()[ran_header] == "no" || parser.get().result_int() == 307) {
-      after_ = scheduling::NoRoom{};
+      after_ = scheduling::NoCapacity{};
       return;
     }
     if (parser.get()[query_header] != facts_.id) {
@@ -725,12 +725,12 @@
       body += bytes;
     }
     if (status >= 500) {
-      after_ = scheduling::WorkerAnswered{static_cast<int>(status)};
+      after_ = scheduling::WorkerErrorResponse{static_cast<int>(status)};
       return false;
     }
     whole_ = common::answer_text(static_cast<http::status>(status), std::move(body),
                                  std::string(parser.get()[http::field::content_type]));
-    after_ = scheduling::Whole{};
+    after_ = scheduling::WholeResponse{};
     return true;
   }
 
--- a/source/data_plane/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -54,7 +54,7 @@
       return true;
     }
     if (now >= until || now >= deadline_) {
-      feed_or_return(scheduling::NoRoom{});
+      feed_or_return(scheduling::NoCapacity{});
       return false;
     }
     asio::steady_timer timer(station_.context(), common::duration(constants::place_pause));
@@ -84,7 +84,7 @@
     if (!gone_) {
       ++connects_;
       if (connects_ < constants::connects_most) {
-        feed(scheduling::Withdrawn{});
+        feed(scheduling::PlacementWithdrawn{});
       } else {
         feed_or_return(scheduling::ConnectFailure{});
       }
@@ -98,7 +98,7 @@
     station_.balancer().ended(assignment_, false, scheduling::Outcome::abandoned, common::boot_now());
     keep_worker(constants::worker_idle);
     if (!back_) {
-      feed(scheduling::Withdrawn{});
+      feed(scheduling::PlacementWithdrawn{});
     }
     return;
   }
@@ -157,7 +157,7 @@
   whole_body_.clear();
   place_next_ = false;
   reserved_ = false;
-  feed(scheduling::Returned{assignment_.worker});
+  feed(scheduling::WorkerResumed{assignment_.worker});
   if (later_.has_value()) {
     feed(*later_);
     later_.reset();
--- a/source/data_plane/relay/caller_answer.cpp
+++ b/source/data_plane/relay/caller_answer.cpp
@@ -12,7 +12,7 @@
 namespace constants = common::constants;
 using boost::system::error_code;
 
-void Relay::act(scheduling::Refuse const& reason) {
+void Relay::act(scheduling::RejectQuery const& reason) {
   if (!tenant_fault_.empty()) {
     answer("400 Bad Request", tenant_fault_, false);
   } else if (withdrawn_route_ && station_.routing_config_confirmed()) {
@@ -23,7 +23,7 @@
   }
 }
 
-void Relay::act(scheduling::Apologise const& apologise) {
+void Relay::act(scheduling::FailUncertain const& apologise) {
   if (!whole_.empty()) {
     (void)write_whole();  // the worker's own error response is more specific than a 502 or 504 of the relay
   } else {
@@ -31,7 +31,7 @@
   }
 }
 
-void Relay::act(scheduling::EndBroken const& broken) {
+void Relay::act(scheduling::EndWithError const& broken) {
   common::note(common::Event::QueryCut, id_ + " " + broken.reason);
   keep_ = false;  // without the last chunk no caller can take the stream for complete
 }
--- a/source/data_plane/relay/caller_monitor.cpp
+++ b/source/data_plane/relay/caller_monitor.cpp
@@ -71,7 +71,7 @@
     cut();
     return;
   }
-  perform(silence_.rang(station_.balancer().heard_at(assignment_.worker), now));
+  perform(silence_.timer_fired(station_.balancer().heard_at(assignment_.worker), now));
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/dialect.cpp
+++ b/source/data_plane/relay/dialect.cpp
@@ -8,8 +8,8 @@
 
 namespace finchlink::data_plane {
 
-std::vector<scheduling::Part> read_parts(std::string_view text) {
-  std::vector<scheduling::Part> parts;
+std::vector<scheduling::PromptPart> read_parts(std::string_view text) {
+  std::vector<scheduling::PromptPart> parts;
   while (!text.empty()) {
     std::string_view const entry = text.substr(0, text.find(','));
     text.remove_prefix(std::min(text.size(), entry.size() + 1));
@@ -24,7 +24,7 @@
     while (!name.empty() && name.front() == ' ') {
       name.remove_prefix(1);
     }
-    parts.push_back(scheduling::Part{scheduling::hash_text(name), static_cast<double>(tokens)});
+    parts.push_back(scheduling::PromptPart{scheduling::hash_text(name), static_cast<double>(tokens)});
   }
   return parts;
 }
--- a/source/data_plane/relay/dialect.hpp
+++ b/source/data_plane/relay/dialect.hpp
@@ -29,11 +29,11 @@
   std::string reused;      ///< header of answers: tokens of the prompt that were not read again
   std::string ready_path;
   std::string directory_path;
-  std::function<std::vector<scheduling::Part>(std::string_view)> read_parts;
+  std::function<std::vector<scheduling::PromptPart>(std::string_view)> read_parts;
   std::function<std::string(std::vector<std::string> const& addresses, double seconds)> print_directory;
 };
 [[nodiscard]] Dialect own_dialect();
 /// ID:TOKENS by commas, the id in hex (or any text, hashed).
-[[nodiscard]] std::vector<scheduling::Part> read_parts(std::string_view text);
+[[nodiscard]] std::vector<scheduling::PromptPart> read_parts(std::string_view text);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/event_stream.cpp
+++ b/source/data_plane/relay/event_stream.cpp
@@ -20,7 +20,7 @@
 
 scheduling::Outcome Relay::read_events(Reading& reading) {
   Parser& parser = *reading.parser;
-  scheduling::Sighting& sighting = reading.sighting;
+  scheduling::StreamObservation& sighting = reading.sighting;
   common::Moment const sent = reading.sent;
   std::string bytes;
   bool ended = false;
@@ -44,7 +44,7 @@
     }
     common::Moment const now = common::boot_now();
     station_.balancer().heard(assignment_.worker, now);
-    sighting.event(complete.count, now);
+    sighting.record_events(complete.count, now);
     if (first_at_ == 0) {
       first_at_ = now;
     }
@@ -86,7 +86,7 @@
   if (!reading.resumed) {
     station_.saw(std::move(sighting), assignment_, wanted_);
   }
-  return scheduling::Outcome::good;
+  return scheduling::Outcome::success;
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -26,7 +26,7 @@
       id_(view(query.header[station.dialect().query])),
       deadline_(query.arrived + common::milliseconds(static_cast<std::int64_t>(route.deadline_ms))),
       state_machine_(terms(route), [this](common::Moment) { return may_spend(true); }),
-      silence_(station.mechanisms().silence) {
+      silence_(station.mechanisms().stall) {
   std::string_view const left = view(query.header[station.dialect().left]);
   if (!left.empty()) {
     deadline_ =
@@ -90,7 +90,7 @@
   terms.resumable = route.stream && route.resumable;
   terms.repeatable = route.repeatable || terms.resumable;
   terms.stream = route.stream;
-  terms.dispatches_most = static_cast<int>(route.dispatches);
+  terms.max_dispatches = static_cast<int>(route.dispatches);
   return terms;
 }
 
@@ -119,15 +119,15 @@
   std::string_view const target = view(query_.header.target());
   schema::Lane const* const found = current->find(view(query_.header[http::field::host]), target);
   route_table_ = current;
-  scheduling::Decided decided;
+  scheduling::ConfigReevaluated decided;
   if (found == nullptr) {
     withdrawn_route_ = true;
-    decided.standing = scheduling::Standing::none;
+    decided.decision = scheduling::ServingDecision::none;
   } else {
     route_ = *found;
     enter_isolation();
     if (!tenant_fault_.empty()) {
-      decided.standing = scheduling::Standing::none;
+      decided.decision = scheduling::ServingDecision::none;
     }
     scheduling::QueryTerms const next = terms(route_);
     decided.repeatable = next.repeatable;
@@ -137,7 +137,7 @@
         std::min(deadline_, query_.arrived + common::milliseconds(static_cast<std::int64_t>(route_.deadline_ms)));
   }
   if (aside_ != nullptr &&
-      (decided.standing != scheduling::Standing::serve || !decided.repeatable || !decided.resumable)) {
+      (decided.decision != scheduling::ServingDecision::serve || !decided.repeatable || !decided.resumable)) {
     later_ = decided;  // it may run nowhere else any more, but finish where it runs
     back_ = true;
     return;
--- a/source/data_plane/relay/relay.hpp
+++ b/source/data_plane/relay/relay.hpp
@@ -73,7 +73,7 @@
     boost::beast::flat_buffer buffer;
     std::unique_ptr<Parser> parser;
     EventCutter cutter;
-    scheduling::Sighting sighting;
+    scheduling::StreamObservation sighting;
     common::Moment sent = 0;
     bool first = true;
     bool resumed = false;
@@ -90,7 +90,7 @@
   /// What the worker tells of versions and reuse (section 14.3).
   void hear_isolation(WorkerHeader const& got, bool ran);
   /// What the worker keeps of the prompt from now on; ids used once it won't need.
-  [[nodiscard]] std::vector<scheduling::Part> kept_parts() const;
+  [[nodiscard]] std::vector<scheduling::PromptPart> kept_parts() const;
   bool may_spend(bool spend);
   /// Section 13.3: which stage took how long, where an answer missed its set point.
   void tell_late(std::string const& how) const;
@@ -111,14 +111,14 @@
   void feed(scheduling::QueryMessage const& message) { perform(state_machine_.advance(message, common::boot_now())); }
   void perform(std::vector<scheduling::QueryAction> const& actions);
   void act(scheduling::Place const&) { place_next_ = true; }
-  void act(scheduling::PassOn const&) { feed(scheduling::NoRoom{}); }
-  void act(scheduling::SendHome const&) { refuse(); }
-  void act(scheduling::Forward const&) {}
-  void act(scheduling::Deliver const&) { (void)write_whole(); }
-  void act(scheduling::Refuse const& reason);
-  void act(scheduling::Apologise const& apologise);
-  void act(scheduling::EndBroken const& broken);
-  void act(scheduling::Abandon const&) { keep_ = false; }
+  void act(scheduling::ForwardToRegion const&) { feed(scheduling::NoCapacity{}); }
+  void act(scheduling::RedirectHome const&) { refuse(); }
+  void act(scheduling::SendEvent const&) {}
+  void act(scheduling::SendResponse const&) { (void)write_whole(); }
+  void act(scheduling::RejectQuery const& reason);
+  void act(scheduling::FailUncertain const& apologise);
+  void act(scheduling::EndWithError const& broken);
+  void act(scheduling::CancelDispatch const&) { keep_ = false; }
   /// Final, at once, with the time to come back at: nothing ran (section 9.8).
   void refuse() { answer("503 Service Unavailable", "no_place", true); }
   void answer(std::string const& status, std::string const& reason, bool come_back);
@@ -189,9 +189,9 @@
   std::string service_;
   std::shared_ptr<Alarm> alarm_;
   std::unique_ptr<Socket> worker_;
-  std::shared_ptr<Reading> reading_;          ///< of the dispatch under way
-  std::shared_ptr<Reading> aside_;            ///< given up for its silence; goes on if no other does
-  std::optional<scheduling::Decided> later_;  ///< told to the chart once it is back there
+  std::shared_ptr<Reading> reading_;                    ///< of the dispatch under way
+  std::shared_ptr<Reading> aside_;                      ///< given up for its silence; goes on if no other does
+  std::optional<scheduling::ConfigReevaluated> later_;  ///< told to the chart once it is back there
   boost::asio::steady_timer* seat_ = nullptr;
   std::optional<scheduling::QueryMessage> after_;
   std::string whole_;
--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -169,8 +169,9 @@
 
 scheduling::RetryQuota& RelayServer::retry_quota(std::string const& service) {
   scheduling::RetryQuota& retry_quota = retry_quota_[service];
-  retry_quota.bound(settings_.bounds.retry_ratio, settings_.bounds.retry_slack,
-                    static_cast<double>(std::max<std::size_t>(1, proxy_count_.proxies(common::boot_now()).size())));
+  retry_quota.set_limits(
+      settings_.bounds.retry_ratio, settings_.bounds.retry_slack,
+      static_cast<double>(std::max<std::size_t>(1, proxy_count_.proxies(common::boot_now()).size())));
   return retry_quota;
 }
 
@@ -468,7 +469,7 @@
   return {reports_.begin(), reports_.end()};
 }
 
-void RelayServer::saw(scheduling::Sighting sighting, scheduling::Assignment const& assignment,
+void RelayServer::saw(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
                       scheduling::Wanted const& wanted) {
   if (report_ms_ == 0) {
     return;
@@ -486,8 +487,8 @@
   schema::Service const* const service = route_table_ == nullptr || slash == std::string::npos
                                              ? nullptr
                                              : route_table_->service(sighting.pool.substr(slash + 1));
-  observer_.saw(sighting, service == nullptr ? 1 : static_cast<double>(service->stride),
-                schema::ScalerAims().experts_share);
+  observer_.record_stream(sighting, service == nullptr ? 1 : static_cast<double>(service->stride),
+                          schema::ScalerAims().experts_share);
 }
 
 void RelayServer::take_list() {
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -104,7 +104,8 @@
   void keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest);
 
   /// A stream ended whole; what it shows goes into the next report.
-  void saw(scheduling::Sighting sighting, scheduling::Assignment const& assignment, scheduling::Wanted const& wanted);
+  void saw(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
+           scheduling::Wanted const& wanted);
 
   /// How long a query waits for the first charter.
   common::Span routing_config_hold = common::constants::routing_config_hold;
--- a/source/data_plane/relay/stall.cpp
+++ b/source/data_plane/relay/stall.cpp
@@ -33,7 +33,7 @@
     Relay* const relay = guard->relay;
     if (relay != nullptr && relay->probe_ == socket) {
       relay->drop_probe();
-      relay->perform(relay->silence_.probed(!error, common::boot_now()));
+      relay->perform(relay->silence_.probe_finished(!error, common::boot_now()));
     }
   });
 }
--- a/source/data_plane/relay/tenant_prompt.cpp
+++ b/source/data_plane/relay/tenant_prompt.cpp
@@ -56,8 +56,8 @@
   }
 }
 
-std::vector<scheduling::Part> Relay::kept_parts() const {
-  return prompt_.has_value() && isolated_.version.empty() ? std::vector<scheduling::Part>() : wanted_.parts;
+std::vector<scheduling::PromptPart> Relay::kept_parts() const {
+  return prompt_.has_value() && isolated_.version.empty() ? std::vector<scheduling::PromptPart>() : wanted_.parts;
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -188,7 +188,8 @@
   }
   first_seen_ = true;
   if (prompt_.has_value()) {
-    station_.balancer().first_token(assignment_, status < 300 ? kept_parts() : std::vector<scheduling::Part>(), 0);
+    station_.balancer().first_token(assignment_, status < 300 ? kept_parts() : std::vector<scheduling::PromptPart>(),
+                                    0);
   }
   first_at_ = common::boot_now();
   // A response to HEAD gives the length that the body would have.
@@ -202,8 +203,8 @@
     after_ = scheduling::WorkerFailure{"worker_error"};
     return scheduling::Outcome::failure;
   }
-  after_ = scheduling::Whole{};
-  return status >= 500 ? scheduling::Outcome::failure : scheduling::Outcome::good;
+  after_ = scheduling::WholeResponse{};
+  return status >= 500 ? scheduling::Outcome::failure : scheduling::Outcome::success;
 }
 
 }  // namespace finchlink::data_plane
--- a/source/scheduling/load_balancer/load_balancer.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -17,8 +17,8 @@
 }
 /// What a prompt shares with others: all parts but the last, which is its own;
 /// a prompt of one part shares that with its session.
-Part shared_of(std::vector<Part> const& parts) {
-  Part shared;
+PromptPart shared_of(std::vector<PromptPart> const& parts) {
+  PromptPart shared;
   std::size_t const count = parts.size() > 1 ? parts.size() - 1 : parts.size();
   for (std::size_t index = 0; index < count; ++index) {
     shared.key = mix(shared.key, parts[index].key);
@@ -58,9 +58,9 @@
       worker.hash = hash_text(spec.id);
       worker.slots = static_cast<double>(std::max<std::uint64_t>(1, spec.capacity));
     }
-    worker.judged = detector_.admit(
-        Subject{spec.id, pool_name(spec.region, spec.service), spec.hall, !spec.draining && !spec.evacuated});
-    worker.reuse.bound(spec.kept_tokens * constants::reuse_part);
+    worker.judged = detector_.add_worker(
+        WorkerInfo{spec.id, pool_name(spec.region, spec.service), spec.hall, !spec.draining && !spec.evacuated});
+    worker.reuse.set_capacity(spec.kept_tokens * constants::reuse_part);
     by_service_[spec.service].push_back(spec.id);
     next.emplace(spec.id, std::move(worker));
   }
@@ -123,15 +123,15 @@
   for (std::pair<std::string const, Worker>& entry : workers_) {
     if (entry.second.own > 0 && next.count(entry.first) == 0) {
       entry.second.spec.draining = true;
-      detector_.admit(Subject{entry.first, pool_name(entry.second.spec.region, entry.second.spec.service),
-                              entry.second.spec.hall, false});
+      detector_.add_worker(WorkerInfo{entry.first, pool_name(entry.second.spec.region, entry.second.spec.service),
+                                      entry.second.spec.hall, false});
       next.emplace(entry.first, std::move(entry.second));
     }
   }
   workers_.swap(next);
   for (std::pair<std::string const, Worker> const& entry : next) {
     if (workers_.count(entry.first) == 0) {
-      detector_.dismiss(entry.first);
+      detector_.remove_worker(entry.first);
     }
   }
 }
@@ -192,8 +192,9 @@
   if (spec.draining || spec.evacuated) {
     return false;
   }
-  Verdict const verdict = detector_.verdict(worker.judged, now);
-  if (std::holds_alternative<Resting>(verdict) || (std::holds_alternative<OnTrial>(verdict) && worker.own > 0)) {
+  Eligibility const verdict = detector_.eligibility(worker.judged, now);
+  if (std::holds_alternative<Unavailable>(verdict) ||
+      (std::holds_alternative<OnProbation>(verdict) && worker.own > 0)) {
     return false;
   }
   if (holds(wanted.avoid, spec.id) || (!wanted.homes.empty() && !holds(wanted.homes, spec.region))) {
@@ -257,10 +258,10 @@
   if (cold(worker, now)) {
     price.cost += constants::cold_cost;
   }
-  if (guards_.trial && std::holds_alternative<OnTrial>(detector_.verdict(worker.judged, now))) {
+  if (guards_.trial && std::holds_alternative<OnProbation>(detector_.eligibility(worker.judged, now))) {
     price.cost += wanted.once ? constants::trial_once_cost : constants::trial_cost;
   }
-  if (detector_.zone_dark(worker.judged, now)) {
+  if (detector_.zone_suspected(worker.judged, now)) {
     price.cost += constants::dark_cost;
   }
   price.cost += price.seconds;
@@ -356,7 +357,7 @@
       ++worker.own;
       ++worker.sent_since;
       worker.own_prefill += offer.uncached;
-      witness(worker, Sent{next_ticket_, now + static_cast<common::Span>(offer.seconds * 1e6)}, now);
+      witness(worker, DispatchSent{next_ticket_, now + static_cast<common::Span>(offer.seconds * 1e6)}, now);
       if (worker.spec.model) {
         Demand& demand = demand_[{worker.spec.service, worker.spec.region}];
         demand.fade(now);
@@ -405,13 +406,13 @@
   return found != workers_.end() && holds(regions, found->second.spec.region);
 }
 
-void LoadBalancer::first_token(Assignment const& assignment, std::vector<Part> const& parts, double seconds) {
+void LoadBalancer::first_token(Assignment const& assignment, std::vector<PromptPart> const& parts, double seconds) {
   std::map<std::string, Worker>::iterator const found = workers_.find(assignment.worker);
   if (found == workers_.end()) {
     return;
   }
   Worker& worker = found->second;
-  witness(worker, FirstToken{assignment.ticket}, 0);
+  witness(worker, FirstTokenReceived{assignment.ticket}, 0);
   worker.own_prefill = std::max(0.0, worker.own_prefill - assignment.uncached);
   worker.reuse.remember(parts);
   if (assignment.uncached >= constants::owned_tokens) {
@@ -428,22 +429,22 @@
   Worker& worker = found->second;
   worker.own -= worker.own > 0 ? 1 : 0;
   // A whole answer has no first token of its own: what it had read ends here.
-  if (!first_seen || detector_.awaits(worker.judged, assignment.ticket)) {
+  if (!first_seen || detector_.awaits_first_token(worker.judged, assignment.ticket)) {
     worker.own_prefill = std::max(0.0, worker.own_prefill - assignment.uncached);
   }
-  witness(worker, Ended{assignment.ticket, outcome}, now);
+  witness(worker, DispatchEnded{assignment.ticket, outcome}, now);
   if (worker.spec.draining && worker.own == 0) {
     std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(worker.spec.service);
     if (ids == by_service_.end() || !holds(ids->second, assignment.worker)) {
-      detector_.dismiss(assignment.worker);
+      detector_.remove_worker(assignment.worker);
       workers_.erase(found);  // it had left the list
     }
   }
 }
 
 void LoadBalancer::witness(Worker& worker, Evidence const& evidence, common::Moment now) {
-  for (OutlierAction const& action : detector_.take(worker.judged, evidence, now)) {
-    if (std::holds_alternative<MayHaveForgotten>(action)) {
+  for (OutlierAction const& action : detector_.record_evidence(worker.judged, evidence, now)) {
+    if (std::holds_alternative<CacheMayBeLost>(action)) {
       worker.reuse.clear_isolated();
     }
   }
@@ -456,17 +457,17 @@
   }
 }
 
-void LoadBalancer::gave_up(std::string const& id, std::vector<Part> const& parts, double tokens) {
+void LoadBalancer::gave_up(std::string const& id, std::vector<PromptPart> const& parts, double tokens) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
-    found->second.reuse.gave_up(parts, tokens);
+    found->second.reuse.record_eviction(parts, tokens);
   }
 }
 
 void LoadBalancer::heard(std::string const& id, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
-    witness(found->second, Heard{}, now);
+    witness(found->second, BytesReceived{}, now);
   }
 }
 
--- a/source/scheduling/load_balancer/load_balancer.hpp
+++ b/source/scheduling/load_balancer/load_balancer.hpp
@@ -37,7 +37,7 @@
 struct Wanted {
   std::vector<schema::Share> shares;
   std::vector<std::string> homes;  ///< regions; empty: any
-  std::vector<Part> parts;
+  std::vector<PromptPart> parts;
   double tokens = 0;  ///< of the prompt
   double outputs = 0;
   std::vector<std::string> avoid;  ///< workers that had it already
@@ -103,7 +103,7 @@
   [[nodiscard]] bool usable(std::string const& worker) const;
   [[nodiscard]] bool serves(std::string const& worker, std::string const& service) const;
   [[nodiscard]] bool stands_in(std::string const& worker, std::vector<std::string> const& regions) const;
-  void first_token(Assignment const& assignment, std::vector<Part> const& parts, double seconds);
+  void first_token(Assignment const& assignment, std::vector<PromptPart> const& parts, double seconds);
   void ended(Assignment const& assignment, bool first_seen, Outcome outcome, common::Moment now);
   /// What a worker said of its load, all callers counted.
   void told(std::string const& worker, double running, double waiting, double slots, common::Moment now);
@@ -120,7 +120,7 @@
   [[nodiscard]] std::string pool_of(std::string const& worker) const;
   /// Its walled parts count for nothing any more (section 14.3).
   void forget_isolated(std::string const& worker);
-  void gave_up(std::string const& worker, std::vector<Part> const& parts, double tokens);
+  void gave_up(std::string const& worker, std::vector<PromptPart> const& parts, double tokens);
   [[nodiscard]] std::size_t size() const { return workers_.size(); }
 
  private:
--- a/source/scheduling/observer/observer.cpp
+++ b/source/scheduling/observer/observer.cpp
@@ -8,7 +8,7 @@
 
 namespace constants = common::constants;
 
-void Sighting::event(std::uint64_t count, common::Moment now) {
+void StreamObservation::event(std::uint64_t count, common::Moment now) {
   if (count == 0) {
     return;
   }
@@ -22,7 +22,7 @@
   events += count;
 }
 
-void Observer::saw(Sighting const& sighting, double stride, double experts_share) {
+void Observer::saw(StreamObservation const& sighting, double stride, double experts_share) {
   if (sighting.events == 0 || sighting.first < sighting.sent) {
     return;
   }
--- a/source/scheduling/observer/observer.hpp
+++ b/source/scheduling/observer/observer.hpp
@@ -13,7 +13,7 @@
 namespace finchlink::scheduling {
 
 /// What one stream showed of its worker (section 13.11).
-struct Sighting {
+struct StreamObservation {
   std::string worker;
   std::string pool;  ///< region and service of the worker
   bool long_prompt = false;
@@ -37,7 +37,7 @@
 class Observer {
  public:
   /// A stream that ended whole; `stride` tokens to an event.
-  void saw(Sighting const& sighting, double stride, double experts_share);
+  void saw(StreamObservation const& sighting, double stride, double experts_share);
   /// Rows are wanted while a pool's times are not frozen.
   void freeze(std::set<std::string> pools) { frozen_ = std::move(pools); }
   /// Figures since the last report, and forgets them. False: there are none.
--- a/source/scheduling/outlier_detection/outlier_detector.cpp
+++ b/source/scheduling/outlier_detection/outlier_detector.cpp
@@ -76,7 +76,7 @@
 void OutlierDetector::act(Record& record, Ended const& ended, common::Moment now, std::vector<OutlierAction>& actions) {
   std::erase_if(record.pending, [&ended](Pending const& pending) { return pending.ticket == ended.ticket; });
   switch (ended.outcome) {
-    case Outcome::good:
+    case Outcome::success:
       record.rest = 0;
       record.trial = false;
       dark_.erase(record.subject.hall);
--- a/source/scheduling/outlier_detection/outlier_detector.hpp
+++ b/source/scheduling/outlier_detection/outlier_detector.hpp
@@ -25,7 +25,7 @@
 struct Heard {};
 struct Ended {
   std::uint64_t ticket = 0;
-  Outcome outcome = Outcome::good;
+  Outcome outcome = Outcome::success;
 };
 using Evidence = std::variant<Sent, FirstToken, Heard, Ended>;
 
--- a/source/scheduling/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -141,7 +141,7 @@
   }
   config::Disposition const disposition =
       config::decide(current->setup, current->region, header.method, header.path, header.lookup, header.body_bytes);
-  Decided decided;
+  ConfigReevaluated decided;
   followed.changed = true;
   if (config::Serve const* const serve = std::get_if<config::Serve>(&disposition)) {
     schema::Rule const rule = current->setup.rules.at(serve->rule);
@@ -150,8 +150,9 @@
     footing.serve = *serve;
     footing.rule = rule;
   } else {
-    decided.standing = std::holds_alternative<config::GoHome>(disposition) ? Standing::home : Standing::none;
-    footing.home = decided.standing == Standing::home ? std::get<config::GoHome>(disposition).region : "";
+    decided.decision =
+        std::holds_alternative<config::GoHome>(disposition) ? ServingDecision::home : ServingDecision::none;
+    footing.home = decided.decision == ServingDecision::home ? std::get<config::GoHome>(disposition).region : "";
   }
   decided.repeatable = footing.rule.repeatable;
   decided.resumable = footing.rule.resumable;
--- a/source/scheduling/plan/plan.hpp
+++ b/source/scheduling/plan/plan.hpp
@@ -69,7 +69,7 @@
 /// it may go is another now; `decided` goes to the chart when it is there.
 struct Followed {
   bool changed = false;
-  std::optional<Decided> decided;
+  std::optional<ConfigReevaluated> decided;
 };
 [[nodiscard]] Followed follow(Footing& footing, std::shared_ptr<Plan const> const& current, Header const& header);
 
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
@@ -5,14 +5,14 @@
 namespace finchlink::scheduling {
 
 namespace {
-bool behind_isolation(std::vector<Part> const& parts) {
+bool behind_isolation(std::vector<PromptPart> const& parts) {
   return !parts.empty() && parts.front().holder != 0;
 }
 
-std::vector<IsolationEntry> chained(std::vector<Part> const& parts) {
+std::vector<IsolationEntry> chained(std::vector<PromptPart> const& parts) {
   std::vector<IsolationEntry> entries;
   std::uint64_t chain = 0;
-  for (Part const& part : parts) {
+  for (PromptPart const& part : parts) {
     chain = mix(chain, part.key);
     entries.push_back(IsolationEntry{chain, part.holder, part.tokens});
   }
@@ -20,13 +20,13 @@
 }
 }  // namespace
 
-double PromptCacheEstimate::match(std::vector<Part> const& parts) const {
+double PromptCacheEstimate::match(std::vector<PromptPart> const& parts) const {
   if (behind_isolation(parts)) {
     return isolated_ == nullptr ? 0 : isolated_->match(chained(parts));
   }
   double tokens = 0;
   std::uint64_t chain = 0;
-  for (Part const& part : parts) {
+  for (PromptPart const& part : parts) {
     chain = mix(chain, part.key);
     if (young_.count(chain) == 0 && old_.count(chain) == 0) {
       break;
@@ -36,7 +36,7 @@
   return tokens;
 }
 
-void PromptCacheEstimate::remember(std::vector<Part> const& parts) {
+void PromptCacheEstimate::remember(std::vector<PromptPart> const& parts) {
   if (behind_isolation(parts)) {
     if (isolated_ == nullptr) {
       isolated_ = std::make_unique<IsolationRecord>();
@@ -45,7 +45,7 @@
     return;
   }
   std::uint64_t chain = 0;
-  for (Part const& part : parts) {
+  for (PromptPart const& part : parts) {
     chain = mix(chain, part.key);
     if (young_.count(chain) == 0) {
       young_[chain] = static_cast<float>(part.tokens);
@@ -59,7 +59,7 @@
   }
 }
 
-void PromptCacheEstimate::gave_up(std::vector<Part> const& parts, double tokens) {
+void PromptCacheEstimate::gave_up(std::vector<PromptPart> const& parts, double tokens) {
   if (behind_isolation(parts) && isolated_ != nullptr) {
     isolated_->gave_up(chained(parts), tokens);
   }
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
@@ -12,7 +12,7 @@
 namespace finchlink::scheduling {
 
 /// A part of a prompt as its caller told it: who it is and how many tokens.
-struct Part {
+struct PromptPart {
   std::uint64_t key = 0;
   double tokens = 0;
   std::uint64_t holder = 0;  ///< who keeps it, where there are walls (section 14.3); 0: no walls
@@ -26,12 +26,12 @@
   explicit PromptCacheEstimate(double most = 0) : most_(most) {}
   void bound(double most) { most_ = most; }
   /// Tokens at the prompt's beginning that need not be read again.
-  [[nodiscard]] double match(std::vector<Part> const& parts) const;
-  void remember(std::vector<Part> const& parts);
+  [[nodiscard]] double match(std::vector<PromptPart> const& parts) const;
+  void remember(std::vector<PromptPart> const& parts);
   void clear();
   /// The worker kept only this many tokens of a walled prompt: what it had not
   /// used since is given up, too.
-  void gave_up(std::vector<Part> const& parts, double tokens);
+  void gave_up(std::vector<PromptPart> const& parts, double tokens);
   /// Forgets what was kept behind walls.
   void clear_isolated() { isolated_.reset(); }
   [[nodiscard]] IsolationRecord const* isolated() const { return isolated_.get(); }
--- a/source/scheduling/prompt_isolation/prompt_isolation.cpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.cpp
@@ -87,8 +87,8 @@
   return good ? std::optional<std::string>(found->second) : std::nullopt;
 }
 
-std::vector<Part> PromptIsolation::place(Prompt const& prompt) const {
-  std::vector<Part> parts;
+std::vector<PromptPart> PromptIsolation::place(Prompt const& prompt) const {
+  std::vector<PromptPart> parts;
   if (!secrets_.has_value()) {
     return parts;
   }
@@ -102,7 +102,7 @@
   std::string before = nothing_before;
   for (std::size_t index = 0; index < count; ++index) {
     before = part_hash(index < shared ? common : own, before, prompt.parts[index].id);
-    parts.push_back(Part{number_of(before), prompt.parts[index].tokens, index < shared ? everybody : holder});
+    parts.push_back(PromptPart{number_of(before), prompt.parts[index].tokens, index < shared ? everybody : holder});
   }
   return parts;
 }
--- a/source/scheduling/prompt_isolation/prompt_isolation.hpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.hpp
@@ -89,7 +89,7 @@
   void take(Secrets secrets) { secrets_ = std::move(secrets); }
   [[nodiscard]] bool keyed() const { return secrets_.has_value(); }
   /// Parts for placement and record; none where nothing can be reused.
-  [[nodiscard]] std::vector<Part> place(Prompt const& prompt) const;
+  [[nodiscard]] std::vector<PromptPart> place(Prompt const& prompt) const;
   /// `once`: never handed in before; from it come ids that are used once.
   [[nodiscard]] IsolatedPrompt send(Prompt const& prompt, std::string const& worker,
                                     std::array<std::uint64_t, 2> const& once) const;
--- a/source/scheduling/query_state/query_state_machine.cpp
+++ b/source/scheduling/query_state/query_state_machine.cpp
@@ -61,7 +61,7 @@
   if (standing_ != Standing::serve) {
     return place(true);  // ends it, and spends no right
   }
-  if (dispatches_ < terms_.dispatches_most && retry_(now)) {
+  if (dispatches_ < terms_.max_dispatches && retry_(now)) {
     return place(true);
   }
   return give_up(reason, status);
@@ -78,7 +78,7 @@
     return place(false);
   }
   // After a leg of it ran, passing it on would run it a second time.
-  if (terms_.may_pass && !passed_ && dispatches_ == 0 && !may_have_run_) {
+  if (terms_.may_forward && !passed_ && dispatches_ == 0 && !may_have_run_) {
     passed_ = true;
     return {PassOn{}};
   }
--- a/source/scheduling/retry_budget/retry_budget.cpp
+++ b/source/scheduling/retry_budget/retry_budget.cpp
@@ -61,7 +61,7 @@
   return true;
 }
 
-bool keeps_right(std::string const& service, std::string const& self, std::vector<std::string> const& proxies) {
+bool holds_reserve_token(std::string const& service, std::string const& self, std::vector<std::string> const& proxies) {
   std::uint64_t const own = mix(hash_text(self), hash_text(service));
   std::size_t before = 0;
   for (std::string const& proxy : proxies) {
--- a/source/scheduling/retry_budget/retry_budget.hpp
+++ b/source/scheduling/retry_budget/retry_budget.hpp
@@ -39,7 +39,7 @@
 };
 
 /// The few furrows that may keep a right of a service, by hash over all.
-[[nodiscard]] bool keeps_right(std::string const& service, std::string const& self,
-                               std::vector<std::string> const& proxies);
+[[nodiscard]] bool holds_reserve_token(std::string const& service, std::string const& self,
+                                       std::vector<std::string> const& proxies);
 
 }  // namespace finchlink::scheduling
--- a/source/simulator/decisions/decisions.cpp
+++ b/source/simulator/decisions/decisions.cpp
@@ -110,7 +110,8 @@
     double const own = kernel_.exponential(entry.own_tokens);
     request->wanted.shares = {schema::Share{"model", 1}};
     request->wanted.homes = entry.homes;
-    request->wanted.parts = {scheduling::Part{subject, entry.shared_tokens}, scheduling::Part{kernel_.draw(), own}};
+    request->wanted.parts = {scheduling::PromptPart{subject, entry.shared_tokens},
+                             scheduling::PromptPart{kernel_.draw(), own}};
     request->wanted.tokens = entry.shared_tokens + own;
     request->wanted.outputs = kernel_.exponential(entry.output_tokens);
     request->wanted.draw = kernel_.uniform();
@@ -175,7 +176,7 @@
       balancer.told(request->assignment.worker, static_cast<double>(engine.running), 0,
                     static_cast<double>(engine.spec.capacity), kernel_.now());
     }
-    balancer.ended(request->assignment, true, scheduling::Outcome::good, kernel_.now());
+    balancer.ended(request->assignment, true, scheduling::Outcome::success, kernel_.now());
   }
 
   [[nodiscard]] static bool allows(Request const& request, scheduling::WorkerSpec const& spec) {
--- a/source/simulator/prompt_isolation/prompt_isolation.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -371,9 +371,9 @@
       report_.evicted += reading.reused < predicted ? 1 : 0;
       hear(*flight, *origin, *there, reading.reused, weights);
       origin->balancer->first_token(
-          flight->assignment, flight->isolated.version.empty() ? std::vector<scheduling::Part>() : flight->wanted.parts,
-          0.02);
-      end(*flight, *origin, true, scheduling::Outcome::good);
+          flight->assignment,
+          flight->isolated.version.empty() ? std::vector<scheduling::PromptPart>() : flight->wanted.parts, 0.02);
+      end(*flight, *origin, true, scheduling::Outcome::success);
     });
   }
 
--- a/source/simulator/query_path/answers.cpp
+++ b/source/simulator/query_path/answers.cpp
@@ -47,7 +47,7 @@
   query->last_event = now;
   if (job->prefill_leg) {
     query->has_kv = true;
-    end_dispatch(query, scheduling::Ending::good, scheduling::LegDone{});
+    end_dispatch(query, scheduling::Ending::good, scheduling::PrefillDone{});
     return;
   }
   if (query->first == 0) {
@@ -59,7 +59,7 @@
   if (query->footing.rule.stream) {
     stream_event(query, number, last);
   } else if (last) {
-    end_dispatch(query, scheduling::Ending::good, scheduling::Whole{});
+    end_dispatch(query, scheduling::Ending::good, scheduling::WholeResponse{});
   }
 }
 
--- a/source/simulator/query_path/arrivals.cpp
+++ b/source/simulator/query_path/arrivals.cpp
@@ -123,14 +123,14 @@
   terms.repeatable = rule.repeatable || !options_.dispatch_once;
   terms.resumable = rule.resumable;
   terms.stream = rule.stream;
-  terms.may_pass = !passed;
+  terms.may_forward = !passed;
   std::string const name = options_.deployment.mixes[query.mix].name;
   return std::make_unique<scheduling::QueryStateMachine>(terms, [this, proxy = query.proxy, name](Moment now) {
     if (!options_.budget) {
       return true;
     }
     return proxies_[proxy]->budgets.try_emplace(name).first->second.take(
-        now, scheduling::keeps_right(name, proxies_[proxy]->name, names_));
+        now, scheduling::holds_reserve_token(name, proxies_[proxy]->name, names_));
   });
 }
 
@@ -143,7 +143,7 @@
   std::vector<schema::Member> const targets =
       scheduling::pass_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
   if (targets.empty()) {
-    feed(query, scheduling::NoRoom{});
+    feed(query, scheduling::NoCapacity{});
     return;
   }
   ++report_.passes;
@@ -163,7 +163,7 @@
     return;
   }
   if (!confirmed(*proxies_[target]) || !std::holds_alternative<config::Serve>(decided)) {
-    feed(query, scheduling::NoRoom{});
+    feed(query, scheduling::NoCapacity{});
     return;
   }
   QueryPointer const child = make_query(query->mix, target, query->home, std::get<config::Serve>(decided), true);
--- a/source/simulator/query_path/dispatch.cpp
+++ b/source/simulator/query_path/dispatch.cpp
@@ -37,12 +37,12 @@
   }
   if (!confirmed(proxy)) {
     ++report_.unconfirmed;
-    end_dispatch(query, scheduling::Ending::abandoned, scheduling::Withdrawn{});
+    end_dispatch(query, scheduling::Ending::abandoned, scheduling::PlacementWithdrawn{});
     return;
   }
   if (options_.decide_anew &&
       (follow(query) || !scheduling::may_go(*proxy.plan, query->footing.serve.rule, worker->id))) {
-    end_dispatch(query, scheduling::Ending::abandoned, scheduling::Withdrawn{});
+    end_dispatch(query, scheduling::Ending::abandoned, scheduling::PlacementWithdrawn{});
     return;
   }
   expose(query, *worker);
--- a/source/simulator/query_path/placement.cpp
+++ b/source/simulator/query_path/placement.cpp
@@ -64,7 +64,7 @@
   kernel_.after(0, [this, query, deadline = denied.reason == "deadline"] {
     if (!query->state_machine->settled()) {
       feed(query, deadline ? scheduling::QueryMessage{scheduling::DeadlinePassed{}}
-                           : scheduling::QueryMessage{scheduling::NoRoom{}});
+                           : scheduling::QueryMessage{scheduling::NoCapacity{}});
     }
   });
 }
--- a/source/simulator/query_path/queries.cpp
+++ b/source/simulator/query_path/queries.cpp
@@ -39,24 +39,24 @@
   if (scheduling::Place const* const wanted = std::get_if<scheduling::Place>(&action)) {
     report_.retries += wanted->again ? 1 : 0;
     place(query);
-  } else if (std::holds_alternative<scheduling::PassOn>(action)) {
+  } else if (std::holds_alternative<scheduling::ForwardToRegion>(action)) {
     pass_on(query);
-  } else if (scheduling::Forward const* const event = std::get_if<scheduling::Forward>(&action)) {
+  } else if (scheduling::SendEvent const* const event = std::get_if<scheduling::SendEvent>(&action)) {
     forward(query, *event);
-  } else if (std::holds_alternative<scheduling::Deliver>(action)) {
+  } else if (std::holds_alternative<scheduling::SendResponse>(action)) {
     deliver_whole(query);
-  } else if (std::holds_alternative<scheduling::SendHome>(action)) {
+  } else if (std::holds_alternative<scheduling::RedirectHome>(action)) {
     send_home(query);
-  } else if (std::holds_alternative<scheduling::Refuse>(action)) {
+  } else if (std::holds_alternative<scheduling::RejectQuery>(action)) {
     refuse(query);
-  } else if (scheduling::Apologise const* const apology = std::get_if<scheduling::Apologise>(&action)) {
+  } else if (scheduling::FailUncertain const* const apology = std::get_if<scheduling::FailUncertain>(&action)) {
     apologise(query, *apology);
-  } else if (std::holds_alternative<scheduling::EndBroken>(action)) {
+  } else if (std::holds_alternative<scheduling::EndWithError>(action)) {
     end_broken(query);
   }
 }
 
-void World::forward(QueryPointer const& query, scheduling::Forward const& event) {
+void World::forward(QueryPointer const& query, scheduling::SendEvent const& event) {
   if (query->parent != nullptr) {
     settle_parent(query, scheduling::Event{event.number, event.last});
     return;
@@ -75,7 +75,7 @@
 
 void World::deliver_whole(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::Whole{});
+    settle_parent(query, scheduling::WholeResponse{});
     return;
   }
   end_good(*query, query->first == 0 ? kernel_.now() : query->first);
@@ -90,7 +90,7 @@
 
 void World::send_home(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::NoRoom{});
+    settle_parent(query, scheduling::NoCapacity{});
   } else if (query->hops < most_hops) {
     kernel_.after(hop_within_region(), [this, query] {
       arrive(query->mix, query->home, query->tries, query->hops + 1, query->footing.home);
@@ -100,7 +100,7 @@
 
 void World::refuse(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::NoRoom{});
+    settle_parent(query, scheduling::NoCapacity{});
     return;
   }
   ++report_.refused;
@@ -116,9 +116,9 @@
   }
 }
 
-void World::apologise(QueryPointer const& query, scheduling::Apologise const& apology) {
+void World::apologise(QueryPointer const& query, scheduling::FailUncertain const& apology) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::WorkerAnswered{apology.status});
+    settle_parent(query, scheduling::WorkerErrorResponse{apology.status});
     return;
   }
   if (!options_.honest_refusal) {  // the guard off: said as "busy"
--- a/source/simulator/query_path/world.hpp
+++ b/source/simulator/query_path/world.hpp
@@ -54,12 +54,12 @@
   void settle_parent(QueryPointer const& query, scheduling::QueryMessage const& message);
   void perform(QueryPointer const& query, std::vector<scheduling::QueryAction> const& actions);
   void perform_one(QueryPointer const& query, scheduling::QueryAction const& action);
-  void forward(QueryPointer const& query, scheduling::Forward const& event);
+  void forward(QueryPointer const& query, scheduling::SendEvent const& event);
   void deliver_whole(QueryPointer const& query);
   void end_good(Query const& query, common::Moment first);
   void send_home(QueryPointer const& query);
   void refuse(QueryPointer const& query);
-  void apologise(QueryPointer const& query, scheduling::Apologise const& apology);
+  void apologise(QueryPointer const& query, scheduling::FailUncertain const& apology);
   void end_broken(QueryPointer const& query);
   /// Withdraws what a settled query still has at its worker and its placement.
   void withdraw(QueryPointer const& query);
--- a/source/simulator/relay/relay.cpp
+++ b/source/simulator/relay/relay.cpp
@@ -521,14 +521,15 @@
       bool const long_prompt = name == "once";
       flight->wanted.tokens = long_prompt ? 6000 : 300;
       flight->wanted.outputs = 40;
-      flight->wanted.parts = {scheduling::Part{1 + kernel_.below(long_prompt ? 20 : 200), long_prompt ? 4000.0 : 100.0},
-                              scheduling::Part{1000000 + last_query_, long_prompt ? 2000.0 : 200.0}};
+      flight->wanted.parts = {
+          scheduling::PromptPart{1 + kernel_.below(long_prompt ? 20 : 200), long_prompt ? 4000.0 : 100.0},
+          scheduling::PromptPart{1000000 + last_query_, long_prompt ? 2000.0 : 200.0}};
     }
     scheduling::QueryTerms terms;
     terms.resumable = route->stream && route->resumable;
     terms.repeatable = route->repeatable || terms.resumable || !options_.dispatch_once;
     terms.stream = route->stream;
-    terms.dispatches_most = options_.dispatch_once ? static_cast<int>(route->dispatches) : 2;
+    terms.max_dispatches = options_.dispatch_once ? static_cast<int>(route->dispatches) : 2;
     flight->state_machine.emplace(terms, [this, flight = flight.get()](common::Moment) { return spend(*flight); });
     ++report_.sent;
     perform(flight, flight->state_machine->begin());
@@ -549,7 +550,7 @@
   [[nodiscard]] Proxy& proxy_of(Flight const& flight) { return *proxies_[flight.proxy]; }
   scheduling::RetryQuota& retry_quota(Flight const& flight) {
     scheduling::RetryQuota& retry_quota = proxy_of(flight).retry_quota[flight.service];
-    retry_quota.bound(retry_ratio, options_.retry_slack, static_cast<double>(proxies_.size()));
+    retry_quota.set_limits(retry_ratio, options_.retry_slack, static_cast<double>(proxies_.size()));
     return retry_quota;
   }
   bool spend(Flight& flight) {
@@ -568,20 +569,20 @@
     }
   }
   void act(FlightPointer const& flight, scheduling::Place const&) { seek(flight, 0); }
-  void act(FlightPointer const& flight, scheduling::PassOn const&) { feed(flight, scheduling::NoRoom{}); }
-  void act(FlightPointer const& flight, scheduling::SendHome const&) { refuse(*flight); }
-  void act(FlightPointer const&, scheduling::Forward const&) {}
-  void act(FlightPointer const&, scheduling::Deliver const&) { ++report_.good; }
-  void act(FlightPointer const& flight, scheduling::Refuse const&) { refuse(*flight); }
-  void act(FlightPointer const& flight, scheduling::Apologise const&) {
+  void act(FlightPointer const& flight, scheduling::ForwardToRegion const&) { feed(flight, scheduling::NoCapacity{}); }
+  void act(FlightPointer const& flight, scheduling::RedirectHome const&) { refuse(*flight); }
+  void act(FlightPointer const&, scheduling::SendEvent const&) {}
+  void act(FlightPointer const&, scheduling::SendResponse const&) { ++report_.good; }
+  void act(FlightPointer const& flight, scheduling::RejectQuery const&) { refuse(*flight); }
+  void act(FlightPointer const& flight, scheduling::FailUncertain const&) {
     if (options_.honest_refusal) {
       ++report_.apologies;
     } else {
       refuse(*flight);
     }
   }
-  void act(FlightPointer const&, scheduling::EndBroken const&) { ++report_.broken; }
-  void act(FlightPointer const&, scheduling::Abandon const&) {}
+  void act(FlightPointer const&, scheduling::EndWithError const&) { ++report_.broken; }
+  void act(FlightPointer const&, scheduling::CancelDispatch const&) {}
   void refuse(Flight& flight) {
     ++report_.refused;
     flight.refused = true;
@@ -624,7 +625,7 @@
     scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found);
     if (assignment == nullptr) {
       if (kernel_.now() >= until) {
-        feed(flight, scheduling::NoRoom{});
+        feed(flight, scheduling::NoCapacity{});
       } else {
         kernel_.after(constants::place_pause, [this, flight, until] { seek(flight, until); });
       }
@@ -666,7 +667,7 @@
         leave(*flight, scheduling::Outcome::unreachable);
         ++flight->connects;
         if (flight->connects < constants::connects_most) {
-          feed(flight, scheduling::Withdrawn{});
+          feed(flight, scheduling::PlacementWithdrawn{});
         } else {
           feed(flight, scheduling::ConnectFailure{});
         }
@@ -674,7 +675,7 @@
       }
       if (!proxy_of(*flight).balancer.usable(flight->assignment.worker)) {
         leave(*flight, scheduling::Outcome::abandoned);
-        feed(flight, scheduling::Withdrawn{});
+        feed(flight, scheduling::PlacementWithdrawn{});
         return;
       }
       feed(flight, scheduling::Connected{});
@@ -702,7 +703,7 @@
     std::uint64_t const serial = flight->watch;
     kernel_.after(2 * hop(*flight), [this, flight, serial, taken = life != nullptr] {
       if (live(*flight) && flight->watch == serial) {
-        perform(flight, flight->silence.probed(taken, kernel_.now()));
+        perform(flight, flight->silence.probe_finished(taken, kernel_.now()));
       }
     });
   }
@@ -722,8 +723,8 @@
     std::uint64_t const serial = flight->watch;
     kernel_.after(due - kernel_.now(), [this, flight, serial] {
       if (live(*flight) && flight->watch == serial) {
-        perform(flight,
-                flight->silence.rang(proxy_of(*flight).balancer.heard_at(flight->assignment.worker), kernel_.now()));
+        perform(flight, flight->silence.timer_fired(proxy_of(*flight).balancer.heard_at(flight->assignment.worker),
+                                                    kernel_.now()));
       }
     });
   }
@@ -855,8 +856,8 @@
     answer(flight, dispatch, 0, [this, flight, &life] {
       tell(*flight, life);
       flight->first_seen = true;
-      leave(*flight, scheduling::Outcome::good);
-      feed(flight, scheduling::Whole{});
+      leave(*flight, scheduling::Outcome::success);
+      feed(flight, scheduling::WholeResponse{});
     });
   }
 
@@ -889,8 +890,8 @@
       watch(flight, flight->route.gap_set_point_ms);
       feed(flight, scheduling::Event{flight->state_machine->last_event() + 1, false});
       if (last) {
-        leave(*flight, scheduling::Outcome::good);
-        feed(flight, scheduling::Whole{});
+        leave(*flight, scheduling::Outcome::success);
+        feed(flight, scheduling::WholeResponse{});
         ++report_.good;
       }
     });
--- a/source/tests/relay/event_cutter_test.cpp
+++ b/source/tests/relay/event_cutter_test.cpp
@@ -139,7 +139,7 @@
 }
 
 TEST(Parts, AreReadFromTextAndNeverFail) {
-  std::vector<scheduling::Part> const parts = data_plane::read_parts("5c1e07a2:800, 91bd3f06:410,e4402b7d:250");
+  std::vector<scheduling::PromptPart> const parts = data_plane::read_parts("5c1e07a2:800, 91bd3f06:410,e4402b7d:250");
   ASSERT_EQ(parts.size(), 3u);
   EXPECT_EQ(parts[0].key, scheduling::hash_text("5c1e07a2"));
   EXPECT_EQ(parts[1].key, scheduling::hash_text("91bd3f06"));
--- a/source/tests/scheduling/load_balancer_test.cpp
+++ b/source/tests/scheduling/load_balancer_test.cpp
@@ -56,7 +56,7 @@
 
 Wanted long_prompt(std::uint64_t beginning) {
   Wanted entry = wanted("pool", 17000);
-  entry.parts = {Part{beginning, 13300}, Part{beginning * 1000 + 1, 3700}};
+  entry.parts = {PromptPart{beginning, 13300}, PromptPart{beginning * 1000 + 1, 3700}};
   return entry;
 }
 
@@ -81,7 +81,7 @@
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
     Assignment const& assignment = std::get<Assignment>(found);
     ++counts[assignment.worker];
-    balancer.ended(assignment, true, Outcome::good, start);
+    balancer.ended(assignment, true, Outcome::success, start);
   }
   EXPECT_EQ(counts["a"], 900);
   EXPECT_EQ(counts["b"], 100);
@@ -200,7 +200,7 @@
     other.avoid = {"north-1"};
     EXPECT_EQ(place(balancer, other, start), "") << how;
     // What runs there ends in peace; one that left is forgotten then.
-    balancer.ended(std::get<Assignment>(running), true, Outcome::good, start);
+    balancer.ended(std::get<Assignment>(running), true, Outcome::success, start);
     EXPECT_EQ(balancer.size(), how == 2 ? 1u : 2u);
     EXPECT_FALSE(balancer.usable("north-0"));
   }
@@ -225,7 +225,7 @@
         std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), now);
         if (Assignment const* const assignment = std::get_if<Assignment>(&found)) {
           sends.push_back(now);
-          balancer.ended(*assignment, true, Outcome::good, now);
+          balancer.ended(*assignment, true, Outcome::success, now);
         }
       }
     }
@@ -323,7 +323,7 @@
     // A good answer ends it: the next defect counts as the first.
     std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
-    balancer.ended(std::get<Assignment>(found), true, Outcome::good, now);
+    balancer.ended(std::get<Assignment>(found), true, Outcome::success, now);
     std::variant<Assignment, NoAssignment> const again = balancer.choose(wanted(), now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(again));
     balancer.ended(std::get<Assignment>(again), false, Outcome::unreachable, now);
@@ -345,7 +345,7 @@
     if (heard) {
       balancer.heard("north-0", now);
     } else {
-      balancer.ended(std::get<Assignment>(trial), true, Outcome::good, now);
+      balancer.ended(std::get<Assignment>(trial), true, Outcome::success, now);
     }
     EXPECT_FALSE(place(balancer, wanted(), now).empty());
     EXPECT_FALSE(place(balancer, wanted(), now).empty());
@@ -376,7 +376,7 @@
     // One that is heard is not meant, and a good answer from there ends it.
     std::variant<Assignment, NoAssignment> const found = balancer.choose(here, start + 1);
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
-    balancer.ended(std::get<Assignment>(found), true, Outcome::good, start + 2);
+    balancer.ended(std::get<Assignment>(found), true, Outcome::success, start + 2);
     EXPECT_EQ(place(balancer, wanted(), start + 3).rfind("north-", 0), 0u);
   }
 }
@@ -507,7 +507,7 @@
   at_home.homes = {"dublin"};
   EXPECT_EQ(place(balancer, at_home, start).rfind("north-", 0), 0u);
   Wanted brief = wanted("pool", 2500);
-  brief.parts = {Part{5, 1500}, Part{5001, 1000}};  // a second reading is cheaper than the way
+  brief.parts = {PromptPart{5, 1500}, PromptPart{5001, 1000}};  // a second reading is cheaper than the way
   EXPECT_EQ(place(balancer, brief, start).rfind("north-", 0), 0u);
 }
 
@@ -560,7 +560,7 @@
   ASSERT_TRUE(std::holds_alternative<Assignment>(first));
   Assignment const& assignment = std::get<Assignment>(first);
   balancer.first_token(assignment, query.parts, 0.3);
-  balancer.ended(assignment, true, Outcome::good, start);
+  balancer.ended(assignment, true, Outcome::success, start);
   std::variant<Assignment, NoAssignment> const second = balancer.choose(query, start);
   ASSERT_TRUE(std::holds_alternative<Assignment>(second));
   EXPECT_EQ(std::get<Assignment>(second).worker, assignment.worker);
@@ -584,7 +584,7 @@
       (is_long ? read_long : read_short).insert(assignment.worker);
     }
     balancer.first_token(assignment, query.parts, 0.1);
-    balancer.ended(assignment, true, Outcome::good, now);
+    balancer.ended(assignment, true, Outcome::success, now);
   }
   for (std::string const& worker : read_long) {
     EXPECT_EQ(read_short.count(worker), 0u) << worker;
--- a/source/tests/scheduling/outlier_detector_test.cpp
+++ b/source/tests/scheduling/outlier_detector_test.cpp
@@ -73,7 +73,7 @@
   EXPECT_TRUE(detector.take(worker, FirstToken{1}, late).empty());
   EXPECT_FALSE(detector.awaits(worker, 1));
   EXPECT_DOUBLE_EQ(detector.overdue(worker, late), 2);
-  EXPECT_TRUE(detector.take(worker, Ended{2, Outcome::good}, late).empty());
+  EXPECT_TRUE(detector.take(worker, Ended{2, Outcome::success}, late).empty());
   EXPECT_DOUBLE_EQ(detector.overdue(worker, late), 0);
 }
 
@@ -93,7 +93,7 @@
     EXPECT_FALSE(detector.zone_dark(workers[3], start + 1));  // it was heard
     EXPECT_FALSE(detector.zone_dark(other, start + 1));
     EXPECT_FALSE(detector.zone_dark(workers[2], start + constants::dark_memory));
-    (void)detector.take(workers[2], Ended{3, Outcome::good}, start + 1);
+    (void)detector.take(workers[2], Ended{3, Outcome::success}, start + 1);
     EXPECT_FALSE(detector.zone_dark(workers[0], start + 1));  // a good answer from there ends it
   }
 }
--- a/source/tests/scheduling/prompt_isolation_flood_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_flood_test.cpp
@@ -14,9 +14,9 @@
 constexpr std::uint64_t flooding = 2;
 constexpr std::size_t flood_prompts = 20000;
 
-std::vector<scheduling::Part> prompt_of(std::uint64_t holder, std::uint64_t number) {
-  return {scheduling::Part{holder * 1000003 + number * 7, 400, holder},
-          scheduling::Part{holder * 1000003 + number * 7 + 1, 200, holder}};
+std::vector<scheduling::PromptPart> prompt_of(std::uint64_t holder, std::uint64_t number) {
+  return {scheduling::PromptPart{holder * 1000003 + number * 7, 400, holder},
+          scheduling::PromptPart{holder * 1000003 + number * 7 + 1, 200, holder}};
 }
 
 double bytes_in_use() {
@@ -56,7 +56,7 @@
   }
   std::chrono::steady_clock::time_point const began = std::chrono::steady_clock::now();
   for (std::uint64_t tenant = 0; tenant < 20; ++tenant) {
-    reuse.gave_up(prompt_of(100 + tenant, 0), 400);
+    reuse.record_eviction(prompt_of(100 + tenant, 0), 400);
   }
   result.give_up_us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - began).count() / 20;
   double const between = bytes_in_use();
--- a/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
@@ -25,13 +25,13 @@
   common::Moment now = 1000000;
   Kept() {
     wanted.shares.push_back(schema::Share{"s", 1});
-    wanted.parts = {scheduling::Part{77, 500, 9}};
+    wanted.parts = {scheduling::PromptPart{77, 500, 9}};
     wanted.tokens = 500;
     put({spec_of("w")});
     scheduling::Assignment const assignment = place();
     EXPECT_EQ(assignment.uncached, 500);
     balancer.first_token(assignment, wanted.parts, 0.01);
-    balancer.ended(assignment, true, scheduling::Outcome::good, now);
+    balancer.ended(assignment, true, scheduling::Outcome::success, now);
     EXPECT_EQ(uncached(), 0);
   }
   void put(std::vector<scheduling::WorkerSpec> const& specs) {
@@ -58,7 +58,7 @@
 
 TEST(WallGrove, AnotherTenantHasNothingThere) {
   Kept kept;
-  kept.wanted.parts = {scheduling::Part{78, 500, 10}};
+  kept.wanted.parts = {scheduling::PromptPart{78, 500, 10}};
   EXPECT_EQ(kept.uncached(), 500);
 }
 
--- a/source/tests/scheduling/prompt_isolation_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_test.cpp
@@ -220,10 +220,10 @@
 
 TEST(IsolationRecord, AFloodTakesNothingFromTheOthers) {
   scheduling::PromptCacheEstimate reuse(100000);
-  std::function<std::vector<scheduling::Part>(std::uint64_t, std::uint64_t)> const parts = [](std::uint64_t holder,
-                                                                                              std::uint64_t key) {
-    return std::vector<scheduling::Part>{{holder * 1000003, 50, holder}, {key, 50, holder}};
-  };
+  std::function<std::vector<scheduling::PromptPart>(std::uint64_t, std::uint64_t)> const parts =
+      [](std::uint64_t holder, std::uint64_t key) {
+        return std::vector<scheduling::PromptPart>{{holder * 1000003, 50, holder}, {key, 50, holder}};
+      };
   for (std::uint64_t tenant = 100; tenant < 200; ++tenant) {
     reuse.remember(parts(tenant, tenant));
   }
@@ -258,7 +258,7 @@
   reuse.remember({{1, 100, 5}});
   reuse.remember({{2, 100, 6}});
   reuse.remember({{3, 100, 7}});
-  reuse.gave_up({{2, 100, 6}}, 0);
+  reuse.record_eviction({{2, 100, 6}}, 0);
   EXPECT_EQ(reuse.match({{1, 100, 5}}), 0);
   EXPECT_EQ(reuse.match({{2, 100, 6}}), 0);
   EXPECT_EQ(reuse.match({{3, 100, 7}}), 100);
--- a/source/tests/scheduling/query_state_machine_test.cpp
+++ b/source/tests/scheduling/query_state_machine_test.cpp
@@ -57,7 +57,7 @@
 
 TEST(QueryStateMachine, ARefusalByAWorkerIsNoTryOfTheRoute) {
   QueryTerms terms;
-  terms.dispatches_most = 1;
+  terms.max_dispatches = 1;
   QueryStateMachine query = state_machine(terms);
   for (int refusals = 0; refusals < common::constants::refusals_most; ++refusals) {
     (void)query.advance(Placed{"a"}, 0);
@@ -115,7 +115,7 @@
 
 TEST(QueryStateMachine, OnePassAtMostAndNoneAfterADispatch) {
   QueryTerms terms;
-  terms.may_pass = true;
+  terms.may_forward = true;
   QueryStateMachine query = state_machine(terms);
   EXPECT_TRUE(only<PassOn>(query.advance(NoRoom{}, 0)));
   EXPECT_TRUE(only<Refuse>(query.advance(NoRoom{}, 0)));
@@ -180,7 +180,7 @@
     }
     std::vector<QueryAction> actions;
     if (index == 2) {  // the one it is taken up at says no, and no dispatch is left
-      for (int dispatch = 1; dispatch < terms.dispatches_most + constants::refusals_most; ++dispatch) {
+      for (int dispatch = 1; dispatch < terms.max_dispatches + constants::refusals_most; ++dispatch) {
         (void)query.advance(Placed{"b"}, 0);
         (void)query.advance(Connected{}, 0);
         EXPECT_FALSE(query.settled());
@@ -320,7 +320,7 @@
 
 TEST(QueryStateMachine, IsNotPassedOnOnceItsFirstLegRan) {
   QueryTerms terms;
-  terms.may_pass = true;
+  terms.may_forward = true;
   QueryStateMachine query = state_machine(terms);
   (void)query.advance(Placed{"a"}, 0);
   (void)query.advance(Connected{}, 0);
--- a/source/tests/scheduling/route_table_test.cpp
+++ b/source/tests/scheduling/route_table_test.cpp
@@ -143,26 +143,26 @@
 
 TEST(PromptCacheEstimate, APartCountsOnlyBehindAllPartsBeforeIt) {
   PromptCacheEstimate reuse(100000);
-  reuse.remember({Part{1, 800}, Part{2, 410}, Part{3, 250}});
-  EXPECT_EQ(reuse.match({Part{1, 800}, Part{2, 410}, Part{4, 100}}), 1210);
-  EXPECT_EQ(reuse.match({Part{1, 800}, Part{3, 250}}), 800);  // behind another part it was read anew
-  EXPECT_EQ(reuse.match({Part{2, 410}, Part{3, 250}}), 0);
+  reuse.remember({PromptPart{1, 800}, PromptPart{2, 410}, PromptPart{3, 250}});
+  EXPECT_EQ(reuse.match({PromptPart{1, 800}, PromptPart{2, 410}, PromptPart{4, 100}}), 1210);
+  EXPECT_EQ(reuse.match({PromptPart{1, 800}, PromptPart{3, 250}}), 800);  // behind another part it was read anew
+  EXPECT_EQ(reuse.match({PromptPart{2, 410}, PromptPart{3, 250}}), 0);
   EXPECT_EQ(reuse.match({}), 0);
   reuse.clear();
-  EXPECT_EQ(reuse.match({Part{1, 800}}), 0);
+  EXPECT_EQ(reuse.match({PromptPart{1, 800}}), 0);
 }
 
 TEST(PromptCacheEstimate, ForgetsTheOldestAndKeepsWhatIsUsed) {
   PromptCacheEstimate reuse(2000);
   for (std::uint64_t session = 0; session < 50; ++session) {
-    reuse.remember({Part{1, 500}, Part{100 + session, 100}});
+    reuse.remember({PromptPart{1, 500}, PromptPart{100 + session, 100}});
   }
-  EXPECT_EQ(reuse.match({Part{1, 500}}), 500);                  // in every query
-  EXPECT_EQ(reuse.match({Part{1, 500}, Part{100, 100}}), 500);  // long ago
-  EXPECT_EQ(reuse.match({Part{1, 500}, Part{149, 100}}), 600);  // just now
+  EXPECT_EQ(reuse.match({PromptPart{1, 500}}), 500);                        // in every query
+  EXPECT_EQ(reuse.match({PromptPart{1, 500}, PromptPart{100, 100}}), 500);  // long ago
+  EXPECT_EQ(reuse.match({PromptPart{1, 500}, PromptPart{149, 100}}), 600);  // just now
   double kept = 0;
   for (std::uint64_t session = 0; session < 50; ++session) {
-    kept += reuse.match({Part{1, 500}, Part{100 + session, 100}}) - 500;
+    kept += reuse.match({PromptPart{1, 500}, PromptPart{100 + session, 100}}) - 500;
   }
   EXPECT_LE(kept, 2000);  // never more than the memory holds
 }
--- a/source/tests/scheduling/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -38,9 +38,9 @@
 
 std::map<std::string, std::string> const regions{{"north", "r1"}, {"south", "r1"}, {"west", "r2"}};
 
-scheduling::Sighting stream(std::string const& on, bool long_prompt, common::Span to_first, common::Span gap,
-                            std::uint64_t events) {
-  scheduling::Sighting sighting;
+scheduling::StreamObservation stream(std::string const& on, bool long_prompt, common::Span to_first, common::Span gap,
+                                     std::uint64_t events) {
+  scheduling::StreamObservation sighting;
   sighting.worker = on;
   sighting.pool = "r1/text";
   sighting.long_prompt = long_prompt;
@@ -51,7 +51,7 @@
   sighting.sent = common::seconds(10);
   common::Moment now = sighting.sent + to_first;
   for (std::uint64_t index = 0; index < events; ++index) {
-    sighting.event(1, now);
+    sighting.record_events(1, now);
     now += gap;
   }
   return sighting;
@@ -84,9 +84,9 @@
   scheduling::Observer observer;
   schema::FurrowReport report;
   EXPECT_FALSE(observer.take(1, common::seconds(2), report));
-  observer.saw(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
-  observer.saw(stream("a", false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
-  observer.saw(stream("b", false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
+  observer.record_stream(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
+  observer.record_stream(stream("a", false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
+  observer.record_stream(stream("b", false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
   ASSERT_TRUE(observer.take(1, common::seconds(2), report));
   ASSERT_EQ(report.figures.size(), 2u);
   schema::WorkerFigures const& rest = report.figures[0];
@@ -105,7 +105,7 @@
   }
   // Frozen: figures go on, rows do not.
   observer.freeze({"r1/text"});
-  observer.saw(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
+  observer.record_stream(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
   ASSERT_TRUE(observer.take(2, common::seconds(2), report));
   EXPECT_EQ(report.figures.size(), 1u);
   EXPECT_TRUE(report.samples.empty());
@@ -113,15 +113,15 @@
 
 TEST(Observer, TakesNoPrefillTimeOfWhatWaitedAndBoundsItsRows) {
   scheduling::Observer observer;
-  scheduling::Sighting waited = stream("a", true, common::milliseconds(900), common::milliseconds(30), 2);
+  scheduling::StreamObservation waited = stream("a", true, common::milliseconds(900), common::milliseconds(30), 2);
   waited.alone = false;
-  observer.saw(waited, 5, 0.03);
+  observer.record_stream(waited, 5, 0.03);
   schema::FurrowReport report;
   ASSERT_TRUE(observer.take(1, common::seconds(2), report));
   EXPECT_TRUE(report.samples.empty());
   for (int index = 0; index < 40; ++index) {
-    observer.saw(stream("w" + std::to_string(index), false, common::milliseconds(60), common::milliseconds(30), 5), 5,
-                 0.03);
+    observer.record_stream(
+        stream("w" + std::to_string(index), false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
   }
   ASSERT_TRUE(observer.take(2, common::seconds(2), report));
   EXPECT_LE(report.samples.size(), common::constants::samples_told);
@@ -129,9 +129,9 @@
 }
 
 TEST(Observer, EventsReadAtOnceShareTheirGap) {
-  scheduling::Sighting sighting;
-  sighting.event(1, common::milliseconds(100));
-  sighting.event(2, common::milliseconds(160));
+  scheduling::StreamObservation sighting;
+  sighting.record_events(1, common::milliseconds(100));
+  sighting.record_events(2, common::milliseconds(160));
   EXPECT_EQ(sighting.events, 3u);
   ASSERT_EQ(sighting.gaps.size(), 1u);
   EXPECT_NEAR(sighting.gaps[0], 0.03, 1e-9);
@@ -160,11 +160,11 @@
       if (index >= longs + shorts) {
         break;
       }
-      scheduling::Sighting sighting = stream(workers[static_cast<std::size_t>(index) % workers.size()], long_prompt,
-                                             common::milliseconds(long_prompt ? 50 + 80 : 50 + 6),
-                                             common::milliseconds(27 + index % 3), long_prompt ? 24 : 9);
+      scheduling::StreamObservation sighting = stream(workers[static_cast<std::size_t>(index) % workers.size()],
+                                                      long_prompt, common::milliseconds(long_prompt ? 50 + 80 : 50 + 6),
+                                                      common::milliseconds(27 + index % 3), long_prompt ? 24 : 9);
       sighting.running = 1 + index % 12;
-      observer.saw(sighting, 5, 0.03125);
+      observer.record_stream(sighting, 5, 0.03125);
     }
     schema::FurrowReport report;
     ASSERT_TRUE(observer.take(1, common::seconds(1), report));
@@ -280,13 +280,13 @@
     scheduling::Wanted wanted;
     wanted.shares = {schema::Share{"text", 1}};
     wanted.tokens = tokens;
-    wanted.parts = {scheduling::Part{static_cast<std::uint64_t>(index) * 7919u + 1u, tokens * 0.8},
-                    scheduling::Part{static_cast<std::uint64_t>(index) * 104729u + 3u, tokens * 0.2}};
+    wanted.parts = {scheduling::PromptPart{static_cast<std::uint64_t>(index) * 7919u + 1u, tokens * 0.8},
+                    scheduling::PromptPart{static_cast<std::uint64_t>(index) * 104729u + 3u, tokens * 0.2}};
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const found = balancer.choose(wanted, now);
     if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found)) {
       used.insert(assignment->worker);
       balancer.first_token(*assignment, wanted.parts, 0.1);
-      balancer.ended(*assignment, true, scheduling::Outcome::good, now);
+      balancer.ended(*assignment, true, scheduling::Outcome::success, now);
     }
   }
   return used;
