--- a/source/scheduling/mechanisms/mechanisms.hpp
+++ b/source/scheduling/mechanisms/mechanisms.hpp
@@ -10,17 +10,17 @@
 
 namespace finchlink::scheduling {
 
-/// The mechanisms of a relay's decisions that a measurement can switch off, all on by default (section 13.16).
+/// The relay's decision mechanisms that can be disabled for a measurement; all are on by default (section 13.16).
 struct Mechanisms {
   LoadBalancerGuards balancer;
-  StallGuards silence;
-  bool set_aside = true;  ///< a silent stream goes on being read until another worker continues it (13.8)
+  StallGuards stall;
+  bool set_aside = true;  ///< a stalled stream is still read until another worker continues it (13.8)
 };
 
-/// All mechanisms but those named, or kInvalidArgument for a name that stands not in the table.
+/// Returns all mechanisms but the named ones, or kInvalidArgument for an unknown name.
 [[nodiscard]] absl::StatusOr<Mechanisms> mechanisms_without(std::vector<std::string> const& names);
 
-/// The names that can be switched off, in the order of the table.
+/// Names of the mechanisms that can be disabled, in the order of the table.
 [[nodiscard]] std::vector<std::string> mechanism_names();
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/observer/observer.cpp
+++ b/source/scheduling/observer/observer.cpp
@@ -8,60 +8,60 @@
 
 namespace constants = common::constants;
 
-void StreamObservation::event(std::uint64_t count, common::Moment now) {
+void StreamObservation::record_events(std::uint64_t count, common::Moment now) {
   if (count == 0) {
     return;
   }
   if (events == 0) {
     first = now;
   } else if (gaps.size() < constants::gaps_most) {
-    // Events that were read at once came one after the other.
+    // Events that arrived in one read share the gap evenly.
     gaps.push_back(static_cast<double>(now - last) / 1e6 / static_cast<double>(count));
   }
   last = now;
   events += count;
 }
 
-void Observer::saw(StreamObservation const& sighting, double stride, double experts_share) {
-  if (sighting.events == 0 || sighting.first < sighting.sent) {
+void Observer::record_stream(StreamObservation const& observation, double stride, double experts_share) {
+  if (observation.events == 0 || observation.first < observation.sent) {
     return;
   }
-  std::string const phase = sighting.long_prompt ? "prefill" : "decode";
-  schema::WorkerFigures& figures = figures_[{sighting.pool, phase}];
-  figures.worker = sighting.pool;
+  std::string const phase = observation.long_prompt ? "prefill" : "decode";
+  schema::WorkerFigures& figures = figures_[{observation.pool, phase}];
+  figures.worker = observation.pool;
   figures.phase = phase;
-  double const pairs_read = pairs(sighting.uncached, sighting.cached);
-  double const prefill_seconds = static_cast<double>(sighting.first - sighting.sent) / 1e6;
-  // Events hold several tokens; one iteration is taken to make one.
-  double const iterations = static_cast<double>(sighting.events - 1) * stride;
+  double const pairs_read = pairs(observation.uncached, observation.cached);
+  double const prefill_seconds = static_cast<double>(observation.first - observation.sent) / 1e6;
+  // An event holds several tokens; each iteration is assumed to produce one token.
+  double const iterations = static_cast<double>(observation.events - 1) * stride;
   figures.queries += 1;
-  figures.uncached += sighting.uncached;
-  figures.cached += sighting.cached;
+  figures.uncached += observation.uncached;
+  figures.cached += observation.cached;
   figures.pairs += pairs_read;
   figures.prefill_seconds += prefill_seconds;
-  figures.outputs += static_cast<double>(sighting.events) * stride;
+  figures.outputs += static_cast<double>(observation.events) * stride;
   figures.iterations += iterations;
-  figures.decode_seconds += static_cast<double>(sighting.last - sighting.first) / 1e6;
+  figures.decode_seconds += static_cast<double>(observation.last - observation.first) / 1e6;
   figures.decodes += 1;
-  figures.running_sum += sighting.running * iterations;
-  if (frozen_.count(sighting.pool) > 0) {
+  figures.running_sum += observation.running * iterations;
+  if (frozen_.count(observation.pool) > 0) {
     return;
   }
   bool const room = samples_.size() < constants::samples_told;
-  if (sighting.alone && prefill_seconds > 0 && (room || samples_.count({sighting.worker, false}) > 0)) {
-    schema::Sample& sample = samples_[{sighting.worker, false}];
-    sample.worker = sighting.worker;
-    sample.sure = sighting.sure;
+  if (observation.alone && prefill_seconds > 0 && (room || samples_.count({observation.worker, false}) > 0)) {
+    schema::Sample& sample = samples_[{observation.worker, false}];
+    sample.worker = observation.worker;
+    sample.sure = observation.sure;
     sample.seconds = prefill_seconds;
-    sample.uncached = sighting.uncached;
+    sample.uncached = observation.uncached;
     sample.pairs = pairs_read;
   }
-  if (sighting.gaps.size() >= constants::gaps_least && (room || samples_.count({sighting.worker, true}) > 0)) {
-    schema::Sample& sample = samples_[{sighting.worker, true}];
-    sample.worker = sighting.worker;
+  if (observation.gaps.size() >= constants::gaps_least && (room || samples_.count({observation.worker, true}) > 0)) {
+    schema::Sample& sample = samples_[{observation.worker, true}];
+    sample.worker = observation.worker;
     sample.decode = true;
-    sample.seconds = middle(sighting.gaps) / stride;
-    sample.running = sighting.running > 1 ? sighting.running : 1;
+    sample.seconds = middle(observation.gaps) / stride;
+    sample.running = observation.running > 1 ? observation.running : 1;
     sample.spread = spread(experts_share, 1, sample.running);
   }
 }
--- a/source/scheduling/outlier_detection/outlier_detector.cpp
+++ b/source/scheduling/outlier_detection/outlier_detector.cpp
@@ -8,8 +8,8 @@
 
 namespace constants = common::constants;
 
-OutlierDetector::Handle OutlierDetector::admit(Subject const& subject) {
-  std::map<std::string, Handle>::const_iterator const found = handles_.find(subject.worker);
+OutlierDetector::Handle OutlierDetector::add_worker(WorkerInfo const& info) {
+  std::map<std::string, Handle>::const_iterator const found = handles_.find(info.worker);
   Handle handle = 0;
   if (found != handles_.end()) {
     handle = found->second;
@@ -20,124 +20,127 @@
     handle = records_.size();
     records_.emplace_back();
   }
-  handles_[subject.worker] = handle;
-  Subject& known = records_[handle].subject;
-  if (known.pool != subject.pool || known.serving != subject.serving || known.worker != subject.worker) {
-    enter(handle, false);
-    known = subject;
-    enter(handle, true);
+  handles_[info.worker] = handle;
+  WorkerInfo& known = records_[handle].info;
+  if (known.pool != info.pool || known.serving != info.serving || known.worker != info.worker) {
+    update_pool(handle, false);
+    known = info;
+    update_pool(handle, true);
   }
-  known.hall = subject.hall;
+  known.hall = info.hall;
   return handle;
 }
 
-void OutlierDetector::enter(Handle worker, bool in) {
-  Subject const& subject = records_[worker].subject;
-  std::vector<Handle>& pool = pools_[subject.pool];
+void OutlierDetector::update_pool(Handle worker, bool in) {
+  WorkerInfo const& info = records_[worker].info;
+  std::vector<Handle>& pool = pools_[info.pool];
   std::erase(pool, worker);
-  if (in && subject.serving) {
+  if (in && info.serving) {
     pool.push_back(worker);
   }
   if (pool.empty()) {
-    pools_.erase(subject.pool);
+    pools_.erase(info.pool);
   }
 }
 
-void OutlierDetector::dismiss(std::string const& worker) {
+void OutlierDetector::remove_worker(std::string const& worker) {
   std::map<std::string, Handle>::const_iterator const found = handles_.find(worker);
   if (found != handles_.end()) {
-    enter(found->second, false);
+    update_pool(found->second, false);
     records_[found->second] = Record{};
     vacant_.push_back(found->second);
     handles_.erase(found);
   }
 }
 
-std::vector<OutlierAction> OutlierDetector::take(Handle worker, Evidence const& evidence, common::Moment now) {
+std::vector<OutlierAction> OutlierDetector::record_evidence(Handle worker, Evidence const& evidence,
+                                                            common::Moment now) {
   std::vector<OutlierAction> actions;
   std::visit([this, worker, now, &actions](auto const& entry) { act(records_[worker], entry, now, actions); },
              evidence);
   return actions;
 }
 
-void OutlierDetector::act(Record& record, Sent const& sent, common::Moment, std::vector<OutlierAction>&) {
+void OutlierDetector::act(Record& record, DispatchSent const& sent, common::Moment, std::vector<OutlierAction>&) {
   record.pending.push_back(Pending{sent.ticket, sent.due + constants::overdue_slack});
 }
 
-void OutlierDetector::act(Record& record, FirstToken const& first, common::Moment, std::vector<OutlierAction>&) {
+void OutlierDetector::act(Record& record, FirstTokenReceived const& first, common::Moment,
+                          std::vector<OutlierAction>&) {
   std::erase_if(record.pending, [&first](Pending const& pending) { return pending.ticket == first.ticket; });
 }
 
-void OutlierDetector::act(Record& record, Heard const&, common::Moment now, std::vector<OutlierAction>&) {
+void OutlierDetector::act(Record& record, BytesReceived const&, common::Moment now, std::vector<OutlierAction>&) {
   record.heard_at = now;
-  record.trial = false;
+  record.on_probation = false;
 }
 
-void OutlierDetector::act(Record& record, Ended const& ended, common::Moment now, std::vector<OutlierAction>& actions) {
+void OutlierDetector::act(Record& record, DispatchEnded const& ended, common::Moment now,
+                          std::vector<OutlierAction>& actions) {
   std::erase_if(record.pending, [&ended](Pending const& pending) { return pending.ticket == ended.ticket; });
   switch (ended.outcome) {
     case Outcome::success:
-      record.rest = 0;
-      record.trial = false;
-      dark_.erase(record.subject.hall);
+      record.ejection_time = 0;
+      record.on_probation = false;
+      unreachable_.erase(record.info.hall);
       break;
     case Outcome::abandoned:
       break;
     case Outcome::refused:
-      record.rest_until = std::max(record.rest_until, now + constants::refused_rest);
+      record.paused_until = std::max(record.paused_until, now + constants::refused_rest);
       break;
     case Outcome::misdirected:
-      // Another worker has its address: it won't come back under this id.
-      record.rest_until = now + constants::worker_rest_most;
-      actions.push_back(MayHaveForgotten{});
+      // Another worker has its address now: this one won't return under its id.
+      record.paused_until = now + constants::worker_rest_most;
+      actions.push_back(CacheMayBeLost{});
       break;
     case Outcome::unreachable:
     case Outcome::failure:
-      actions.push_back(MayHaveForgotten{});  // it may come back without what it kept
-      record.rest =
-          std::clamp<common::Span>(record.rest * 2, constants::worker_rest_least, constants::worker_rest_most / 2);
-      record.ill_until = std::max(record.ill_until, now + record.rest);
-      record.trial = true;
+      actions.push_back(CacheMayBeLost{});  // it may return without its prompt cache
+      record.ejection_time = std::clamp<common::Span>(record.ejection_time * 2, constants::worker_rest_least,
+                                                      constants::worker_rest_most / 2);
+      record.ejected_until = std::max(record.ejected_until, now + record.ejection_time);
+      record.on_probation = true;
       if (ended.outcome == Outcome::unreachable) {
-        dark_[record.subject.hall][record.subject.worker] = now;
+        unreachable_[record.info.hall][record.info.worker] = now;
       }
       break;
   }
 }
 
-Verdict OutlierDetector::verdict(Handle worker, common::Moment now) const {
+Eligibility OutlierDetector::eligibility(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
-  if (!guards_.rest) {
-    return Open{};
+  if (!guards_.ejection) {
+    return Available{};
   }
-  if (now < record.rest_until) {
-    return Resting{record.rest_until};
+  if (now < record.paused_until) {
+    return Unavailable{record.paused_until};
   }
   if (ejected(worker, now)) {
-    return Resting{record.ill_until};
+    return Unavailable{record.ejected_until};
   }
-  return record.trial ? Verdict(OnTrial{}) : Verdict(Open{});
+  return record.on_probation ? Eligibility(OnProbation{}) : Eligibility(Available{});
 }
 
 bool OutlierDetector::ejected(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
-  if (!guards_.rest || now >= record.ill_until) {
+  if (!guards_.ejection || now >= record.ejected_until) {
     return false;
   }
-  std::map<std::string, std::vector<Handle>>::const_iterator const pool = pools_.find(record.subject.pool);
+  std::map<std::string, std::vector<Handle>>::const_iterator const pool = pools_.find(record.info.pool);
   if (!guards_.ejection_bound || pool == pools_.end() || pool->second.size() < constants::ejection_pool_least) {
-    return true;  // among so few nobody is an outlier: it rests for its own sake
+    return true;  // in so small a pool there are no outliers: it is ejected by its own failures
   }
-  // The worst rest, as many as the share allows; the others serve, on trial.
+  // The worst workers are ejected, as many as the share allows; the others serve on probation.
   std::size_t worse = 0;
   for (Handle const other : pool->second) {
-    common::Moment const until = records_[other].ill_until;
-    worse += until > record.ill_until || (until == record.ill_until && other < worker) ? 1 : 0;
+    common::Moment const until = records_[other].ejected_until;
+    worse += until > record.ejected_until || (until == record.ejected_until && other < worker) ? 1 : 0;
   }
   return static_cast<double>(worse + 1) <= constants::ejection_share * static_cast<double>(pool->second.size());
 }
 
-bool OutlierDetector::awaits(Handle worker, std::uint64_t ticket) const {
+bool OutlierDetector::awaits_first_token(Handle worker, std::uint64_t ticket) const {
   std::vector<Pending> const& pending = records_[worker].pending;
   return std::any_of(pending.begin(), pending.end(), [ticket](Pending const& entry) { return entry.ticket == ticket; });
 }
@@ -150,11 +153,11 @@
   return late;
 }
 
-bool OutlierDetector::zone_dark(Handle worker, common::Moment now) const {
+bool OutlierDetector::zone_suspected(Handle worker, common::Moment now) const {
   Record const& record = records_[worker];
   std::map<std::string, std::map<std::string, common::Moment>>::const_iterator const found =
-      dark_.find(record.subject.hall);
-  if (!guards_.zone_suspicion || found == dark_.end()) {
+      unreachable_.find(record.info.hall);
+  if (!guards_.zone_suspicion || found == unreachable_.end()) {
     return false;
   }
   std::size_t recent = 0;
--- a/source/scheduling/outlier_detection/outlier_detector.hpp
+++ b/source/scheduling/outlier_detection/outlier_detector.hpp
@@ -10,106 +10,108 @@
 
 namespace finchlink::scheduling {
 
-/// How a dispatch ended, seen from this furrow.
-enum class Outcome { good, refused, unreachable, failure, abandoned, misdirected };
+/// How a dispatch ended, as seen by this proxy.
+enum class Outcome { success, refused, unreachable, failure, abandoned, misdirected };
 
-/// Evidence of one worker: what this furrow saw, nothing that others say.
-struct Sent {
+/// Evidence about one worker: only what this proxy observed itself, no reports of others.
+struct DispatchSent {
   std::uint64_t ticket = 0;
-  common::Moment due = 0;  ///< by when a first token is predicted
+  common::Moment due = 0;  ///< predicted latest moment of the first token
 };
-struct FirstToken {
+struct FirstTokenReceived {
   std::uint64_t ticket = 0;
 };
-/// Bytes of any answer.
-struct Heard {};
-struct Ended {
+/// Bytes of any response arrived from the worker.
+struct BytesReceived {};
+struct DispatchEnded {
   std::uint64_t ticket = 0;
   Outcome outcome = Outcome::success;
 };
-using Evidence = std::variant<Sent, FirstToken, Heard, Ended>;
+using Evidence = std::variant<DispatchSent, FirstTokenReceived, BytesReceived, DispatchEnded>;
 
-/// The worker may have lost what it kept.
-struct MayHaveForgotten {};
-using OutlierAction = std::variant<MayHaveForgotten>;
+/// The worker may have lost its prompt cache.
+struct CacheMayBeLost {};
+using OutlierAction = std::variant<CacheMayBeLost>;
 
-struct Open {};
-/// Out of a rest: one query at a time until it is heard.
-struct OnTrial {};
-struct Resting {
+struct Available {};
+/// The ejection is over: one query at a time until bytes arrive from the worker.
+struct OnProbation {};
+/// Ejected for failures, or paused after a refusal or a misdirected dispatch.
+struct Unavailable {
   common::Moment until = 0;
 };
-using Verdict = std::variant<Open, OnTrial, Resting>;
+using Eligibility = std::variant<Available, OnProbation, Unavailable>;
 
-/// What the judge needs to know of a worker, from the list.
-struct Subject {
+/// What the detector needs to know of a worker, from the list of workers.
+struct WorkerInfo {
   std::string worker;
-  std::string pool;  ///< workers that can stand in for each other: a region's of one service
+  std::string pool;  ///< workers that can replace each other: those of one service in one region
   std::string hall;
-  bool serving = true;  ///< neither draining nor in an evacuated hall
+  bool serving = true;  ///< neither draining nor in a drained zone
 };
 
-/// Rules that tests switch off to show that they are needed.
+/// Rules that tests can disable to show that they are needed.
 struct OutlierGuards {
-  bool rest = true;
-  bool ejection_bound = true;  ///< the least bad serve when too many of a pool are ill
-  bool zone_suspicion = true;  ///< two workers of a hall out of reach: the others come last
+  bool ejection = true;
+  bool ejection_bound = true;  ///< if too many workers of a pool fail, the least bad ones still serve
+  bool zone_suspicion = true;  ///< two unreachable workers in a zone make its other workers the last choice
 };
 
-/// Workers judged by what they do (section 13.7): plain state; every message
-/// carries its moment.
+/// Ejects workers that fail queries (section 13.7). Holds state only; the caller passes the time with each call.
 class OutlierDetector {
  public:
-  /// Names an admitted worker; looking it up by text for each query costs too much.
+  /// Index of a worker's record; a lookup by name for each query would cost too much.
   using Handle = std::size_t;
 
   explicit OutlierDetector(OutlierGuards guards = {}) : guards_(guards) {}
-  /// The same worker keeps its handle until it is dismissed.
-  Handle admit(Subject const& subject);
-  void dismiss(std::string const& worker);
-  std::vector<OutlierAction> take(Handle worker, Evidence const& evidence, common::Moment now);
+  /// Adds or updates a worker. It keeps its handle until remove_worker().
+  Handle add_worker(WorkerInfo const& info);
+  void remove_worker(std::string const& worker);
+  std::vector<OutlierAction> record_evidence(Handle worker, Evidence const& evidence, common::Moment now);
 
-  [[nodiscard]] Verdict verdict(Handle worker, common::Moment now) const;
-  /// Does it rest for what it did to queries, not for being full or gone?
+  [[nodiscard]] Eligibility eligibility(Handle worker, common::Moment now) const;
+  /// Whether it is ejected for failed queries, as opposed to paused for being full or replaced.
   [[nodiscard]] bool ejected(Handle worker, common::Moment now) const;
-  /// Is a first token of this dispatch still waited for?
-  [[nodiscard]] bool awaits(Handle worker, std::uint64_t ticket) const;
-  /// Seconds by which its oldest own query is later than predicted: what others
-  /// have it read can't be seen, but it shows here.
+  /// Whether this dispatch has had no first token yet.
+  [[nodiscard]] bool awaits_first_token(Handle worker, std::uint64_t ticket) const;
+  /// Seconds by which the first token of the most overdue dispatch of this proxy is later than predicted. Reveals
+  /// prefill load that other proxies put on the worker, which this proxy can't see otherwise.
   [[nodiscard]] double overdue(Handle worker, common::Moment now) const;
-  /// Two workers of its hall could not be reached of late, and it was not heard since.
-  [[nodiscard]] bool zone_dark(Handle worker, common::Moment now) const;
+  /// Whether two workers of its zone were unreachable recently and it has sent no bytes since.
+  [[nodiscard]] bool zone_suspected(Handle worker, common::Moment now) const;
+  /// When any bytes last arrived from the worker.
   [[nodiscard]] common::Moment heard_at(Handle worker) const { return records_[worker].heard_at; }
 
  private:
-  /// A query of this furrow that has had no first token yet.
+  /// A dispatch of this proxy that has had no first token yet.
   struct Pending {
     std::uint64_t ticket = 0;
     common::Moment due = 0;
   };
   struct Record {
-    Subject subject;
+    WorkerInfo info;
     std::vector<Pending> pending;
     common::Moment heard_at = 0;
-    common::Moment rest_until = 0;  ///< it refused, or another has its address
-    common::Moment ill_until = 0;   ///< it failed queries
-    common::Span rest = 0;          ///< the last pause for that
-    bool trial = false;
+    common::Moment paused_until = 0;   ///< it refused a query, or another worker has its address
+    common::Moment ejected_until = 0;  ///< it failed queries
+    common::Span ejection_time = 0;    ///< length of the last ejection; doubles with each failure
+    bool on_probation = false;
   };
-  void act(Record& record, Sent const& sent, common::Moment now, std::vector<OutlierAction>& actions);
-  void act(Record& record, FirstToken const& first, common::Moment now, std::vector<OutlierAction>& actions);
-  void act(Record& record, Heard const& heard, common::Moment now, std::vector<OutlierAction>& actions);
-  void act(Record& record, Ended const& ended, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, DispatchSent const& sent, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, FirstTokenReceived const& first, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, BytesReceived const& received, common::Moment now, std::vector<OutlierAction>& actions);
+  void act(Record& record, DispatchEnded const& ended, common::Moment now, std::vector<OutlierAction>& actions);
 
-  void enter(Handle worker, bool in);
+  /// Adds the worker to its pool if it serves, or takes it out.
+  void update_pool(Handle worker, bool in);
 
   OutlierGuards guards_;
   std::vector<Record> records_;
   std::vector<Handle> vacant_;
   std::map<std::string, Handle> handles_;
-  std::map<std::string, std::vector<Handle>> pools_;  ///< those that serve
-  /// Workers of a hall that could not be reached lately, none heard since.
-  std::map<std::string, std::map<std::string, common::Moment>> dark_;
+  std::map<std::string, std::vector<Handle>> pools_;  ///< serving workers by pool
+  /// Workers that were unreachable recently, by zone; emptied by a success in the zone.
+  std::map<std::string, std::map<std::string, common::Moment>> unreachable_;
 };
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
@@ -5,11 +5,12 @@
 namespace finchlink::scheduling {
 
 namespace {
-bool behind_isolation(std::vector<PromptPart> const& parts) {
+bool is_isolated(std::vector<PromptPart> const& parts) {
   return !parts.empty() && parts.front().holder != 0;
 }
 
-std::vector<IsolationEntry> chained(std::vector<PromptPart> const& parts) {
+/// Entries whose keys cover all parts before them.
+std::vector<IsolationEntry> chain_keys(std::vector<PromptPart> const& parts) {
   std::vector<IsolationEntry> entries;
   std::uint64_t chain = 0;
   for (PromptPart const& part : parts) {
@@ -21,14 +22,14 @@
 }  // namespace
 
 double PromptCacheEstimate::match(std::vector<PromptPart> const& parts) const {
-  if (behind_isolation(parts)) {
-    return isolated_ == nullptr ? 0 : isolated_->match(chained(parts));
+  if (is_isolated(parts)) {
+    return isolated_ == nullptr ? 0 : isolated_->match(chain_keys(parts));
   }
   double tokens = 0;
   std::uint64_t chain = 0;
   for (PromptPart const& part : parts) {
     chain = mix(chain, part.key);
-    if (young_.count(chain) == 0 && old_.count(chain) == 0) {
+    if (recent_.count(chain) == 0 && previous_.count(chain) == 0) {
       break;
     }
     tokens += part.tokens;
@@ -37,39 +38,40 @@
 }
 
 void PromptCacheEstimate::remember(std::vector<PromptPart> const& parts) {
-  if (behind_isolation(parts)) {
+  if (is_isolated(parts)) {
     if (isolated_ == nullptr) {
       isolated_ = std::make_unique<IsolationRecord>();
     }
-    isolated_->remember(chained(parts), most_);
+    isolated_->remember(chain_keys(parts), capacity_);
     return;
   }
   std::uint64_t chain = 0;
   for (PromptPart const& part : parts) {
     chain = mix(chain, part.key);
-    if (young_.count(chain) == 0) {
-      young_[chain] = static_cast<float>(part.tokens);
-      young_tokens_ += part.tokens;
+    if (recent_.count(chain) == 0) {
+      recent_[chain] = static_cast<float>(part.tokens);
+      recent_tokens_ += part.tokens;
     }
   }
-  if (young_tokens_ > most_ / 2) {
-    old_.swap(young_);
-    tsl::robin_map<std::uint64_t, float>().swap(young_);
-    young_tokens_ = 0;
+  if (recent_tokens_ > capacity_ / 2) {
+    // The recent generation is full: it replaces the previous one.
+    previous_.swap(recent_);
+    tsl::robin_map<std::uint64_t, float>().swap(recent_);
+    recent_tokens_ = 0;
   }
 }
 
-void PromptCacheEstimate::gave_up(std::vector<PromptPart> const& parts, double tokens) {
-  if (behind_isolation(parts) && isolated_ != nullptr) {
-    isolated_->gave_up(chained(parts), tokens);
+void PromptCacheEstimate::record_eviction(std::vector<PromptPart> const& parts, double tokens) {
+  if (is_isolated(parts) && isolated_ != nullptr) {
+    isolated_->gave_up(chain_keys(parts), tokens);
   }
 }
 
 void PromptCacheEstimate::clear() {
   isolated_.reset();
-  young_.clear();
-  old_.clear();
-  young_tokens_ = 0;
+  recent_.clear();
+  previous_.clear();
+  recent_tokens_ = 0;
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.hpp
@@ -11,37 +11,39 @@
 
 namespace finchlink::scheduling {
 
-/// A part of a prompt as its caller told it: who it is and how many tokens.
+/// A part of a prompt as named by its caller: its key and its length in tokens.
 struct PromptPart {
   std::uint64_t key = 0;
   double tokens = 0;
-  std::uint64_t holder = 0;  ///< who keeps it, where there are walls (section 14.3); 0: no walls
+  std::uint64_t holder = 0;  ///< who keeps it under prompt isolation (section 14.3); 0: not isolated
 };
 
-/// Which parts one worker should still keep, as far as this furrow saw
-/// (section 13.5). A part counts only behind all parts before it. Two
-/// generations make up the forgetting; both together hold `most` tokens.
+/// Estimates which prompt parts one worker still has cached, from this proxy's own
+/// dispatches (section 13.5). A part counts only behind all parts before it.
+/// Eviction uses two generations, which together hold at most `capacity` tokens.
 class PromptCacheEstimate {
  public:
-  explicit PromptCacheEstimate(double most = 0) : most_(most) {}
-  void bound(double most) { most_ = most; }
-  /// Tokens at the prompt's beginning that need not be read again.
+  explicit PromptCacheEstimate(double capacity = 0) : capacity_(capacity) {}
+  /// Sets the capacity in tokens.
+  void set_capacity(double capacity) { capacity_ = capacity; }
+  /// Cached tokens at the beginning of the prompt.
   [[nodiscard]] double match(std::vector<PromptPart> const& parts) const;
   void remember(std::vector<PromptPart> const& parts);
   void clear();
-  /// The worker kept only this many tokens of a walled prompt: what it had not
-  /// used since is given up, too.
-  void gave_up(std::vector<PromptPart> const& parts, double tokens);
-  /// Forgets what was kept behind walls.
+  /// The worker still had only this many tokens of an isolated prompt: what it
+  /// had not used since the first missing part is dropped from the estimate, too.
+  void record_eviction(std::vector<PromptPart> const& parts, double tokens);
+  /// Drops the estimate for isolated parts.
   void clear_isolated() { isolated_.reset(); }
+  /// The record of isolated parts, or nullptr if there were none; owned by this object.
   [[nodiscard]] IsolationRecord const* isolated() const { return isolated_.get(); }
 
  private:
-  double most_;
-  double young_tokens_ = 0;
-  tsl::robin_map<std::uint64_t, float> young_;
-  tsl::robin_map<std::uint64_t, float> old_;
-  std::unique_ptr<IsolationRecord> isolated_;  ///< made by the first walled part
+  double capacity_;
+  double recent_tokens_ = 0;
+  tsl::robin_map<std::uint64_t, float> recent_;    ///< tokens by chained key
+  tsl::robin_map<std::uint64_t, float> previous_;  ///< the generation before
+  std::unique_ptr<IsolationRecord> isolated_;      ///< created by the first isolated part
 };
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/proxy_count/proxy_count.hpp
+++ b/source/scheduling/proxy_count/proxy_count.hpp
@@ -8,17 +8,18 @@
 
 namespace finchlink::scheduling {
 
-/// Among how many furrows a bound is divided that all of them share (section
-/// 13.7). One that is cut off from the trellises is no member any more and yet
-/// goes on serving with its part (13.9), so it is counted for a while longer.
+/// Tracks the proxies among which a shared limit is divided (section 13.7). A
+/// proxy that is cut off from the controllers drops out of the members but goes
+/// on using its portion (13.9), so it is counted for a while longer.
 class ProxyCount {
  public:
-  /// The members by the newest news, this furrow included.
+  /// Sets the members of the latest update, this proxy included.
   void told(std::vector<std::string> const& members, common::Moment now);
+  /// Names of the members and of those that dropped out recently.
   [[nodiscard]] std::vector<std::string> proxies(common::Moment now) const;
 
  private:
-  std::map<std::string, common::Moment> gone_;  ///< by name, since when
+  std::map<std::string, common::Moment> gone_;  ///< when a former member dropped out, by name
   std::vector<std::string> members_;            ///< sorted
 };
 
--- a/source/scheduling/query_state/first_hold.hpp
+++ b/source/scheduling/query_state/first_hold.hpp
@@ -8,10 +8,12 @@
 
 namespace finchlink::scheduling {
 
-/// How long a query is held by a furrow that has no charter or list yet (section
-/// 13.13): at most a part of the time that its caller has left, so that one who is
-/// refused can still come back; and only right after the start, since what has not
-/// come by then won't in a moment. `up`: time since the start. In microseconds.
+/// How long a query is held by a proxy that has no routing configuration or list of
+/// workers yet (section 13.13), in microseconds: at most a fraction of the time that
+/// its caller has left, so that a rejected caller can still retry; and only right
+/// after the start, since what has not arrived by then won't arrive in a moment.
+/// `longest`: upper limit. `up`: time since the start. `left`: the caller's remaining
+/// time, if it sent a deadline.
 [[nodiscard]] inline common::Span first_hold(common::Span longest, common::Span up, std::optional<common::Span> left) {
   if (up >= common::constants::first_span) {
     return 0;
--- a/source/scheduling/query_state/query_state_machine.cpp
+++ b/source/scheduling/query_state/query_state_machine.cpp
@@ -16,50 +16,51 @@
 std::vector<QueryAction> QueryStateMachine::give_up(std::string const& reason, int status) {
   if (last_event_ > 0) {
     settle("broken");
-    return {EndBroken{reason}};
+    return {EndWithError{reason}};
   }
-  // Once a dispatch may have run, no refusal may be reported (section 9.3).
+  // Once a dispatch may have run, the query must not be reported as rejected (section 9.3).
   if (may_have_run_) {
     settle("apology");
-    return {Apologise{status, reason, true}};
+    return {FailUncertain{status, reason, true}};
   }
   settle("refused");
-  return {Refuse{reason}};
+  return {RejectQuery{reason}};
 }
 
 std::vector<QueryAction> QueryStateMachine::place(bool again) {
   state_ = Waitlisted{};
-  if (standing_ == Standing::serve && (!repeats_ || may_repeat())) {
+  if (decision_ == ServingDecision::serve && (!next_may_rerun_ || may_repeat())) {
     return {Place{again}};
   }
-  if (standing_ == Standing::home && last_event_ == 0 && !may_have_run_) {
+  if (decision_ == ServingDecision::home && last_event_ == 0 && !may_have_run_) {
     settle("elsewhere");
-    return {SendHome{}};
+    return {RedirectHome{}};
   }
   return give_up("rule_changed", 502);
 }
 
-std::vector<QueryAction> QueryStateMachine::on(Decided const& message, common::Moment) {
-  // What is under way keeps the form of its answer; whether it may run again
-  // is asked of the newest rule (section 9.7).
+std::vector<QueryAction> QueryStateMachine::on(ConfigReevaluated const& message, common::Moment) {
+  // A query in progress keeps the form of its response; whether it may run again
+  // is decided by the latest rule (section 9.7).
   bool const may_be_running =
-      repeats_ || std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_);
-  // A rule that allows more than the one that it was sent under says nothing of what runs already.
+      next_may_rerun_ || std::holds_alternative<RequestSent>(state_) || std::holds_alternative<Streaming>(state_);
+  // A rule that allows more than the one the query was sent under doesn't apply to what runs already.
   terms_.repeatable = message.repeatable && (terms_.repeatable || !may_be_running);
   terms_.resumable = message.resumable && (terms_.resumable || !may_be_running);
-  standing_ = message.standing;
+  decision_ = message.decision;
   if (!std::holds_alternative<Waitlisted>(state_)) {
     return {};
   }
   if (last_event_ == 0) {
     terms_.stream = message.stream;
   }
-  return standing_ == Standing::serve && (!repeats_ || may_repeat()) ? std::vector<QueryAction>{} : place(false);
+  return decision_ == ServingDecision::serve && (!next_may_rerun_ || may_repeat()) ? std::vector<QueryAction>{}
+                                                                                   : place(false);
 }
 
 std::vector<QueryAction> QueryStateMachine::try_again(std::string const& reason, int status, common::Moment now) {
-  if (standing_ != Standing::serve) {
-    return place(true);  // ends it, and spends no right
+  if (decision_ != ServingDecision::serve) {
+    return place(true);  // settles the query and spends no retry token
   }
   if (dispatches_ < terms_.max_dispatches && retry_(now)) {
     return place(true);
@@ -73,30 +74,30 @@
   return {};
 }
 
-std::vector<QueryAction> QueryStateMachine::on(NoRoom const&, common::Moment) {
-  if (standing_ != Standing::serve) {
+std::vector<QueryAction> QueryStateMachine::on(NoCapacity const&, common::Moment) {
+  if (decision_ != ServingDecision::serve) {
     return place(false);
   }
-  // After a leg of it ran, passing it on would run it a second time.
-  if (terms_.may_forward && !passed_ && dispatches_ == 0 && !may_have_run_) {
-    passed_ = true;
-    return {PassOn{}};
+  // After its prefill phase ran, forwarding the query would run it a second time.
+  if (terms_.may_forward && !forwarded_ && dispatches_ == 0 && !may_have_run_) {
+    forwarded_ = true;
+    return {ForwardToRegion{}};
   }
   return give_up("no_room", 502);
 }
 
 std::vector<QueryAction> QueryStateMachine::on(Connected const&, common::Moment) {
   if (Connecting const* const connecting = std::get_if<Connecting>(&state_)) {
-    state_ = Exposed{connecting->worker};
+    state_ = RequestSent{connecting->worker};
   }
   return {};
 }
 
-std::vector<QueryAction> QueryStateMachine::on(Withdrawn const&, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(PlacementWithdrawn const&, common::Moment) {
   if (!std::holds_alternative<Connecting>(state_)) {
     return {};
   }
-  // Not even a connection was tried: placing it anew is no retry.
+  // No connection was tried: placing the query again is not a retry.
   --dispatches_;
   return place(false);
 }
@@ -109,10 +110,11 @@
 }
 
 std::vector<QueryAction> QueryStateMachine::on(WorkerRefused const&, common::Moment now) {
-  if (!std::holds_alternative<Exposed>(state_)) {
+  if (!std::holds_alternative<RequestSent>(state_)) {
     return {};
   }
-  // It promised that nothing ran, so this was none of the tries that the route allows; it still takes a right.
+  // The worker guarantees that nothing ran, so this doesn't count as one of the dispatches that the route allows. It
+  // still takes a retry token.
   if (refusals_ < common::constants::refusals_most) {
     ++refusals_;
     --dispatches_;
@@ -126,27 +128,27 @@
   }
   bool const streaming = std::holds_alternative<Streaming>(state_) && terms_.stream;
   may_have_run_ = true;
-  repeats_ = true;
+  next_may_rerun_ = true;
   if (streaming ? (terms_.resumable && may_repeat()) : terms_.repeatable) {
     return try_again(message.what, 502, now);
   }
   return give_up(message.what, 502);
 }
 
-std::vector<QueryAction> QueryStateMachine::on(WorkerAnswered const& message, common::Moment) {
+std::vector<QueryAction> QueryStateMachine::on(WorkerErrorResponse const& message, common::Moment) {
   may_have_run_ = true;
   if (last_event_ > 0) {
     settle("broken");
-    return {EndBroken{"worker_error"}};
+    return {EndWithError{"worker_error"}};
   }
   settle("apology");
-  return {Apologise{message.status, "worker_error", true}};
+  return {FailUncertain{message.status, "worker_error", true}};
 }
 
 std::vector<QueryAction> QueryStateMachine::on(Event const& message, common::Moment now) {
   std::string worker;
-  if (Exposed const* const exposed = std::get_if<Exposed>(&state_)) {
-    worker = exposed->worker;
+  if (RequestSent const* const request_sent = std::get_if<RequestSent>(&state_)) {
+    worker = request_sent->worker;
   } else if (Streaming const* const streaming = std::get_if<Streaming>(&state_)) {
     worker = streaming->worker;
   } else {
@@ -161,57 +163,57 @@
   if (message.last) {
     settle("complete");
   }
-  return {Forward{message.number, message.last}};
+  return {SendEvent{message.number, message.last}};
 }
 
-std::vector<QueryAction> QueryStateMachine::on(LegDone const&, common::Moment) {
-  if (!std::holds_alternative<Exposed>(state_)) {
+std::vector<QueryAction> QueryStateMachine::on(PrefillDone const&, common::Moment) {
+  if (!std::holds_alternative<RequestSent>(state_)) {
     return {};
   }
-  // The first of two planned legs is done (section 8.6); its successor is no
-  // retry, but from here on nobody can say that nothing ran.
+  // The first of two planned phases is done (section 8.6). The second is not a
+  // retry, but from here on it is no longer certain that nothing ran.
   may_have_run_ = true;
-  repeats_ = false;
+  next_may_rerun_ = false;
   --dispatches_;
   return place(false);
 }
 
-std::vector<QueryAction> QueryStateMachine::on(Whole const&, common::Moment now) {
+std::vector<QueryAction> QueryStateMachine::on(WholeResponse const&, common::Moment now) {
   if (std::holds_alternative<Streaming>(state_)) {
     settle("complete");  // a relayed stream ends where its worker ended it (section 13.8)
     return {};
   }
-  if (!std::holds_alternative<Exposed>(state_)) {
+  if (!std::holds_alternative<RequestSent>(state_)) {
     return {};
   }
   if (last_event_ > 0) {
-    // Part of a stream is with the caller: no other answer may follow it.
+    // The caller has part of a stream: no other response may follow it.
     return on(WorkerFailure{"another_answer"}, now);
   }
   settle("complete");
-  return {Deliver{}};
+  return {SendResponse{}};
 }
 
 std::vector<QueryAction> QueryStateMachine::on(StreamEnded const&, common::Moment) {
-  // A worker that goes on behind the last event has no event to give, only the end.
-  if (last_event_ > 0 && (std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_))) {
+  // A worker that continues after the last event has only the end of the stream to send.
+  if (last_event_ > 0 && (std::holds_alternative<RequestSent>(state_) || std::holds_alternative<Streaming>(state_))) {
     settle("complete");
   }
   return {};
 }
 
-std::vector<QueryAction> QueryStateMachine::on(Returned const& message, common::Moment) {
-  state_ = Streaming{message.worker};  // what runs there finishes, whatever the rule says by now (section 9.7)
+std::vector<QueryAction> QueryStateMachine::on(WorkerResumed const& message, common::Moment) {
+  state_ = Streaming{message.worker};  // what runs there finishes, whatever the rule says now (section 9.7)
   return {};
 }
 
 std::vector<QueryAction> QueryStateMachine::on(CallerGone const&, common::Moment) {
   settle("abandoned");
-  return {Abandon{}};
+  return {CancelDispatch{}};
 }
 
 std::vector<QueryAction> QueryStateMachine::on(DeadlinePassed const&, common::Moment) {
-  if (std::holds_alternative<Exposed>(state_) || std::holds_alternative<Streaming>(state_)) {
+  if (std::holds_alternative<RequestSent>(state_) || std::holds_alternative<Streaming>(state_)) {
     may_have_run_ = true;
   }
   return give_up("deadline", 504);
--- a/source/scheduling/retry_budget/retry_budget.cpp
+++ b/source/scheduling/retry_budget/retry_budget.cpp
@@ -9,23 +9,24 @@
 namespace constants = common::constants;
 
 namespace {
-constexpr common::Span slot_span = common::milliseconds(100);  // grain of the count, small beside the life
-constexpr double whole = 1.0 - 1e-9;
+// Resolution of the count, small compared with the token lifetime.
+constexpr common::Span slot_span = common::milliseconds(100);
+constexpr double one_token = 1.0 - 1e-9;  // tolerates rounding of summed fractions
 }  // namespace
 
 void RetryBudget::expire(common::Moment now) {
   for (Slot& slot : slots_) {
-    if (slot.begins + life_ > now) {
+    if (slot.begins + token_life_ > now) {
       break;
     }
-    kept_ = std::min(1.0, kept_ + slot.right);
-    slot.right = 0;
+    reserve_ = std::min(1.0, reserve_ + slot.tokens);
+    slot.tokens = 0;
   }
   while (!slots_.empty() && slots_.front().begins + constants::retry_kept_span <= now) {
     slots_.pop_front();
   }
-  if (now - last_ > constants::retry_kept_life) {
-    kept_ = 0;
+  if (now - last_arrival_ > constants::retry_kept_life) {
+    reserve_ = 0;
   }
 }
 
@@ -35,29 +36,29 @@
     slots_.push_back(Slot{now, 0, 0});
   }
   ++slots_.back().arrivals;
-  slots_.back().right += share_;
-  last_ = now;
+  slots_.back().tokens += share_;
+  last_arrival_ = now;
 }
 
-bool RetryBudget::take(common::Moment now, bool keeps) {
+bool RetryBudget::take(common::Moment now, bool may_use_reserve) {
   expire(now);
-  double young = 0;
+  double unexpired = 0;
   std::uint64_t arrivals = 0;
   for (Slot const& slot : slots_) {
-    young += slot.right;
+    unexpired += slot.tokens;
     arrivals += slot.arrivals;
   }
-  bool const comes = keeps && arrivals >= constants::retry_kept_arrivals;
-  if (young < whole && !(comes && young + kept_ >= whole)) {
+  bool const reserve_usable = may_use_reserve && arrivals >= constants::retry_kept_arrivals;
+  if (unexpired < one_token && !(reserve_usable && unexpired + reserve_ >= one_token)) {
     return false;
   }
-  double owed = 1.0;
-  for (Slot& slot : slots_) {  // the oldest right is spent first
-    double const part = std::min(slot.right, owed);
-    slot.right -= part;
-    owed -= part;
+  double needed = 1.0;
+  for (Slot& slot : slots_) {  // oldest tokens first
+    double const part = std::min(slot.tokens, needed);
+    slot.tokens -= part;
+    needed -= part;
   }
-  kept_ = std::max(0.0, kept_ - owed);
+  reserve_ = std::max(0.0, reserve_ - needed);
   return true;
 }
 
--- a/source/scheduling/retry_budget/retry_budget.hpp
+++ b/source/scheduling/retry_budget/retry_budget.hpp
@@ -10,35 +10,37 @@
 
 namespace finchlink::scheduling {
 
-/// Retries of one service in one furrow (section 9.5). Each arrival earns a
-/// small part of a retry, which dies young, so that a crowd's rights are not
-/// spent on the lull behind it. Of what dies one whole right at most is kept in
-/// a few furrows, for services too small to earn one in so short a time; it
-/// counts only while its service still comes. There is no free minimum. Since every furrow keeps
-/// to its own arrivals, the sum holds.
+/// Retry budget of one service in one proxy (section 9.5). Each arrival earns a
+/// fraction of a retry token. Unused fractions expire quickly, so that a burst of
+/// requests doesn't pay for retries in the lull after it. Of what expires, at most
+/// one whole token is kept in reserve in a few proxies, for services too small to
+/// earn one within the short lifetime; it counts only while the service still has
+/// arrivals. There is no free minimum. Since every proxy limits its retries by its
+/// own arrivals, the limit also holds for the sum over all proxies.
 class RetryBudget {
  public:
   explicit RetryBudget(double share = common::constants::retry_share, common::Span life = common::constants::retry_life)
-      : share_(share), life_(life) {}
+      : share_(share), token_life_(life) {}
   void arrived(common::Moment now);
-  /// `keeps`: this furrow is one of those that may spend a kept right.
-  [[nodiscard]] bool take(common::Moment now, bool keeps);
+  /// Takes one token, if there is one. `may_use_reserve`: this proxy is one of those that may spend the reserve.
+  [[nodiscard]] bool take(common::Moment now, bool may_use_reserve);
 
  private:
+  /// Arrivals of a short interval and the unspent tokens that they earned.
   struct Slot {
     common::Moment begins = 0;
     std::uint64_t arrivals = 0;
-    double right = 0;
+    double tokens = 0;
   };
   void expire(common::Moment now);
-  double share_;
-  common::Span life_;
+  double share_;  ///< tokens earned per arrival
+  common::Span token_life_;
   std::deque<Slot> slots_;
-  common::Moment last_ = 0;
-  double kept_ = 0;
+  common::Moment last_arrival_ = 0;
+  double reserve_ = 0;  ///< at most one token
 };
 
-/// The few furrows that may keep a right of a service, by hash over all.
+/// Whether the proxy `self` is one of the few that may keep a reserve token of the service, by hash over all proxies.
 [[nodiscard]] bool holds_reserve_token(std::string const& service, std::string const& self,
                                        std::vector<std::string> const& proxies);
 
--- a/source/scheduling/retry_budget/retry_share.hpp
+++ b/source/scheduling/retry_budget/retry_share.hpp
@@ -6,10 +6,9 @@
 
 namespace finchlink::scheduling {
 
-/// The boundary rule of section 9.5, for every judge: the worst share of
-/// retries in any ten seconds that begin with one. A window that holds fewer
-/// than twenty first dispatches is weighed with the second before it and the
-/// three kept retries (fifteen queries' worth) beside. Both lists are sorted.
+/// Returns the worst share of retries in any ten seconds that begin with a retry, which every checker of the limit of
+/// section 9.5 uses. A window with fewer than twenty first dispatches is computed with the second before it and with
+/// the three reserve retries (fifteen queries' worth) added to its dispatches. Both lists are sorted.
 [[nodiscard]] double worst_retry_share(std::vector<common::Moment> const& firsts,
                                        std::vector<common::Moment> const& retries);
 
--- a/source/scheduling/retry_quota/retry_quota.cpp
+++ b/source/scheduling/retry_quota/retry_quota.cpp
@@ -8,25 +8,25 @@
 
 namespace constants = common::constants;
 
-void RetryQuota::bound(double ratio, double slack, double proxies) {
-  earned_ = ratio * constants::retry_quota_ratio_part;
-  most_ = std::max(1.0, slack * constants::retry_quota_slack_part / std::max(1.0, proxies));
-  if (!begun_) {
-    begun_ = true;
-    retry_quota_ = most_ / 2;
+void RetryQuota::set_limits(double ratio, double slack, double proxies) {
+  tokens_per_arrival_ = ratio * constants::retry_quota_ratio_part;
+  capacity_ = std::max(1.0, slack * constants::retry_quota_slack_part / std::max(1.0, proxies));
+  if (!initialized_) {
+    initialized_ = true;
+    tokens_ = capacity_ / 2;
   }
-  retry_quota_ = std::min(retry_quota_, most_);
+  tokens_ = std::min(tokens_, capacity_);
 }
 
 void RetryQuota::arrived() {
-  retry_quota_ = std::min(most_, retry_quota_ + earned_);
+  tokens_ = std::min(capacity_, tokens_ + tokens_per_arrival_);
 }
 
 bool RetryQuota::take() {
-  if (retry_quota_ < 1) {
+  if (tokens_ < 1) {
     return false;
   }
-  retry_quota_ -= 1;
+  tokens_ -= 1;
   return true;
 }
 
--- a/source/scheduling/route_table/route_table.cpp
+++ b/source/scheduling/route_table/route_table.cpp
@@ -3,7 +3,8 @@
 namespace finchlink::scheduling {
 
 namespace {
-std::string lowered(std::string_view host) {
+/// The host in lower case and without its port.
+std::string normalize_host(std::string_view host) {
   std::string text(host.substr(0, host.find(':')));
   for (char& letter : text) {
     letter = static_cast<char>(letter >= 'A' && letter <= 'Z' ? letter - 'A' + 'a' : letter);
@@ -15,11 +16,11 @@
 RouteTable::RouteTable(schema::Charter routing_config) : routing_config_(std::move(routing_config)) {
   for (std::size_t index = 0; index < routing_config_.lanes.size(); ++index) {
     schema::Lane const& route = routing_config_.lanes[index];
-    by_place_[lowered(route.host) + " " + route.prefix] = index;
+    by_host_and_prefix_[normalize_host(route.host) + " " + route.prefix] = index;
     isolated_ = isolated_ || route.tenancy.has_value();
     for (schema::Share const& share : route.shares) {
       if (share.weight > 0 && !route.home_regions.empty()) {
-        claims_[share.service].insert(route.home_regions.begin(), route.home_regions.end());
+        home_regions_in_use_[share.service].insert(route.home_regions.begin(), route.home_regions.end());
       }
     }
   }
@@ -32,18 +33,18 @@
 }
 
 schema::Lane const* RouteTable::find(std::string_view host, std::string_view path) const {
-  std::string key = lowered(host) + " ";
+  std::string key = normalize_host(host) + " ";
   std::size_t const lead = key.size();
   key += path.substr(0, path.find('?'));
-  // Prefixes end in a slash: only the cuts behind slashes can be one.
+  // Prefixes end in a slash, so only the path cut after each slash is looked up.
   while (key.size() > lead) {
     std::size_t const slash = key.rfind('/');
     if (slash == std::string::npos || slash < lead) {
       return nullptr;
     }
     key.resize(slash + 1);
-    tsl::robin_map<std::string, std::size_t>::const_iterator const found = by_place_.find(key);
-    if (found != by_place_.end()) {
+    tsl::robin_map<std::string, std::size_t>::const_iterator const found = by_host_and_prefix_.find(key);
+    if (found != by_host_and_prefix_.end()) {
       return &routing_config_.lanes[found->second];
     }
     key.resize(slash);
--- a/source/scheduling/route_table/route_table.hpp
+++ b/source/scheduling/route_table/route_table.hpp
@@ -12,35 +12,37 @@
 
 namespace finchlink::scheduling {
 
-using Claims = std::map<std::string, std::set<std::string>>;
+/// Home regions in use, by service.
+using HomeRegionsInUse = std::map<std::string, std::set<std::string>>;
 
-/// A charter made ready for looking up lanes by host and longest prefix
-/// (section 13.1); never changed once made. Idle lanes cost memory only.
+/// A routing configuration indexed for lookups of routes by host and longest prefix
+/// (section 13.1); immutable once built. Idle routes cost memory only.
 class RouteTable {
  public:
   explicit RouteTable(schema::Charter routing_config);
   RouteTable(RouteTable const&) = delete;
   RouteTable& operator=(RouteTable const&) = delete;
-  /// The lane of that host with the longest prefix that begins the path; none: nullptr.
+  /// The route of that host with the longest prefix of the path, or nullptr. The table owns it.
   [[nodiscard]] schema::Lane const* find(std::string_view host, std::string_view path) const;
-  /// A lane that its own host and prefix don't lead to, so that nobody can reach it; none: nullptr.
+  /// A route that a lookup of its own host and prefix doesn't return, so that no request can reach it, or nullptr.
   [[nodiscard]] schema::Lane const* unreachable() const;
+  /// The service of that name, or nullptr.
   [[nodiscard]] schema::Service const* service(std::string_view name) const;
-  /// What the charter says of a tenant; nothing: nullptr.
+  /// The tenant's entry in the routing configuration, or nullptr.
   [[nodiscard]] schema::Tenant const* tenant(std::string_view name) const;
-  /// Does any lane have tenants? Where none has, nothing is paid for walls.
+  /// Whether any route has tenants. If none has, prompt isolation costs nothing.
   [[nodiscard]] bool isolated() const { return isolated_; }
   [[nodiscard]] schema::Charter const& routing_config() const { return routing_config_; }
-  /// By service: regions that some lane calls home (section 13.14).
-  [[nodiscard]] Claims const& claims() const { return claims_; }
+  /// By service: the regions that are a home region of some route (section 13.14).
+  [[nodiscard]] HomeRegionsInUse const& claims() const { return home_regions_in_use_; }
 
  private:
   schema::Charter routing_config_;
-  tsl::robin_map<std::string, std::size_t> by_place_;  ///< host, blank, prefix
+  tsl::robin_map<std::string, std::size_t> by_host_and_prefix_;  ///< key: host, space, prefix
   tsl::robin_map<std::string, std::size_t> by_service_;
   tsl::robin_map<std::string, std::size_t> by_tenant_;
   bool isolated_ = false;
-  Claims claims_;
+  HomeRegionsInUse home_regions_in_use_;
 };
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/stall_detection/stall_detector.cpp
+++ b/source/scheduling/stall_detection/stall_detector.cpp
@@ -30,29 +30,29 @@
   return WaitUntil{due};
 }
 
-StallAction StallDetector::rang(common::Moment heard_at, common::Moment now) {
+StallAction StallDetector::timer_fired(common::Moment heard_at, common::Moment now) {
   if (now < due_) {
     return WaitUntil{due_};
   }
   if (state_ == State::probing) {
-    return GiveUp{};  // it didn't take the connection in time
+    return GiveUp{};  // the connection wasn't accepted in time
   }
-  common::Span const silent = now - since_;
-  if (now - heard_at < constants::alive_span && silent < 2 * bound()) {
+  common::Span const stalled_for = now - since_;
+  if (now - heard_at < constants::alive_span && stalled_for < 2 * bound()) {
     return wait_until(now + constants::alive_step);
   }
   if (!guards_.give_up) {
     return wait_until(now + bound());
   }
-  if (!guards_.probe || !long_prompt() || silent >= constants::silence_bounds_most * bound()) {
+  if (!guards_.probe || !long_prompt() || stalled_for >= constants::silence_bounds_most * bound()) {
     return GiveUp{};
   }
   state_ = State::probing;
-  due_ = now + (terms_.near ? constants::relay_connect_near : constants::relay_connect_deadline);
+  due_ = now + (terms_.same_region ? constants::relay_connect_near : constants::relay_connect_deadline);
   return ProbeWorker{due_};
 }
 
-StallAction StallDetector::probed(bool connected, common::Moment now) {
+StallAction StallDetector::probe_finished(bool connected, common::Moment now) {
   if (state_ != State::probing) {
     return WaitUntil{due_};
   }
--- a/source/scheduling/stall_detection/stall_detector.hpp
+++ b/source/scheduling/stall_detection/stall_detector.hpp
@@ -8,45 +8,47 @@
 
 /// What is known of an attempt when the wait for its worker's next bytes begins (section 13.8).
 struct StallTerms {
-  double set_point_ms = 0;       ///< of the lane, or of its pauses once a stream has begun; 0: not told
-  double predicted_seconds = 0;  ///< to the first token, as placement predicted it
-  double prompt_tokens = 0;      ///< whole prompt, kept parts included
-  bool near = true;              ///< the worker stands in the own region
+  double set_point_ms = 0;       ///< of the route, or of its gaps once a stream has begun; 0: not configured
+  double predicted_seconds = 0;  ///< time to first token, as placement predicted it
+  double prompt_tokens = 0;      ///< whole prompt, cached parts included
+  bool same_region = true;       ///< the worker is in this proxy's region
 };
 
-/// Rules that tests and measurements switch off to show what they are worth.
+/// Rules that tests and measurements disable to show their effect.
 struct StallGuards {
-  bool give_up = true;  ///< another worker may be asked
-  bool probe = true;    ///< a long prompt's worker is connected to before it is given up
+  bool give_up = true;  ///< a stalled worker is given up for another one
+  bool probe = true;    ///< the worker of a long prompt is probed by a connection before it is given up
 };
 
-/// Look again at that moment.
+/// Call timer_fired() at that moment.
 struct WaitUntil {
   common::Moment due = 0;
 };
-/// Connect to the worker; until `due` that counts as failed.
+/// Connect to the worker; the probe counts as failed if it isn't connected by `due`.
 struct ProbeWorker {
   common::Moment due = 0;
 };
-/// Nothing more is waited for; another worker may be asked.
+/// Stop waiting; the query may be sent to another worker.
 struct GiveUp {};
 using StallAction = std::variant<WaitUntil, ProbeWorker, GiveUp>;
 
-/// How long one attempt waits for a silent worker: plain state, every message carries its moment.
+/// Decides how long one attempt waits for a stalled worker. Holds state only; the caller passes the time with each
+/// call.
 ///
-/// Giving up on a long prompt has another worker read all of it. That holds up every stream there, so that it falls
-/// silent too: under load such retries feed themselves. Hence the worker of a long prompt is connected to first. One
-/// that takes the connection is busy and is waited for, with a further probe after each bound, until only a request
-/// that is stuck explains the silence; one that doesn't is lost, and is given up at once.
+/// Giving up on a long prompt makes another worker read all of it. That delays every stream there, so that the other
+/// worker stalls too: under load such retries cause more retries. Hence the worker of a long prompt is probed with a
+/// connection first. A worker that accepts it is busy and is waited for, with a further probe after each bound, until
+/// only a stuck request explains the stall; a worker that doesn't accept it is lost and is given up at once.
 class StallDetector {
  public:
   explicit StallDetector(StallGuards guards = {}) : guards_(guards) {}
-  /// The request, or bytes of its answer, went through just now.
+  /// Starts the wait: the request was sent, or bytes of its response arrived just now.
   [[nodiscard]] WaitUntil begin(StallTerms const& terms, common::Moment now);
-  /// The moment of the last action has come. `heard_at`: when any request had bytes from this worker.
-  [[nodiscard]] StallAction rang(common::Moment heard_at, common::Moment now);
-  /// The probe ended before its moment; a late end of an earlier one changes nothing.
-  [[nodiscard]] StallAction probed(bool connected, common::Moment now);
+  /// The moment of the last action has come. `heard_at`: when any request last had bytes from this worker.
+  [[nodiscard]] StallAction timer_fired(common::Moment heard_at, common::Moment now);
+  /// The probe ended before its moment; a late result of an earlier probe changes nothing.
+  [[nodiscard]] StallAction probe_finished(bool connected, common::Moment now);
+  /// When the current wait began.
   [[nodiscard]] common::Moment since() const { return since_; }
 
  private:
--- a/source/tests/scheduling/first_hold_test.cpp
+++ b/source/tests/scheduling/first_hold_test.cpp
@@ -7,7 +7,7 @@
 
 namespace constants = common::constants;
 
-TEST(FirstHold, IsAPartOfWhatTheCallerHasLeftAndEndsWithTheStart) {
+TEST(FirstHold, IsAFractionOfTheRemainingTimeAndEndsAfterStartup) {
   common::Span const longest = constants::routing_config_hold;
   EXPECT_EQ(scheduling::first_hold(longest, 0, common::seconds(8)), longest);
   EXPECT_EQ(scheduling::first_hold(longest, 0, common::milliseconds(2500)), common::milliseconds(500));
--- a/source/tests/scheduling/outlier_detector_test.cpp
+++ b/source/tests/scheduling/outlier_detector_test.cpp
@@ -11,136 +11,138 @@
 
 constexpr common::Moment start = common::seconds(1000);
 
-Subject subject(std::string const& worker) {
-  return Subject{worker, "east/web", "north"};
+WorkerInfo info(std::string const& worker) {
+  return WorkerInfo{worker, "east/web", "north"};
 }
-bool open(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
-  return std::holds_alternative<Open>(detector.verdict(worker, now));
+bool available(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
+  return std::holds_alternative<Available>(detector.eligibility(worker, now));
 }
-bool on_trial(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
-  return std::holds_alternative<OnTrial>(detector.verdict(worker, now));
+bool on_probation(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
+  return std::holds_alternative<OnProbation>(detector.eligibility(worker, now));
 }
-bool resting(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
-  return std::holds_alternative<Resting>(detector.verdict(worker, now));
+bool unavailable(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
+  return std::holds_alternative<Unavailable>(detector.eligibility(worker, now));
 }
-/// When its rest is over.
-common::Moment rested(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
-  Verdict const verdict = detector.verdict(worker, now);
-  Resting const* const rest = std::get_if<Resting>(&verdict);
-  return rest == nullptr ? now : rest->until;
+/// When the worker becomes available again.
+common::Moment unavailable_until(OutlierDetector const& detector, OutlierDetector::Handle worker, common::Moment now) {
+  Eligibility const eligibility = detector.eligibility(worker, now);
+  Unavailable const* const found = std::get_if<Unavailable>(&eligibility);
+  return found == nullptr ? now : found->until;
 }
-bool forgets(std::vector<OutlierAction> const& actions) {
-  return actions.size() == 1 && std::holds_alternative<MayHaveForgotten>(actions.front());
+bool reports_cache_loss(std::vector<OutlierAction> const& actions) {
+  return actions.size() == 1 && std::holds_alternative<CacheMayBeLost>(actions.front());
 }
 
-TEST(OutlierDetector, ADefectMakesARestThenATrialThatBytesEnd) {
+TEST(OutlierDetector, AFailureEjectsThenProbationUntilBytesArrive) {
   for (Outcome const outcome : {Outcome::failure, Outcome::unreachable}) {
     OutlierDetector detector;
-    OutlierDetector::Handle const worker = detector.admit(subject("a"));
-    EXPECT_TRUE(open(detector, worker, start));
-    EXPECT_TRUE(forgets(detector.take(worker, Ended{1, outcome}, start)));
-    EXPECT_EQ(rested(detector, worker, start), start + constants::worker_rest_least);
+    OutlierDetector::Handle const worker = detector.add_worker(info("a"));
+    EXPECT_TRUE(available(detector, worker, start));
+    EXPECT_TRUE(reports_cache_loss(detector.record_evidence(worker, DispatchEnded{1, outcome}, start)));
+    EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::worker_rest_least);
     common::Moment const after = start + constants::worker_rest_least;
-    EXPECT_TRUE(on_trial(detector, worker, after));
-    EXPECT_TRUE(detector.take(worker, Ended{2, Outcome::abandoned}, after).empty());
-    EXPECT_TRUE(on_trial(detector, worker, after));  // who went away says nothing
-    EXPECT_TRUE(detector.take(worker, Heard{}, after).empty());
-    EXPECT_TRUE(open(detector, worker, after));
+    EXPECT_TRUE(on_probation(detector, worker, after));
+    EXPECT_TRUE(detector.record_evidence(worker, DispatchEnded{2, Outcome::abandoned}, after).empty());
+    EXPECT_TRUE(on_probation(detector, worker, after));  // an abandoned query is no evidence
+    EXPECT_TRUE(detector.record_evidence(worker, BytesReceived{}, after).empty());
+    EXPECT_TRUE(available(detector, worker, after));
   }
 }
 
-TEST(OutlierDetector, RefusalsAndAnotherAtItsAddressRestWithoutATrial) {
+TEST(OutlierDetector, RefusalsAndMisdirectionPauseWithoutProbation) {
   OutlierDetector detector;
-  OutlierDetector::Handle const worker = detector.admit(subject("a"));
-  EXPECT_TRUE(detector.take(worker, Ended{1, Outcome::refused}, start).empty());
-  EXPECT_EQ(rested(detector, worker, start), start + constants::refused_rest);
-  EXPECT_TRUE(open(detector, worker, start + constants::refused_rest));
-  EXPECT_TRUE(forgets(detector.take(worker, Ended{2, Outcome::misdirected}, start)));
-  EXPECT_EQ(rested(detector, worker, start), start + constants::worker_rest_most);
-  EXPECT_TRUE(open(detector, worker, start + constants::worker_rest_most));
+  OutlierDetector::Handle const worker = detector.add_worker(info("a"));
+  EXPECT_TRUE(detector.record_evidence(worker, DispatchEnded{1, Outcome::refused}, start).empty());
+  EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::refused_rest);
+  EXPECT_TRUE(available(detector, worker, start + constants::refused_rest));
+  EXPECT_TRUE(reports_cache_loss(detector.record_evidence(worker, DispatchEnded{2, Outcome::misdirected}, start)));
+  EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::worker_rest_most);
+  EXPECT_TRUE(available(detector, worker, start + constants::worker_rest_most));
 }
 
 TEST(OutlierDetector, OverdueIsTheOldestDispatchWithoutAFirstToken) {
   OutlierDetector detector;
-  OutlierDetector::Handle const worker = detector.admit(subject("a"));
+  OutlierDetector::Handle const worker = detector.add_worker(info("a"));
   common::Moment const due = start + common::seconds(1);
-  EXPECT_TRUE(detector.take(worker, Sent{1, due}, start).empty());
-  EXPECT_TRUE(detector.take(worker, Sent{2, due + common::seconds(1)}, start).empty());
+  EXPECT_TRUE(detector.record_evidence(worker, DispatchSent{1, due}, start).empty());
+  EXPECT_TRUE(detector.record_evidence(worker, DispatchSent{2, due + common::seconds(1)}, start).empty());
   common::Moment const late = due + constants::overdue_slack + common::seconds(3);
   EXPECT_DOUBLE_EQ(detector.overdue(worker, start), 0);
   EXPECT_DOUBLE_EQ(detector.overdue(worker, late), 3);
-  EXPECT_TRUE(detector.awaits(worker, 1));
-  EXPECT_TRUE(detector.take(worker, FirstToken{1}, late).empty());
-  EXPECT_FALSE(detector.awaits(worker, 1));
+  EXPECT_TRUE(detector.awaits_first_token(worker, 1));
+  EXPECT_TRUE(detector.record_evidence(worker, FirstTokenReceived{1}, late).empty());
+  EXPECT_FALSE(detector.awaits_first_token(worker, 1));
   EXPECT_DOUBLE_EQ(detector.overdue(worker, late), 2);
-  EXPECT_TRUE(detector.take(worker, Ended{2, Outcome::success}, late).empty());
+  EXPECT_TRUE(detector.record_evidence(worker, DispatchEnded{2, Outcome::success}, late).empty());
   EXPECT_DOUBLE_EQ(detector.overdue(worker, late), 0);
 }
 
-TEST(OutlierDetector, TwoOfAHallOutOfReachSpeakAgainstThoseNotHeardSince) {
+TEST(OutlierDetector, TwoUnreachableWorkersMakeTheirZoneSuspectUntilHeard) {
   for (bool const guarded : {true, false}) {
     OutlierDetector detector(OutlierGuards{.zone_suspicion = guarded});
     std::vector<OutlierDetector::Handle> workers;
     for (char const* const name : {"a", "b", "c", "d"}) {
-      workers.push_back(detector.admit(subject(name)));
+      workers.push_back(detector.add_worker(info(name)));
     }
-    OutlierDetector::Handle const other = detector.admit(Subject{"e", "east/web", "south"});
-    (void)detector.take(workers[0], Ended{1, Outcome::unreachable}, start);
-    EXPECT_FALSE(detector.zone_dark(workers[2], start));
-    (void)detector.take(workers[1], Ended{2, Outcome::unreachable}, start);
-    (void)detector.take(workers[3], Heard{}, start);
-    EXPECT_EQ(detector.zone_dark(workers[2], start + 1), guarded);
-    EXPECT_FALSE(detector.zone_dark(workers[3], start + 1));  // it was heard
-    EXPECT_FALSE(detector.zone_dark(other, start + 1));
-    EXPECT_FALSE(detector.zone_dark(workers[2], start + constants::dark_memory));
-    (void)detector.take(workers[2], Ended{3, Outcome::success}, start + 1);
-    EXPECT_FALSE(detector.zone_dark(workers[0], start + 1));  // a good answer from there ends it
+    OutlierDetector::Handle const other = detector.add_worker(WorkerInfo{"e", "east/web", "south"});
+    (void)detector.record_evidence(workers[0], DispatchEnded{1, Outcome::unreachable}, start);
+    EXPECT_FALSE(detector.zone_suspected(workers[2], start));
+    (void)detector.record_evidence(workers[1], DispatchEnded{2, Outcome::unreachable}, start);
+    (void)detector.record_evidence(workers[3], BytesReceived{}, start);
+    EXPECT_EQ(detector.zone_suspected(workers[2], start + 1), guarded);
+    EXPECT_FALSE(detector.zone_suspected(workers[3], start + 1));  // it sent bytes
+    EXPECT_FALSE(detector.zone_suspected(other, start + 1));
+    EXPECT_FALSE(detector.zone_suspected(workers[2], start + constants::dark_memory));
+    (void)detector.record_evidence(workers[2], DispatchEnded{3, Outcome::success}, start + 1);
+    EXPECT_FALSE(detector.zone_suspected(workers[0], start + 1));  // a success in the zone ends the suspicion
   }
 }
 
-TEST(OutlierDetector, AHandleIsAWorkersUntilItIsDismissed) {
+TEST(OutlierDetector, AHandleBelongsToAWorkerUntilItIsRemoved) {
   OutlierDetector detector;
-  OutlierDetector::Handle const worker = detector.admit(subject("a"));
-  (void)detector.take(worker, Ended{1, Outcome::failure}, start);
-  EXPECT_EQ(detector.admit(subject("a")), worker);
-  EXPECT_TRUE(resting(detector, worker, start));
-  detector.dismiss("a");
-  detector.dismiss("nobody");
-  EXPECT_EQ(detector.admit(subject("b")), worker);
-  EXPECT_TRUE(open(detector, worker, start));  // nothing of the one before is left
-  EXPECT_TRUE(open(detector, detector.admit(subject("a")), start));
+  OutlierDetector::Handle const worker = detector.add_worker(info("a"));
+  (void)detector.record_evidence(worker, DispatchEnded{1, Outcome::failure}, start);
+  EXPECT_EQ(detector.add_worker(info("a")), worker);
+  EXPECT_TRUE(unavailable(detector, worker, start));
+  detector.remove_worker("a");
+  detector.remove_worker("nobody");
+  EXPECT_EQ(detector.add_worker(info("b")), worker);
+  EXPECT_TRUE(available(detector, worker, start));  // no state of the previous worker is left
+  EXPECT_TRUE(available(detector, detector.add_worker(info("a")), start));
 }
 
-TEST(OutlierDetector, NeverTooManyOfAPoolRestAndThenTheLeastBadServe) {
+TEST(OutlierDetector, AtMostTheEjectionShareOfAPoolIsEjectedAndTheLeastBadServe) {
   for (bool const guarded : {true, false}) {
     for (std::size_t const size : {3u, 6u, 10u, 51u}) {
       OutlierDetector detector(OutlierGuards{.ejection_bound = guarded});
       std::vector<OutlierDetector::Handle> workers;
       for (std::size_t index = 0; index < size; ++index) {
-        workers.push_back(detector.admit(subject("w" + std::to_string(index))));
+        workers.push_back(detector.add_worker(info("w" + std::to_string(index))));
       }
-      OutlierDetector::Handle const elsewhere = detector.admit(Subject{"other", "west/web", "far"});
-      // The first worker was bad first, so its pause ends first: it is the least bad.
+      OutlierDetector::Handle const elsewhere = detector.add_worker(WorkerInfo{"other", "west/web", "far"});
+      // The first worker failed first, so its ejection ends first: it is the least bad.
       for (std::size_t index = 0; index < size; ++index) {
-        (void)detector.take(workers[index], Ended{index, Outcome::failure}, start + static_cast<common::Moment>(index));
+        (void)detector.record_evidence(workers[index], DispatchEnded{index, Outcome::failure},
+                                       start + static_cast<common::Moment>(index));
       }
       common::Moment const now = start + static_cast<common::Moment>(size);
-      std::size_t rest = 0;
+      std::size_t ejected_count = 0;
       for (OutlierDetector::Handle const worker : workers) {
-        rest += resting(detector, worker, now) ? 1 : 0;
-        EXPECT_EQ(detector.ejected(worker, now), resting(detector, worker, now));
+        ejected_count += unavailable(detector, worker, now) ? 1 : 0;
+        EXPECT_EQ(detector.ejected(worker, now), unavailable(detector, worker, now));
       }
-      EXPECT_EQ(rest, guarded ? static_cast<std::size_t>(constants::ejection_share * static_cast<double>(size)) : size)
+      EXPECT_EQ(ejected_count,
+                guarded ? static_cast<std::size_t>(constants::ejection_share * static_cast<double>(size)) : size)
           << size;
-      EXPECT_EQ(on_trial(detector, workers.front(), now), guarded);
-      EXPECT_TRUE(resting(detector, workers.back(), now));
-      // Another pool's worker is judged by its own pool alone.
-      EXPECT_TRUE(open(detector, elsewhere, now));
-      // One that leaves makes the pool smaller, not the others worse.
+      EXPECT_EQ(on_probation(detector, workers.front(), now), guarded);
+      EXPECT_TRUE(unavailable(detector, workers.back(), now));
+      // A worker of another pool is evaluated by its own pool only.
+      EXPECT_TRUE(available(detector, elsewhere, now));
+      // A worker that stops serving makes the pool smaller, and no other worker worse.
       for (std::size_t index = 1; index < size; ++index) {
-        (void)detector.admit(Subject{"w" + std::to_string(index), "east/web", "north", false});
+        (void)detector.add_worker(WorkerInfo{"w" + std::to_string(index), "east/web", "north", false});
       }
-      EXPECT_TRUE(resting(detector, workers.front(), now));  // alone it rests for its own sake
+      EXPECT_TRUE(unavailable(detector, workers.front(), now));  // alone in its pool, it stays ejected
     }
   }
 }
--- a/source/tests/scheduling/route_table_test.cpp
+++ b/source/tests/scheduling/route_table_test.cpp
@@ -23,7 +23,7 @@
   return entry == nullptr ? "" : entry->name;
 }
 
-TEST(Lanes, LongestPrefixOfTheHostDecides) {
+TEST(RouteTable, LongestPrefixOfTheHostDecides) {
   schema::Charter routing_config;
   routing_config.lanes = {route("short", "a.example", "/x/"), route("long", "a.example", "/x/y/"),
                           route("other", "b.example", "/x/y/z/"), route("root", "c.example", "/")};
@@ -31,7 +31,7 @@
   EXPECT_EQ(found(route_table, "a.example", "/x/1"), "short");
   EXPECT_EQ(found(route_table, "a.example", "/x/y/1"), "long");
   EXPECT_EQ(found(route_table, "a.example", "/x/y/z/1"), "long");
-  EXPECT_EQ(found(route_table, "a.example", "/x/y"), "short");  // the prefix's own slash is missing
+  EXPECT_EQ(found(route_table, "a.example", "/x/y"), "short");  // lacks the slash that ends the longer prefix
   EXPECT_EQ(found(route_table, "a.example", "/x/"), "short");
   EXPECT_EQ(found(route_table, "a.example", "/x"), "");
   EXPECT_EQ(found(route_table, "a.example", "/"), "");
@@ -40,19 +40,19 @@
   EXPECT_EQ(found(route_table, "d.example", "/x/1"), "");
 }
 
-TEST(Lanes, HostHasNoCaseAndNoPortAndTheQuestionIsNoPartOfThePath) {
+TEST(RouteTable, HostIgnoresCaseAndPortAndThePathExcludesTheQuery) {
   schema::Charter routing_config;
   routing_config.lanes = {route("one", "Host.Example", "/x/")};
   RouteTable const route_table(routing_config);
   EXPECT_EQ(found(route_table, "hOST.eXAMPLE:8080", "/x/1"), "one");
   EXPECT_EQ(found(route_table, "host.example", "/x/1?next=/y/"), "one");
   EXPECT_EQ(found(route_table, "host.example", "/?path=/x/1"), "");
-  EXPECT_EQ(found(route_table, "host.example", "/X/1"), "");  // paths have case
+  EXPECT_EQ(found(route_table, "host.example", "/X/1"), "");  // paths are case-sensitive
   EXPECT_EQ(found(route_table, "", ""), "");
   EXPECT_EQ(found(route_table, "host.example", "*"), "");
 }
 
-TEST(Lanes, RegionsThatAreSomeLanesHomeAreClaimedForItsServices) {
+TEST(RouteTable, HomeRegionsOfARouteAreInUseForItsServices) {
   schema::Charter routing_config;
   schema::Lane at_home = route("at home", "a.example", "/x/");
   at_home.home_regions = {"dublin"};
@@ -63,7 +63,7 @@
   EXPECT_EQ(route_table.claims().at("pool"), std::set<std::string>{"dublin"});
 }
 
-TEST(Lanes, ServicesAreFoundByName) {
+TEST(RouteTable, ServicesAreFoundByName) {
   schema::Charter routing_config;
   schema::Service service;
   service.name = "web";
@@ -75,8 +75,8 @@
   EXPECT_EQ(route_table.service("we"), nullptr);
 }
 
-/// The most that may go out in any window: ratio x arrivals + slack, summed.
-TEST(RetryQuota, SumOverAllFurrowsStaysBelowTheBound) {
+/// Limit of the sum over all proxies in any window: ratio x arrivals + slack.
+TEST(RetryQuota, SumOverAllProxiesStaysBelowTheLimit) {
   double const ratio = 0.2;
   double const slack = 64;
   for (std::size_t const proxies : {1u, 3u, 12u, 40u}) {
@@ -85,7 +85,7 @@
     std::size_t taken = 0;
     for (std::size_t round = 0; round < 30; ++round) {
       for (RetryQuota& retry_quota : all) {
-        retry_quota.bound(ratio, slack, static_cast<double>(proxies));
+        retry_quota.set_limits(ratio, slack, static_cast<double>(proxies));
         retry_quota.arrived();
         ++arrivals;
         while (retry_quota.take()) {
@@ -98,9 +98,9 @@
   }
 }
 
-TEST(RetryQuota, WhatIsSavedUpIsBoundedByTheSlack) {
+TEST(RetryQuota, SavedTokensAreLimitedByTheSlack) {
   RetryQuota retry_quota;
-  retry_quota.bound(0.2, 64, 4);
+  retry_quota.set_limits(0.2, 64, 4);
   for (int arrival = 0; arrival < 100000; ++arrival) {
     retry_quota.arrived();
   }
@@ -108,7 +108,7 @@
   while (retry_quota.take()) {
     ++taken;
   }
-  EXPECT_LE(taken, 16);  // its even part
+  EXPECT_LE(taken, 16);  // its equal portion of the slack
   EXPECT_FALSE(retry_quota.available());
   for (int arrival = 0; arrival < 10; ++arrival) {
     retry_quota.arrived();
@@ -117,16 +117,16 @@
   while (retry_quota.take()) {
     ++taken;
   }
-  EXPECT_LE(taken, 2);  // a fifth of ten
+  EXPECT_LE(taken, 2);  // a fifth of ten arrivals
 }
 
-TEST(RetryQuota, MoreFurrowsTakeAwayWhatWasSaved) {
+TEST(RetryQuota, MoreProxiesReduceSavedTokens) {
   RetryQuota retry_quota;
-  retry_quota.bound(0.2, 64, 1);
+  retry_quota.set_limits(0.2, 64, 1);
   for (int arrival = 0; arrival < 1000; ++arrival) {
     retry_quota.arrived();
   }
-  retry_quota.bound(0.2, 64, 32);
+  retry_quota.set_limits(0.2, 64, 32);
   int taken = 0;
   while (retry_quota.take()) {
     ++taken;
@@ -136,35 +136,35 @@
 
 TEST(RetryQuota, NoneAtTheStartWithoutSlack) {
   RetryQuota retry_quota;
-  retry_quota.bound(0.2, 0, 1);
+  retry_quota.set_limits(0.2, 0, 1);
   EXPECT_FALSE(retry_quota.available());
   EXPECT_FALSE(retry_quota.take());
 }
 
 TEST(PromptCacheEstimate, APartCountsOnlyBehindAllPartsBeforeIt) {
-  PromptCacheEstimate reuse(100000);
-  reuse.remember({PromptPart{1, 800}, PromptPart{2, 410}, PromptPart{3, 250}});
-  EXPECT_EQ(reuse.match({PromptPart{1, 800}, PromptPart{2, 410}, PromptPart{4, 100}}), 1210);
-  EXPECT_EQ(reuse.match({PromptPart{1, 800}, PromptPart{3, 250}}), 800);  // behind another part it was read anew
-  EXPECT_EQ(reuse.match({PromptPart{2, 410}, PromptPart{3, 250}}), 0);
-  EXPECT_EQ(reuse.match({}), 0);
-  reuse.clear();
-  EXPECT_EQ(reuse.match({PromptPart{1, 800}}), 0);
+  PromptCacheEstimate estimate(100000);
+  estimate.remember({PromptPart{1, 800}, PromptPart{2, 410}, PromptPart{3, 250}});
+  EXPECT_EQ(estimate.match({PromptPart{1, 800}, PromptPart{2, 410}, PromptPart{4, 100}}), 1210);
+  EXPECT_EQ(estimate.match({PromptPart{1, 800}, PromptPart{3, 250}}), 800);  // cached only behind part 2
+  EXPECT_EQ(estimate.match({PromptPart{2, 410}, PromptPart{3, 250}}), 0);
+  EXPECT_EQ(estimate.match({}), 0);
+  estimate.clear();
+  EXPECT_EQ(estimate.match({PromptPart{1, 800}}), 0);
 }
 
 TEST(PromptCacheEstimate, ForgetsTheOldestAndKeepsWhatIsUsed) {
-  PromptCacheEstimate reuse(2000);
+  PromptCacheEstimate estimate(2000);
   for (std::uint64_t session = 0; session < 50; ++session) {
-    reuse.remember({PromptPart{1, 500}, PromptPart{100 + session, 100}});
+    estimate.remember({PromptPart{1, 500}, PromptPart{100 + session, 100}});
   }
-  EXPECT_EQ(reuse.match({PromptPart{1, 500}}), 500);                        // in every query
-  EXPECT_EQ(reuse.match({PromptPart{1, 500}, PromptPart{100, 100}}), 500);  // long ago
-  EXPECT_EQ(reuse.match({PromptPart{1, 500}, PromptPart{149, 100}}), 600);  // just now
+  EXPECT_EQ(estimate.match({PromptPart{1, 500}}), 500);                        // used by every query
+  EXPECT_EQ(estimate.match({PromptPart{1, 500}, PromptPart{100, 100}}), 500);  // long ago
+  EXPECT_EQ(estimate.match({PromptPart{1, 500}, PromptPart{149, 100}}), 600);  // just now
   double kept = 0;
   for (std::uint64_t session = 0; session < 50; ++session) {
-    kept += reuse.match({PromptPart{1, 500}, PromptPart{100 + session, 100}}) - 500;
+    kept += estimate.match({PromptPart{1, 500}, PromptPart{100 + session, 100}}) - 500;
   }
-  EXPECT_LE(kept, 2000);  // never more than the memory holds
+  EXPECT_LE(kept, 2000);  // never more than the capacity
 }
 
 }  // namespace
--- a/source/tests/scheduling/stall_detector_test.cpp
+++ b/source/tests/scheduling/stall_detector_test.cpp
@@ -14,83 +14,83 @@
 using scheduling::StallDetector;
 using scheduling::WaitUntil;
 
-constexpr common::Moment never = -common::seconds(100);  // the worker was not heard of late
+constexpr common::Moment never = -common::seconds(100);  // no bytes from the worker recently
 constexpr common::Moment sent = common::seconds(1);
 constexpr common::Moment first_bound = sent + common::milliseconds(480);
 
-bool gives_up(StallAction const& action) {
+bool is_give_up(StallAction const& action) {
   return std::holds_alternative<GiveUp>(action);
 }
 
-TEST(StallDetector, AShortPromptIsAskedElsewhereWhileItsSetPointCanBeMet) {
-  StallDetector watch;
-  EXPECT_EQ(watch.begin({800, 0.05, 300, true}, sent).due, first_bound);
-  EXPECT_TRUE(gives_up(watch.rang(never, first_bound)));
+TEST(StallDetector, AShortPromptIsGivenUpAtTheFirstBound) {
+  StallDetector detector;
+  EXPECT_EQ(detector.begin({800, 0.05, 300, true}, sent).due, first_bound);
+  EXPECT_TRUE(is_give_up(detector.timer_fired(never, first_bound)));
 }
 
 TEST(StallDetector, TheBoundIsTwiceWhatWasPredictedIfThatIsLonger) {
-  StallDetector watch;
-  EXPECT_EQ(watch.begin({800, 0.5, 300, true}, sent).due, sent + common::seconds(1));
-  EXPECT_EQ(watch.begin({0, 0, 300, true}, sent).due, sent + common::milliseconds(600));
+  StallDetector detector;
+  EXPECT_EQ(detector.begin({800, 0.5, 300, true}, sent).due, sent + common::seconds(1));
+  EXPECT_EQ(detector.begin({0, 0, 300, true}, sent).due, sent + common::milliseconds(600));
 }
 
-TEST(StallDetector, AWorkerThatGaveBytesToOthersIsBusyForTwiceTheBound) {
-  StallDetector watch;
-  (void)watch.begin({800, 0.05, 300, true}, sent);
-  StallAction const action = watch.rang(first_bound - common::milliseconds(100), first_bound);
+TEST(StallDetector, AWorkerThatSentBytesToOthersIsBusyForTwiceTheBound) {
+  StallDetector detector;
+  (void)detector.begin({800, 0.05, 300, true}, sent);
+  StallAction const action = detector.timer_fired(first_bound - common::milliseconds(100), first_bound);
   ASSERT_TRUE(std::holds_alternative<WaitUntil>(action));
   EXPECT_EQ(std::get<WaitUntil>(action).due, first_bound + constants::alive_step);
-  EXPECT_TRUE(gives_up(watch.rang(sent + common::milliseconds(950), sent + common::milliseconds(960))));
+  EXPECT_TRUE(is_give_up(detector.timer_fired(sent + common::milliseconds(950), sent + common::milliseconds(960))));
 }
 
 TEST(StallDetector, ALongPromptIsNotReadTwiceForABusyWorker) {
-  StallDetector watch;
-  (void)watch.begin({800, 0.05, 17000, true}, sent);
+  StallDetector detector;
+  (void)detector.begin({800, 0.05, 17000, true}, sent);
   common::Moment now = first_bound;
   int probes = 0;
   while (true) {
-    StallAction const action = watch.rang(never, now);
-    if (gives_up(action)) {
+    StallAction const action = detector.timer_fired(never, now);
+    if (is_give_up(action)) {
       break;
     }
     ASSERT_TRUE(std::holds_alternative<ProbeWorker>(action));
     EXPECT_EQ(std::get<ProbeWorker>(action).due, now + constants::relay_connect_near);
     ++probes;
-    StallAction const alive = watch.probed(true, now + common::milliseconds(1));
+    StallAction const alive = detector.probe_finished(true, now + common::milliseconds(1));
     ASSERT_TRUE(std::holds_alternative<WaitUntil>(alive));
     now = std::get<WaitUntil>(alive).due;
   }
-  // A request that is stuck while its worker takes connections is given up in the end.
+  // A request that is stuck while its worker accepts connections is given up in the end.
   EXPECT_EQ(probes, constants::silence_bounds_most - 1);
   EXPECT_GE(now - sent, constants::silence_bounds_most * common::milliseconds(480));
 }
 
 TEST(StallDetector, ALostWorkerIsGivenUpAtOnce) {
-  StallDetector watch;
-  (void)watch.begin({800, 0.05, 17000, false}, sent);
-  StallAction const action = watch.rang(never, first_bound);
+  StallDetector detector;
+  (void)detector.begin({800, 0.05, 17000, false}, sent);
+  StallAction const action = detector.timer_fired(never, first_bound);
   ASSERT_TRUE(std::holds_alternative<ProbeWorker>(action));
   EXPECT_EQ(std::get<ProbeWorker>(action).due, first_bound + constants::relay_connect_deadline);
-  EXPECT_TRUE(gives_up(watch.probed(false, first_bound + common::milliseconds(3))));
+  EXPECT_TRUE(is_give_up(detector.probe_finished(false, first_bound + common::milliseconds(3))));
 
-  (void)watch.begin({800, 0.05, 17000, false}, sent);
-  (void)watch.rang(never, first_bound);
-  EXPECT_TRUE(gives_up(watch.rang(never, first_bound + constants::relay_connect_deadline)));
+  (void)detector.begin({800, 0.05, 17000, false}, sent);
+  (void)detector.timer_fired(never, first_bound);
+  EXPECT_TRUE(is_give_up(detector.timer_fired(never, first_bound + constants::relay_connect_deadline)));
 }
 
-TEST(StallDetector, BytesThatCameDuringAProbeBeginTheWaitAnew) {
-  StallDetector watch;
-  (void)watch.begin({800, 0.05, 17000, true}, sent);
-  (void)watch.rang(never, first_bound);
-  EXPECT_EQ(watch.begin({300, 0.05, 17000, true}, first_bound + 5).due, first_bound + 5 + common::milliseconds(180));
-  EXPECT_FALSE(gives_up(watch.probed(false, first_bound + 10)));
-  EXPECT_EQ(watch.since(), first_bound + 5);
+TEST(StallDetector, BytesThatArriveDuringAProbeRestartTheWait) {
+  StallDetector detector;
+  (void)detector.begin({800, 0.05, 17000, true}, sent);
+  (void)detector.timer_fired(never, first_bound);
+  EXPECT_EQ(detector.begin({300, 0.05, 17000, true}, first_bound + 5).due, first_bound + 5 + common::milliseconds(180));
+  EXPECT_FALSE(is_give_up(detector.probe_finished(false, first_bound + 10)));
+  EXPECT_EQ(detector.since(), first_bound + 5);
 }
 
 TEST(StallDetector, WithoutTheProbeABusyWorkerIsGivenUp) {
-  StallDetector watch(scheduling::StallGuards{true, false});
-  (void)watch.begin({800, 0.05, 17000, true}, sent);
-  EXPECT_TRUE(gives_up(watch.rang(never, first_bound)));
+  StallDetector detector(scheduling::StallGuards{true, false});
+  (void)detector.begin({800, 0.05, 17000, true}, sent);
+  EXPECT_TRUE(is_give_up(detector.timer_fired(never, first_bound)));
 }
 
 }  // namespace
