--- a/source/data_plane/load_probe/load_probe.cpp
+++ b/source/data_plane/load_probe/load_probe.cpp
@@ -65,8 +65,8 @@
     }
     common::Moment const now = common::boot_now();
     field.with(pool, [&](scheduling::Placement& placement) {
-      return load.has_value() ? placement.load(id, load->running, load->waiting, load->boot, now)
-                              : placement.load_missed(id, now);
+      return load.has_value() ? placement.report_load(id, load->running, load->waiting, load->boot, now)
+                              : placement.report_load_missed(id, now);
     });
     if (stream == nullptr) {
       common::pause(context, constants::load_pause, yield);
@@ -74,7 +74,8 @@
       // A worker that starts anew within one pause would look warm until the
       // next look; its closing connection tells at once (section 8.7).
       stream.reset();
-      field.with(pool, [&](scheduling::Placement& placement) { return placement.lost(id, common::boot_now()); });
+      field.with(pool,
+                 [&](scheduling::Placement& placement) { return placement.connection_lost(id, common::boot_now()); });
     }
   }
 }
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -267,7 +267,7 @@
     std::lock_guard<std::mutex> const guard(part->lock);
     std::vector<std::string> const warm = part->placement.warm();
     member.warm.insert(member.warm.end(), warm.begin(), warm.end());
-    if (!draining_ && part->placement.room(common::boot_now())) {
+    if (!draining_ && part->placement.has_capacity(common::boot_now())) {
       member.rooms.push_back(part == &model_ ? "model" : "plain");
     }
   }
--- a/source/data_plane/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -91,7 +91,7 @@
     }
     schema::WorkerBounds const& bounds = plan_->setup.workers;
     tokens_ = std::max(1.0, static_cast<double>(facts_.body.size()) / bounds.bytes_per_token);
-    chain_ = scheduling::block_chain(
+    chain_ = scheduling::block_hashes(
         facts_.body, static_cast<std::size_t>(static_cast<double>(bounds.block_tokens) * bounds.bytes_per_token));
     perform(state_machine_.begin());
     while (!state_machine_.settled()) {
@@ -340,7 +340,7 @@
       }
       return;
     }
-    go_ = std::get<scheduling::Go>(*place);
+    go_ = std::get<scheduling::DispatchQuery>(*place);
     feed(scheduling::Placed{go_.worker});
     if (withdrawn(ticket)) {
       return;
@@ -469,7 +469,7 @@
     }
     if (status >= 500) {
       after_ = scheduling::WorkerErrorResponse{502};
-      return scheduling::Ending::good;
+      return scheduling::Ending::success;
     }
     if (leg_ == Leg::prefill) {
       kv_ = std::string(parser.get()[kv_header]);
@@ -479,7 +479,7 @@
       }
       note_prefill();
       after_ = scheduling::PrefillDone{};
-      return scheduling::Ending::good;
+      return scheduling::Ending::success;
     }
     if (rule_.kind == "model" && status == 200) {
       after_ = scheduling::WorkerFailure{"no_stream"};
@@ -488,7 +488,7 @@
     whole_ = common::answer_text(static_cast<http::status>(status), std::move(body),
                                  std::string(parser.get()[http::field::content_type]));
     after_ = scheduling::WholeResponse{};
-    return scheduling::Ending::good;
+    return scheduling::Ending::success;
   }
 
   scheduling::Ending talk_events(common::Stream& worker, boost::beast::flat_buffer& buffer,
@@ -552,7 +552,7 @@
           if (!rule_.stream) {
             finish_text(text, event.number);
           }
-          return scheduling::Ending::good;
+          return scheduling::Ending::success;
         }
         if (interrupt_->set() || state_machine_.settled()) {
           return scheduling::Ending::abandoned;
@@ -636,7 +636,7 @@
       feed(scheduling::NoCapacity{});
       return;
     }
-    go_ = scheduling::Go{0, "pass", targets[common::random_number() % targets.size()].address, 0, 0};
+    go_ = scheduling::DispatchQuery{0, "pass", targets[common::random_number() % targets.size()].address, 0, 0};
     feed(scheduling::Placed{go_.worker});
     absl::StatusOr<std::unique_ptr<common::Stream>> const connection =
         common::connect(field_.context(), go_.address, constants::connect_deadline, yield_);
@@ -755,7 +755,7 @@
   Leg leg_ = Leg::whole;
   scheduling::Phase phase_ = scheduling::Phase::both;
   std::string kv_;
-  scheduling::Go go_;
+  scheduling::DispatchQuery go_;
   common::Moment sent_ = 0;
   double running_at_start_ = 0;
   double expected_seconds_ = 0;  ///< the wait that it was denied for
--- a/source/data_plane/query/reply.cpp
+++ b/source/data_plane/query/reply.cpp
@@ -23,7 +23,7 @@
 }
 void tell_when(common::Answer& answer, double expected_seconds) {
   double const draw = static_cast<double>(common::random_number() % 1000000) / 1e6;
-  answer.set(http::field::retry_after, std::to_string(scheduling::come_back_after(expected_seconds, draw)));
+  answer.set(http::field::retry_after, std::to_string(scheduling::retry_after_with_jitter(expected_seconds, draw)));
 }
 }  // namespace
 
--- a/source/data_plane/query/session.cpp
+++ b/source/data_plane/query/session.cpp
@@ -52,7 +52,7 @@
         cJSON* const part = cJSON_AddObjectToObject(object.get(), pool.c_str());
         cJSON_AddNumberToObject(part, "waiting", static_cast<double>(placement.waiting()));
         cJSON_AddNumberToObject(part, "moved", static_cast<double>(placement.moved()));
-        cJSON_AddNumberToObject(part, "reused_tokens", static_cast<double>(placement.reused_tokens()));
+        cJSON_AddNumberToObject(part, "reused_tokens", static_cast<double>(placement.cached_prompt_tokens()));
         cJSON_AddNumberToObject(part, "placed_tokens", static_cast<double>(placement.placed_tokens()));
         return std::vector<scheduling::PlacementAction>{};
       });
--- a/source/data_plane/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -40,7 +40,7 @@
     }
     wanted_.shares = route_.shares;
     wanted_.homes = homes_;
-    wanted_.once = !repeatable();
+    wanted_.single_dispatch = !repeatable();
     wanted_.draw = random_fraction();
     common::Moment const now = common::boot_now();
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const choice =
@@ -49,7 +49,7 @@
       assignment_ = *assignment;
       trail_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + assignment->worker + " predicted " +
                 std::to_string(static_cast<int>(assignment->predicted_seconds * 1000)) + "/" +
-                std::to_string(static_cast<int>(assignment->price * 1000)) + " uncached " +
+                std::to_string(static_cast<int>(assignment->cost * 1000)) + " uncached " +
                 std::to_string(static_cast<int>(assignment->uncached));
       return true;
     }
@@ -170,7 +170,7 @@
 bool Relay::still_named() const {
   for (schema::Share const& share : route_.shares) {
     if (share.weight > 0 && station_.balancer().serves(assignment_.worker, share.service)) {
-      return homes_.empty() || station_.balancer().stands_in(assignment_.worker, homes_);
+      return homes_.empty() || station_.balancer().is_in_regions(assignment_.worker, homes_);
     }
   }
   return false;
@@ -208,8 +208,9 @@
   worker_ = std::make_unique<Socket>(station_.context());
   ++station_.tally().connects;
   connecting_ = true;
-  alarm_->set(std::min(deadline_, common::boot_now() + (assignment_.near ? constants::relay_connect_near
-                                                                         : constants::relay_connect_deadline)));
+  alarm_->set(std::min(
+      deadline_, common::boot_now() +
+                     (assignment_.in_own_region ? constants::relay_connect_near : constants::relay_connect_deadline)));
   error_code error = common::open_own(*worker_, *endpoint);
   if (!error) {
     worker_->async_connect(*endpoint, yield_[error]);
@@ -225,7 +226,8 @@
 
 void Relay::expect_bytes(double set_point_ms, common::Moment now) {
   drop_probe();
-  scheduling::StallTerms const terms{set_point_ms, assignment_.predicted_seconds, wanted_.tokens, assignment_.near};
+  scheduling::StallTerms const terms{set_point_ms, assignment_.predicted_seconds, wanted_.tokens,
+                                     assignment_.in_own_region};
   alarm_->set(std::min(deadline_, silence_.begin(terms, now).due));
 }
 
--- a/source/data_plane/relay/relay.hpp
+++ b/source/data_plane/relay/relay.hpp
@@ -180,7 +180,7 @@
   std::string id_;
   common::Moment deadline_;
   scheduling::QueryStateMachine state_machine_;
-  scheduling::Wanted wanted_;
+  scheduling::PlacementRequest wanted_;
   scheduling::Assignment assignment_;
   std::optional<scheduling::Prompt> prompt_;  ///< where its lane has tenants
   scheduling::IsolatedPrompt isolated_;       ///< as it went to the last worker
--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -470,7 +470,7 @@
 }
 
 void RelayServer::saw(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
-                      scheduling::Wanted const& wanted) {
+                      scheduling::PlacementRequest const& wanted) {
   if (report_ms_ == 0) {
     return;
   }
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -105,7 +105,7 @@
 
   /// A stream ended whole; what it shows goes into the next report.
   void saw(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
-           scheduling::Wanted const& wanted);
+           scheduling::PlacementRequest const& wanted);
 
   /// How long a query waits for the first charter.
   common::Span routing_config_hold = common::constants::routing_config_hold;
--- a/source/data_plane/relay/tenant_prompt.cpp
+++ b/source/data_plane/relay/tenant_prompt.cpp
@@ -42,7 +42,7 @@
     if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
       station_.balancer().forget_isolated(forget->worker);
     } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
-      station_.balancer().gave_up(gave_up->worker, wanted_.parts, gave_up->tokens);
+      station_.balancer().mark_evicted(gave_up->worker, wanted_.parts, gave_up->tokens);
     } else if (scheduling::Crossed const* const crossed = std::get_if<scheduling::Crossed>(&action)) {
       common::note(common::Event::WallCrossed,
                    crossed->worker + " " + std::to_string(static_cast<std::uint64_t>(crossed->tokens)) + " " + id_);
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -137,7 +137,7 @@
         leading_number(number_text.substr(std::min(number_text.size(), number_text.find_first_not_of(' '))), 0));
     text.remove_prefix(std::min(text.size(), number_text.size() + 1));
   }
-  station_.balancer().told(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
+  station_.balancer().report_load(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
 }
 
 void Relay::after_answer(boost::beast::flat_buffer const& buffer, Parser const& parser) {
--- a/source/fake_workers/worker/worker.cpp
+++ b/source/fake_workers/worker/worker.cpp
@@ -395,7 +395,7 @@
         job->nonce = arrival.nonce;
         job->leg = arrival.leg;
         job->tokens = std::max(1.0, static_cast<double>(ask.body().size()) / bed_.bytes_per_token);
-        job->chain = scheduling::block_chain(
+        job->chain = scheduling::block_hashes(
             ask.body(), static_cast<std::size_t>(static_cast<double>(bed_.block_tokens) * bed_.bytes_per_token));
         if (relayed) {
           take_parts(ask, *job);
--- a/source/scheduling/load_balancer/load_balancer.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -401,7 +401,7 @@
   return found != workers_.end() && found->second.spec.service == service;
 }
 
-bool LoadBalancer::stands_in(std::string const& worker, std::vector<std::string> const& regions) const {
+bool LoadBalancer::is_in_regions(std::string const& worker, std::vector<std::string> const& regions) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(worker);
   return found != workers_.end() && holds(regions, found->second.spec.region);
 }
--- a/source/scheduling/load_balancer/load_balancer.hpp
+++ b/source/scheduling/load_balancer/load_balancer.hpp
@@ -102,7 +102,7 @@
   /// May bytes go there still? Asked right before they do.
   [[nodiscard]] bool usable(std::string const& worker) const;
   [[nodiscard]] bool serves(std::string const& worker, std::string const& service) const;
-  [[nodiscard]] bool stands_in(std::string const& worker, std::vector<std::string> const& regions) const;
+  [[nodiscard]] bool is_in_regions(std::string const& worker, std::vector<std::string> const& regions) const;
   void first_token(Assignment const& assignment, std::vector<PromptPart> const& parts, double seconds);
   void ended(Assignment const& assignment, bool first_seen, Outcome outcome, common::Moment now);
   /// What a worker said of its load, all callers counted.
--- a/source/scheduling/placement/placement.cpp
+++ b/source/scheduling/placement/placement.cpp
@@ -22,7 +22,7 @@
   return text == "prefill" ? Phase::prefill : (text == "decode" ? Phase::decode : Phase::both);
 }
 
-int come_back_after(double expected_seconds, double draw) {
+int retry_after_with_jitter(double expected_seconds, double draw) {
   double const least = std::clamp(std::ceil(expected_seconds), static_cast<double>(constants::retry_after_seconds),
                                   constants::retry_after_most / 2.0);
   return static_cast<int>(least + std::floor(std::clamp(draw, 0.0, 0.999999) * (least + 1)));
@@ -409,7 +409,7 @@
   }
   double const took = in_seconds(now - running->second.since);
   worker.running.erase(running);
-  if (ending == Ending::good) {
+  if (ending == Ending::success) {
     worker.service_seconds += service_weight * (took - worker.service_seconds);
     ++worker.good;
     worker.rest = 0;
--- a/source/scheduling/placement/placement.hpp
+++ b/source/scheduling/placement/placement.hpp
@@ -60,7 +60,7 @@
 /// What a refused caller is told (section 9.8): the expected wait, and spread
 /// over as much again, so that a crowd does not come back as one. `draw` is
 /// from 0 to 1.
-[[nodiscard]] int come_back_after(double expected_seconds, double draw);
+[[nodiscard]] int retry_after_with_jitter(double expected_seconds, double draw);
 
 enum class Ending { good, refused, failure, abandoned };
 
--- a/source/scheduling/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -58,8 +58,8 @@
     std::map<std::string, schema::Coefficients>::const_iterator const fitted = split.coefficients.find(worker.id);
     desired.model = fitted == split.coefficients.end() ? WorkerModel() : WorkerModel(fitted->second);
     desired.usable = !worker.draining && !evacuated[worker.zone];
-    desired.tended = tends(self, worker.id, proxies);
-    desired.warm_boots = warm_boots[worker.id];
+    desired.is_ramp_owner = tends(self, worker.id, proxies);
+    desired.warm_start_ids = warm_boots[worker.id];
     std::string const pool = pool_of(worker.kind);
     plan.desired_workers[pool].push_back(desired);
     config::Labels const labels = config::worker_labels(plan.setup, worker);
--- a/source/scheduling/prefix/prefix_record.cpp
+++ b/source/scheduling/prefix/prefix_record.cpp
@@ -26,7 +26,7 @@
   return mix(value, last);
 }
 
-std::vector<std::uint64_t> block_chain(std::string_view body, std::size_t block_bytes) {
+std::vector<std::uint64_t> block_hashes(std::string_view body, std::size_t block_bytes) {
   std::vector<std::uint64_t> chain;
   std::uint64_t value = 0;
   while (block_bytes > 0 && body.size() >= block_bytes) {
--- a/source/scheduling/prefix/prefix_record.hpp
+++ b/source/scheduling/prefix/prefix_record.hpp
@@ -10,7 +10,7 @@
 
 /// A prompt as a chain of block hashes: each covers all before it, so equal
 /// hashes mean equal prefixes (section 8.4). No text is kept.
-[[nodiscard]] std::vector<std::uint64_t> block_chain(std::string_view body, std::size_t block_bytes);
+[[nodiscard]] std::vector<std::uint64_t> block_hashes(std::string_view body, std::size_t block_bytes);
 [[nodiscard]] std::uint64_t mix(std::uint64_t left, std::uint64_t right);
 [[nodiscard]] std::uint64_t hash_text(std::string_view text);
 
--- a/source/simulator/decisions/decisions.cpp
+++ b/source/simulator/decisions/decisions.cpp
@@ -39,7 +39,7 @@
 struct Request {
   std::size_t kind = 0;
   std::size_t proxy = 0;
-  scheduling::Wanted wanted;
+  scheduling::PlacementRequest wanted;
   scheduling::Assignment assignment;
   common::Moment arrived = 0;
 };
@@ -173,8 +173,8 @@
     --engine.running;
     scheduling::LoadBalancer& balancer = proxies_[request->proxy].balancer;
     if (deployment_.tells_load) {
-      balancer.told(request->assignment.worker, static_cast<double>(engine.running), 0,
-                    static_cast<double>(engine.spec.capacity), kernel_.now());
+      balancer.report_load(request->assignment.worker, static_cast<double>(engine.running), 0,
+                           static_cast<double>(engine.spec.capacity), kernel_.now());
     }
     balancer.ended(request->assignment, true, scheduling::Outcome::success, kernel_.now());
   }
--- a/source/simulator/main.cpp
+++ b/source/simulator/main.cpp
@@ -80,7 +80,7 @@
 }
 bool switch_off_field(simulator::QueryPathOptions& run, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"tend_cold", &run.tend_cold},
-                                            {"doubt", &run.placement.doubt},
+                                            {"doubt", &run.placement.distrust_after_missed_probe},
                                             {"finish_begun", &run.placement.finish_begun},
                                             {"count_others", &run.placement.count_others},
                                             {"hear_closing", &run.hear_closing},
--- a/source/simulator/prompt_isolation/prompt_isolation.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -64,7 +64,7 @@
   std::size_t proxy = 0;
   std::uint64_t proxy_life = 0;
   scheduling::Prompt prompt;
-  scheduling::Wanted wanted;
+  scheduling::PlacementRequest wanted;
   scheduling::Assignment assignment;
   scheduling::IsolatedPrompt isolated;
 };
@@ -407,7 +407,7 @@
       if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
         proxy.balancer->forget_isolated(forget->worker);
       } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
-        proxy.balancer->gave_up(gave_up->worker, flight.wanted.parts, gave_up->tokens);
+        proxy.balancer->mark_evicted(gave_up->worker, flight.wanted.parts, gave_up->tokens);
       }
     }
   }
--- a/source/simulator/query_path/answers.cpp
+++ b/source/simulator/query_path/answers.cpp
@@ -47,7 +47,7 @@
   query->last_event = now;
   if (job->prefill_leg) {
     query->has_kv = true;
-    end_dispatch(query, scheduling::Ending::good, scheduling::PrefillDone{});
+    end_dispatch(query, scheduling::Ending::success, scheduling::PrefillDone{});
     return;
   }
   if (query->first == 0) {
@@ -59,7 +59,7 @@
   if (query->footing.rule.stream) {
     stream_event(query, number, last);
   } else if (last) {
-    end_dispatch(query, scheduling::Ending::good, scheduling::WholeResponse{});
+    end_dispatch(query, scheduling::Ending::success, scheduling::WholeResponse{});
   }
 }
 
@@ -114,7 +114,7 @@
     query->ticket = 0;
     tickets_.erase(ticket);
     query->job = nullptr;
-    obey(proxies_[query->proxy]->placement.finished(ticket, scheduling::Ending::good, kernel_.now()));
+    obey(proxies_[query->proxy]->placement.finished(ticket, scheduling::Ending::success, kernel_.now()));
   }
   std::uint64_t shown = number;
   if (!options_.checked_numbers) {  // the guard off: whatever comes is handed on as the next
--- a/source/simulator/query_path/nodes.hpp
+++ b/source/simulator/query_path/nodes.hpp
@@ -98,7 +98,7 @@
   std::uint64_t ticket = 0;
   std::uint64_t dispatch = 0;
   std::string worker;
-  scheduling::Go go;
+  scheduling::DispatchQuery go;
   scheduling::Phase phase = scheduling::Phase::both;
   bool has_kv = false;
   bool decode_leg = false;
--- a/source/simulator/query_path/placement.cpp
+++ b/source/simulator/query_path/placement.cpp
@@ -42,7 +42,7 @@
       deny(*denied);
       continue;
     }
-    scheduling::Go const& go = std::get<scheduling::Go>(action);
+    scheduling::DispatchQuery const& go = std::get<scheduling::DispatchQuery>(action);
     std::map<std::uint64_t, QueryPointer>::const_iterator const found = tickets_.find(go.ticket);
     if (found != tickets_.end()) {
       found->second->go = go;
--- a/source/simulator/query_path/proxy_loops.cpp
+++ b/source/simulator/query_path/proxy_loops.cpp
@@ -67,7 +67,7 @@
       member.name = other->name;
       member.hall = other->hall;
       member.warm = other->placement.warm();
-      if (other->placement.room(kernel_.now())) {
+      if (other->placement.has_capacity(kernel_.now())) {
         member.rooms.push_back("model");
       }
       plan->members.push_back(member);
@@ -84,7 +84,7 @@
   for (scheduling::DesiredWorker& desired : plan->desired_workers["model"]) {
     desired.usable = desired.usable && usable;
     if (!options_.tend_cold) {
-      desired.warm_boots.push_back(boot_of(*worker_of(desired.id)));
+      desired.warm_start_ids.push_back(boot_of(*worker_of(desired.id)));
     }
   }
   return plan;
@@ -116,10 +116,10 @@
       continue;
     }
     if (worker->up && !worker->dark) {
-      obey(proxy.placement.load(worker->id, static_cast<double>(worker->running.size()),
-                                static_cast<double>(worker->waiting.size()), boot_of(*worker), kernel_.now()));
+      obey(proxy.placement.report_load(worker->id, static_cast<double>(worker->running.size()),
+                                       static_cast<double>(worker->waiting.size()), boot_of(*worker), kernel_.now()));
     } else {
-      obey(proxy.placement.load_missed(worker->id, kernel_.now()));
+      obey(proxy.placement.report_load_missed(worker->id, kernel_.now()));
     }
   }
   kernel_.after(constants::load_pause + kernel_.between(0, load_jitter), [this, &proxy] { look(proxy); });
--- a/source/simulator/query_path/queries.cpp
+++ b/source/simulator/query_path/queries.cpp
@@ -108,7 +108,7 @@
   ended(*query, false);
   report_.worst_refusal = std::max(report_.worst_refusal, in_seconds(kernel_.now() - query->began));
   if (query->tries < options_.faults.comes_back) {
-    kernel_.after(common::seconds(scheduling::come_back_after(query->wait, kernel_.uniform())), [this, query] {
+    kernel_.after(common::seconds(scheduling::retry_after_with_jitter(query->wait, kernel_.uniform())), [this, query] {
       if (kernel_.now() < options_.length) {
         arrive(query->mix, query->home, query->tries + 1, 0, std::nullopt);
       }
--- a/source/simulator/query_path/workers.cpp
+++ b/source/simulator/query_path/workers.cpp
@@ -109,7 +109,8 @@
   if (options_.hear_closing) {
     for (std::unique_ptr<Proxy> const& proxy : proxies_) {  // kept connections close
       Proxy* const one = proxy.get();
-      kernel_.after(hop_within_region(), [this, one, id = worker.id] { obey(one->placement.lost(id, kernel_.now())); });
+      kernel_.after(hop_within_region(),
+                    [this, one, id = worker.id] { obey(one->placement.connection_lost(id, kernel_.now())); });
     }
   }
   worker.up = false;
--- a/source/simulator/relay/relay.cpp
+++ b/source/simulator/relay/relay.cpp
@@ -77,7 +77,7 @@
   std::uint64_t life = 0;  ///< of its furrow
   schema::Lane route;
   std::optional<scheduling::QueryStateMachine> state_machine;
-  scheduling::Wanted wanted;
+  scheduling::PlacementRequest wanted;
   scheduling::Assignment assignment;
   std::string service;
   common::Moment arrived = 0;
@@ -618,7 +618,7 @@
     Proxy& proxy = proxy_of(*flight);
     flight->wanted.shares = flight->route.shares;
     flight->wanted.homes = options_.keep_homes ? flight->route.home_regions : std::vector<std::string>{};
-    flight->wanted.once = !repeatable(*flight);
+    flight->wanted.single_dispatch = !repeatable(*flight);
     flight->wanted.draw = kernel_.uniform();
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
         proxy.balancer.choose(flight->wanted, kernel_.now());
@@ -644,7 +644,7 @@
   }
 
   [[nodiscard]] common::Span hop(Flight const& flight) const {
-    return flight.assignment.near ? common::milliseconds(1) : common::milliseconds(40);
+    return flight.assignment.in_own_region ? common::milliseconds(1) : common::milliseconds(40);
   }
   [[nodiscard]] Life* at_address(std::string const& address) const {
     std::map<std::string, Life*>::const_iterator const found = by_address_.find(address);
@@ -656,7 +656,7 @@
     Life const* const life = at_address(flight->assignment.address);
     bool const dark = life != nullptr && life->dark;
     common::Span const takes =
-        dark ? (flight->assignment.near ? constants::relay_connect_near : constants::relay_connect_deadline)
+        dark ? (flight->assignment.in_own_region ? constants::relay_connect_near : constants::relay_connect_deadline)
              : 2 * hop(*flight);
     bool const reached = life != nullptr && !dark;
     kernel_.after(takes, [this, flight, dispatch, reached] {
@@ -686,7 +686,7 @@
 
   void watch(FlightPointer const& flight, double set_point_ms) {
     scheduling::StallTerms const terms{set_point_ms, flight->assignment.predicted_seconds, flight->wanted.tokens,
-                                       flight->assignment.near};
+                                       flight->assignment.in_own_region};
     ++flight->watch;
     act(flight, flight->silence.begin(terms, kernel_.now()));
   }
@@ -729,7 +729,7 @@
     });
   }
   [[nodiscard]] bool may_ask_another(Flight const& flight) {
-    scheduling::Wanted elsewhere = flight.wanted;
+    scheduling::PlacementRequest elsewhere = flight.wanted;
     elsewhere.avoid.push_back(flight.assignment.worker);
     return repeatable(flight) && flight.state_machine->dispatches() < static_cast<int>(flight.route.dispatches) &&
            (!options_.retry_quota || retry_quota(flight).available()) &&
@@ -840,8 +840,8 @@
   void tell(Flight& flight, Life const& life) {
     double const slots = life.model ? 48 : 6;
     double const running = static_cast<double>(life.running);
-    proxy_of(flight).balancer.told(flight.assignment.worker, std::min(running, slots), std::max(0.0, running - slots),
-                                   slots, kernel_.now());
+    proxy_of(flight).balancer.report_load(flight.assignment.worker, std::min(running, slots),
+                                          std::max(0.0, running - slots), slots, kernel_.now());
   }
 
   void finish_whole(FlightPointer const& flight, std::uint64_t dispatch, Life& life, std::uint64_t run, bool spoilt) {
@@ -1041,7 +1041,7 @@
                                             {"name_worker", &options.name_worker},
                                             {"cold_bound", &options.balancer.cold_bound},
                                             {"suspect_returned", &options.balancer.suspect_returned},
-                                            {"rest", &options.balancer.rest},
+                                            {"rest", &options.balancer.ejection},
                                             {"hall_suspicion", &options.balancer.zone_suspicion},
                                             {"ejection_bound", &options.balancer.ejection_bound}};
   std::map<std::string, bool*>::const_iterator const found = guards.find(guard);
--- a/source/tests/scheduling/load_balancer_test.cpp
+++ b/source/tests/scheduling/load_balancer_test.cpp
@@ -613,9 +613,9 @@
   EXPECT_EQ(place(balancer, Wanted{}, start), "");
   EXPECT_FALSE(balancer.serves("north-0", "pool"));
   EXPECT_TRUE(balancer.serves("north-0", "web"));
-  EXPECT_TRUE(balancer.stands_in("north-0", {"cork", "dublin"}));
-  EXPECT_FALSE(balancer.stands_in("north-0", {"cork"}));
-  EXPECT_FALSE(balancer.stands_in("gone", {"dublin"}));
+  EXPECT_TRUE(balancer.is_in_regions("north-0", {"cork", "dublin"}));
+  EXPECT_FALSE(balancer.is_in_regions("north-0", {"cork"}));
+  EXPECT_FALSE(balancer.is_in_regions("gone", {"dublin"}));
 }
 
 }  // namespace
--- a/source/tests/scheduling/mechanisms_test.cpp
+++ b/source/tests/scheduling/mechanisms_test.cpp
@@ -8,7 +8,7 @@
 TEST(Mechanisms, AllAreOnUnlessNamed) {
   absl::StatusOr<scheduling::Mechanisms> const all = scheduling::mechanisms_without({});
   ASSERT_TRUE(all.ok());
-  EXPECT_TRUE(all->balancer.owners && all->balancer.spare_regions && all->balancer.rest && all->stall.probe &&
+  EXPECT_TRUE(all->balancer.owners && all->balancer.spare_regions && all->balancer.ejection && all->stall.probe &&
               all->set_aside);
   absl::StatusOr<scheduling::Mechanisms> const some = scheduling::mechanisms_without({"owners", "set_aside"});
   ASSERT_TRUE(some.ok());
--- a/source/tests/scheduling/placement_test.cpp
+++ b/source/tests/scheduling/placement_test.cpp
@@ -26,7 +26,7 @@
       DesiredWorker desired;
       desired.id = std::string(1, static_cast<char>('a' + index));
       desired.address = desired.id;
-      desired.warm_boots = {"1"};
+      desired.warm_start_ids = {"1"};
       desired_workers.push_back(desired);
     }
     update(0);
@@ -68,7 +68,7 @@
   bounds.ramp_ms = 4000;
   DesiredWorker desired;
   desired.id = desired.address = "a";
-  desired.tended = true;
+  desired.is_ramp_owner = true;
   std::vector<std::map<std::uint64_t, int>> running(2);  // ticket to ticks left
   std::uint64_t next = 1;
   int good = 0;
@@ -76,11 +76,11 @@
   for (int tick = 0; tick < 80; ++tick) {  // of 50 ms, a look at every fifth
     common::Moment const now = common::milliseconds(50) * (tick + 1);
     for (std::size_t proxy = 0; proxy < 2; ++proxy) {
-      desired.tended = second_comes_late ? (proxy == 0 ? tick < 40 : tick >= 40) : true;
+      desired.is_ramp_owner = second_comes_late ? (proxy == 0 ? tick < 40 : tick >= 40) : true;
       (void)proxies[proxy].update({desired}, bounds, schema::ScalerAims{}, 2, now);
       for (std::map<std::uint64_t, int>::iterator entry = running[proxy].begin(); entry != running[proxy].end();) {
         if (--entry->second == 0) {
-          (void)proxies[proxy].finished(entry->first, Ending::good, now);
+          (void)proxies[proxy].finished(entry->first, Ending::success, now);
           ++good;
           entry = running[proxy].erase(entry);
         } else {
@@ -115,11 +115,11 @@
 }
 
 TEST(Placement, ComeBackSpreadsACrowdOverTheExpectedWait) {
-  EXPECT_EQ(come_back_after(0, 0), 1);
-  EXPECT_EQ(come_back_after(0, 0.99), 2);
-  EXPECT_EQ(come_back_after(4.2, 0), 5);
-  EXPECT_EQ(come_back_after(4.2, 0.999), 10);
-  EXPECT_LE(come_back_after(1e9, 1), constants::retry_after_most + 1);
+  EXPECT_EQ(retry_after_with_jitter(0, 0), 1);
+  EXPECT_EQ(retry_after_with_jitter(0, 0.99), 2);
+  EXPECT_EQ(retry_after_with_jitter(4.2, 0), 5);
+  EXPECT_EQ(retry_after_with_jitter(4.2, 0.999), 10);
+  EXPECT_LE(retry_after_with_jitter(1e9, 1), constants::retry_after_most + 1);
   Bench bench(1, 1);
   (void)bench.enqueue();
   double expected = 0;
@@ -144,10 +144,10 @@
     guards.doubt = guard;
     Bench bench(1, 16);
     bench.placement = Placement(guards);
-    bench.desired_workers[0].tended = true;
+    bench.desired_workers[0].is_ramp_owner = true;
     (void)bench.update(0);
     (void)bench.placement.load("a", 0, 0, "1", 0);
-    (void)bench.placement.load_missed("a", 1000);
+    (void)bench.placement.report_load_missed("a", 1000);
     int launched = 0;
     for (int query = 0; query < 10; ++query) {
       launched += went(bench.enqueue(Phase::both, {}, 2000)) == "a" ? 1 : 0;
@@ -173,7 +173,7 @@
   EXPECT_EQ(bench.placement.moved(), 1u);
   // The running one is still counted on a, and its end frees a.
   EXPECT_TRUE(bench.enqueue(Phase::decode, {}, 1000).empty());
-  EXPECT_EQ(went(bench.placement.finished(1, Ending::good, 2000)), "a");
+  EXPECT_EQ(went(bench.placement.finished(1, Ending::success, 2000)), "a");
 }
 
 TEST(Placement, DrainingWorkerGetsNothingAndItsWaitlistGoes) {
@@ -188,7 +188,7 @@
   std::vector<PlacementAction> const actions = bench.update(1000);
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<Denied>(actions[0]));
-  EXPECT_TRUE(bench.placement.finished(1, Ending::good, 2000).empty());
+  EXPECT_TRUE(bench.placement.finished(1, Ending::success, 2000).empty());
 }
 
 TEST(Placement, OverflowTakesAFreePlaceOfTheOtherPhase) {
@@ -207,7 +207,7 @@
   Bench bench(2, 64);
   std::vector<std::uint64_t> const chain{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12};
   std::string const home = went(bench.enqueue(Phase::both, chain));
-  (void)bench.placement.finished(1, Ending::good, 1000);
+  (void)bench.placement.finished(1, Ending::success, 1000);
   EXPECT_EQ(went(bench.enqueue(Phase::both, chain, 1000)), home);
   std::set<std::string> used;
   for (int query = 0; query < 12; ++query) {
@@ -232,14 +232,14 @@
   Bench bench(1, 16);
   (void)bench.placement.load("a", 0, 0, "2", common::seconds(1));  // it started anew
   EXPECT_FALSE(bench.placement.room(common::seconds(1)));
-  bench.desired_workers[0].tended = true;
+  bench.desired_workers[0].is_ramp_owner = true;
   (void)bench.update(common::seconds(1));
   EXPECT_EQ(went(bench.enqueue(Phase::both, {}, common::seconds(1))), "a");
   EXPECT_EQ(went(bench.enqueue(Phase::both, {}, common::seconds(1))), "");  // one at a time at first
   common::Moment now = common::seconds(1);
   for (std::uint64_t answered = 0; answered < 40; ++answered) {
     now += common::milliseconds(200);
-    (void)bench.placement.finished(answered + 1, Ending::good, now);
+    (void)bench.placement.finished(answered + 1, Ending::success, now);
     (void)bench.enqueue(Phase::both, {}, now);
   }
   EXPECT_EQ(bench.placement.warm(), std::vector<std::string>{"a@2"});
@@ -248,7 +248,7 @@
 TEST(Placement, DarkWorkerIsLeftAndComesBackCold) {
   Bench bench(1, 4);
   for (int look = 0; look < 3; ++look) {
-    (void)bench.placement.load_missed("a", 1000);
+    (void)bench.placement.report_load_missed("a", 1000);
   }
   std::vector<PlacementAction> const none = bench.enqueue(Phase::both, {}, 1000);
   ASSERT_EQ(none.size(), 1u);
--- a/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
@@ -21,7 +21,7 @@
 /// One worker on which a tenant's part of 500 tokens is kept.
 struct Kept {
   scheduling::LoadBalancer balancer;
-  scheduling::Wanted wanted;
+  scheduling::PlacementRequest wanted;
   common::Moment now = 1000000;
   Kept() {
     wanted.shares.push_back(schema::Share{"s", 1});
@@ -104,7 +104,7 @@
 
 TEST(WallGrove, OtherWeightsAndGivenUpPartsAreForgotten) {
   Kept kept;
-  kept.balancer.gave_up("w", kept.wanted.parts, 0);
+  kept.balancer.mark_evicted("w", kept.wanted.parts, 0);
   EXPECT_EQ(kept.uncached(), 500);
   Kept other;
   other.balancer.forget_isolated("w");
--- a/source/tests/scheduling/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -277,7 +277,7 @@
 std::set<std::string> fed(LoadBalancer& balancer, double tokens, int count, common::Moment now) {
   std::set<std::string> used;
   for (int index = 0; index < count; ++index) {
-    scheduling::Wanted wanted;
+    scheduling::PlacementRequest wanted;
     wanted.shares = {schema::Share{"text", 1}};
     wanted.tokens = tokens;
     wanted.parts = {scheduling::PromptPart{static_cast<std::uint64_t>(index) * 7919u + 1u, tokens * 0.8},
@@ -332,7 +332,7 @@
   EXPECT_EQ(fed(newer, 16000, 40, common::seconds(1)), (std::set<std::string>{"a", "b"}));
   EXPECT_EQ(fed(newer, 300, 40, common::seconds(1)), std::set<std::string>{"c"});
   // What runs on a worker that switches stays there; only what comes goes elsewhere.
-  scheduling::Wanted wanted;
+  scheduling::PlacementRequest wanted;
   wanted.shares = {schema::Share{"text", 1}};
   wanted.tokens = 300;
   std::variant<scheduling::Assignment, scheduling::NoAssignment> const before =
--- a/source/tests/simulator/query_path_test.cpp
+++ b/source/tests/simulator/query_path_test.cpp
@@ -117,7 +117,7 @@
   EXPECT_NE(first_break("field-blinks", 10,
                         [](simulator::QueryPathOptions& options) {
                           options.scale = 2;
-                          options.placement.doubt = false;
+                          options.placement.distrust_after_missed_probe = false;
                         })
                 .find("was flooded"),
             std::string::npos);
