--- a/source/scheduling/load_balancer/load_balancer.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -15,9 +15,9 @@
 double seconds_of(common::Span span) {
   return static_cast<double>(span) / 1e6;
 }
-/// What a prompt shares with others: all parts but the last, which is its own;
-/// a prompt of one part shares that with its session.
-PromptPart shared_of(std::vector<PromptPart> const& parts) {
+/// The prefix that a prompt shares with others: all parts but the last, which is its own. A prompt of one part shares
+/// that part with its session.
+PromptPart shared_prefix(std::vector<PromptPart> const& parts) {
   PromptPart shared;
   std::size_t const count = parts.size() > 1 ? parts.size() - 1 : parts.size();
   for (std::size_t index = 0; index < count; ++index) {
@@ -26,13 +26,14 @@
   }
   return shared;
 }
-bool holds(std::vector<std::string> const& list, std::string const& entry) {
+bool contains(std::vector<std::string> const& list, std::string const& entry) {
   return std::find(list.begin(), list.end(), entry) != list.end();
 }
 }  // namespace
 
-void LoadBalancer::update(std::vector<WorkerSpec> const& specs, LoadBalancerContext const& terms, common::Moment now) {
-  terms_ = terms;
+void LoadBalancer::update(std::vector<WorkerSpec> const& specs, LoadBalancerContext const& context,
+                          common::Moment now) {
+  context_ = context;
   by_service_.clear();
   std::map<std::string, Worker> next;
   for (WorkerSpec const& spec : specs) {
@@ -42,14 +43,14 @@
       worker = std::move(found->second);
       common::Moment cold_until = std::max(spec.cold_until, worker.spec.cold_until);
       if (guards_.suspect_returned && worker.spec.evacuated && !spec.evacuated) {
-        // What became of it meanwhile shows in the list a little later.
+        // The worker may have turned cold while its zone was drained; the list shows that only a little later.
         cold_until = std::max(cold_until, now + constants::cold_suspect);
       }
       if (spec.cold_until > worker.spec.cold_until && worker.spec.cold_until <= now) {
-        worker.reuse.clear();
+        worker.cache.clear();
       }
       if (worker.spec.evacuated && !spec.evacuated) {
-        worker.reuse.clear_isolated();
+        worker.cache.clear_isolated();
       }
       worker.spec = spec;
       worker.spec.cold_until = cold_until;
@@ -58,70 +59,71 @@
       worker.hash = hash_text(spec.id);
       worker.slots = static_cast<double>(std::max<std::uint64_t>(1, spec.capacity));
     }
-    worker.judged = detector_.add_worker(
+    worker.detector_handle = detector_.add_worker(
         WorkerInfo{spec.id, pool_name(spec.region, spec.service), spec.hall, !spec.draining && !spec.evacuated});
-    worker.reuse.set_capacity(spec.kept_tokens * constants::reuse_part);
+    worker.cache.set_capacity(spec.kept_tokens * constants::reuse_part);
     by_service_[spec.service].push_back(spec.id);
     next.emplace(spec.id, std::move(worker));
   }
-  // Ranks by hash are the same in every furrow, so all of them name the same
-  // workers for long prompts (section 13.6).
-  std::map<std::pair<std::string, std::string>, std::vector<std::pair<std::uint64_t, Worker*>>> places;
+  // Ranks by hash are the same in every proxy, so all proxies select the same workers for long prompts (section 13.6).
+  std::map<std::pair<std::string, std::string>, std::vector<std::pair<std::uint64_t, Worker*>>> rankings;
   for (std::pair<std::string const, Worker>& entry : next) {
     if (entry.second.spec.model && !entry.second.spec.draining && !entry.second.spec.evacuated) {
-      places[{entry.second.spec.service, entry.second.spec.region}].emplace_back(mix(hash_text(entry.first), 1),
-                                                                                 &entry.second);
+      rankings[{entry.second.spec.service, entry.second.spec.region}].emplace_back(mix(hash_text(entry.first), 1),
+                                                                                   &entry.second);
     }
   }
-  for (std::pair<std::pair<std::string, std::string> const, std::vector<std::pair<std::uint64_t, Worker*>>>& place :
-       places) {
-    std::sort(place.second.begin(), place.second.end());
-    for (std::size_t index = 0; index < place.second.size(); ++index) {
-      place.second[index].second->rank = index;
-      place.second[index].second->ranks = place.second.size();
+  for (std::pair<std::pair<std::string, std::string> const, std::vector<std::pair<std::uint64_t, Worker*>>>& ranking :
+       rankings) {
+    std::sort(ranking.second.begin(), ranking.second.end());
+    for (std::size_t index = 0; index < ranking.second.size(); ++index) {
+      ranking.second[index].second->rank = index;
+      ranking.second[index].second->rank_count = ranking.second.size();
     }
   }
-  // Regions that no lane calls home have workers to spare for what may be
-  // served anywhere, if there are enough of them (section 13.14).
-  free_.clear();
-  std::map<std::string, std::pair<double, double>> spare;
+  // Regions that no route calls home have spare workers for queries that may be served anywhere, if they have a large
+  // enough part of the service's workers (section 13.14).
+  spare_regions_.clear();
+  std::map<std::string, std::pair<double, double>> worker_counts;
   for (std::pair<std::pair<std::string, std::string> const, std::vector<std::pair<std::uint64_t, Worker*>>> const&
-           place : places) {
-    std::map<std::string, std::set<std::string>>::const_iterator const claimed = terms_.claims.find(place.first.first);
-    if (claimed == terms_.claims.end()) {
+           ranking : rankings) {
+    std::map<std::string, std::set<std::string>>::const_iterator const homes_in_use =
+        context_.claims.find(ranking.first.first);
+    if (homes_in_use == context_.claims.end()) {
       continue;
     }
-    double const count = static_cast<double>(place.second.size());
-    spare[place.first.first].second += count;
-    if (claimed->second.count(place.first.second) == 0) {
-      spare[place.first.first].first += count;
-      free_[place.first.first].insert(place.first.second);
+    double const count = static_cast<double>(ranking.second.size());
+    worker_counts[ranking.first.first].second += count;
+    if (homes_in_use->second.count(ranking.first.second) == 0) {
+      worker_counts[ranking.first.first].first += count;
+      spare_regions_[ranking.first.first].insert(ranking.first.second);
     }
   }
-  std::erase_if(free_, [&spare, this](std::pair<std::string const, std::set<std::string>> const& entry) {
-    std::pair<double, double> const& count = spare[entry.first];
-    return !guards_.spare_regions || count.first < count.second * constants::free_least;
-  });
-  // A split names who is fed what, as long as each phase has a worker that
-  // takes queries (section 13.11).
+  std::erase_if(spare_regions_,
+                [&worker_counts, this](std::pair<std::string const, std::set<std::string>> const& entry) {
+                  std::pair<double, double> const& count = worker_counts[entry.first];
+                  return !guards_.spare_regions || count.first < count.second * constants::free_least;
+                });
+  // A split decides which prompts a worker gets, as long as each phase has a worker that takes queries
+  // (section 13.11).
   std::map<std::pair<std::string, std::string>, std::pair<bool, bool>> phases;
   for (std::pair<std::string const, Worker> const& entry : next) {
     WorkerSpec const& spec = entry.second.spec;
     if (!spec.draining && !spec.evacuated) {
-      std::pair<bool, bool>& there = phases[{spec.service, spec.region}];
-      there.first = there.first || spec.phase == "prefill" || spec.phase == "both";
-      there.second = there.second || spec.phase == "decode" || spec.phase == "both";
+      std::pair<bool, bool>& covered = phases[{spec.service, spec.region}];
+      covered.first = covered.first || spec.phase == "prefill" || spec.phase == "both";
+      covered.second = covered.second || spec.phase == "decode" || spec.phase == "both";
     }
   }
   for (std::pair<std::string const, Worker>& entry : next) {
-    std::pair<bool, bool> const there = phases[{entry.second.spec.service, entry.second.spec.region}];
-    if (!guards_.split_phases || !there.first || !there.second) {
+    std::pair<bool, bool> const covered = phases[{entry.second.spec.service, entry.second.spec.region}];
+    if (!guards_.split_phases || !covered.first || !covered.second) {
       entry.second.spec.phase.clear();
     }
   }
-  // One that left the list is kept while queries of ours run there.
+  // A worker that left the list is kept as draining while queries of this proxy run on it.
   for (std::pair<std::string const, Worker>& entry : workers_) {
-    if (entry.second.own > 0 && next.count(entry.first) == 0) {
+    if (entry.second.own_queries > 0 && next.count(entry.first) == 0) {
       entry.second.spec.draining = true;
       detector_.add_worker(WorkerInfo{entry.first, pool_name(entry.second.spec.region, entry.second.spec.service),
                                       entry.second.spec.hall, false});
@@ -136,173 +138,179 @@
   }
 }
 
-void LoadBalancer::Demand::fade(common::Moment now) {
-  double const keep = std::exp(-seconds_of(now - at) / constants::demand_memory);
-  prefill *= keep;
-  decode *= keep;
-  at = now;
+void LoadBalancer::Demand::decay(common::Moment now) {
+  double const factor = std::exp(-seconds_of(now - updated_at) / constants::demand_memory);
+  prefill *= factor;
+  decode *= factor;
+  updated_at = now;
 }
 
-bool LoadBalancer::fed_long(Worker const& worker, common::Moment) const {
+bool LoadBalancer::takes_long_prompts(Worker const& worker, common::Moment) const {
   if (!worker.spec.phase.empty()) {
     return worker.spec.phase != "decode";
   }
   std::map<std::pair<std::string, std::string>, Demand>::const_iterator const found =
       demand_.find({worker.spec.service, worker.spec.region});
-  if (worker.ranks < 3 || found == demand_.end() || found->second.decode <= 0) {
-    return true;  // nothing to keep apart
+  if (worker.rank_count < 3 || found == demand_.end() || found->second.decode <= 0) {
+    return true;  // nothing to separate
   }
   Demand const& demand = found->second;
   double share = demand.prefill / (demand.prefill + demand.decode);
   share = std::clamp(share, constants::long_share_least, constants::long_share_most);
-  double const count = std::round(share * static_cast<double>(worker.ranks));
-  return static_cast<double>(worker.rank) < std::clamp(count, 1.0, static_cast<double>(worker.ranks - 1));
+  double const count = std::round(share * static_cast<double>(worker.rank_count));
+  return static_cast<double>(worker.rank) < std::clamp(count, 1.0, static_cast<double>(worker.rank_count - 1));
 }
 
-double LoadBalancer::cold_part(Worker const& worker) const {
+double LoadBalancer::cold_quota(Worker const& worker) const {
   if (worker.spec.cold_rate <= 0 || !guards_.cold_bound) {
     return 1e9;
   }
-  double const most = (worker.spec.cold_rate * terms_.cold_overshoot + terms_.cold_slack) * constants::cold_part;
-  double const proxies = std::max<double>(1.0, static_cast<double>(terms_.proxies.size()));
-  double const even = most / proxies;
-  if (even >= 1) {
-    return std::floor(even);
+  double const limit = (worker.spec.cold_rate * context_.cold_overshoot + context_.cold_slack) * constants::cold_part;
+  double const proxies = std::max<double>(1.0, static_cast<double>(context_.proxies.size()));
+  double const even_share = limit / proxies;
+  if (even_share >= 1) {
+    return std::floor(even_share);
   }
-  // Fewer queries than furrows: those that a hash picks tend it, one each.
-  std::size_t const tenders = static_cast<std::size_t>(std::max(1.0, most));
-  std::uint64_t const own = mix(hash_text(worker.spec.id), hash_text(terms_.self));
+  // The limit is below one query per proxy: proxies that a hash picks may send one each, the others none.
+  std::size_t const senders = static_cast<std::size_t>(std::max(1.0, limit));
+  std::uint64_t const own_hash = mix(hash_text(worker.spec.id), hash_text(context_.self));
   std::size_t ahead = 0;
-  for (std::string const& proxy : terms_.proxies) {
-    ahead += mix(hash_text(worker.spec.id), hash_text(proxy)) < own ? 1 : 0;
+  for (std::string const& proxy : context_.proxies) {
+    ahead += mix(hash_text(worker.spec.id), hash_text(proxy)) < own_hash ? 1 : 0;
   }
-  return ahead < tenders ? 1 : 0;
+  return ahead < senders ? 1 : 0;
 }
 
-double LoadBalancer::load(Worker const& worker, common::Moment now) const {
-  double const age = worker.told_at == 0 ? 1e9 : seconds_of(now - worker.told_at);
-  double const told = age > constants::load_memory ? 0
-                                                   : (worker.told_total + static_cast<double>(worker.sent_since)) *
-                                                         (1 - age / constants::load_memory);
-  return std::max(told, static_cast<double>(worker.own));
+double LoadBalancer::estimated_load(Worker const& worker, common::Moment now) const {
+  double const age = worker.reported_at == 0 ? 1e9 : seconds_of(now - worker.reported_at);
+  double const reported = age > constants::load_memory
+                              ? 0
+                              : (worker.reported_total + static_cast<double>(worker.sent_since_report)) *
+                                    (1 - age / constants::load_memory);
+  return std::max(reported, static_cast<double>(worker.own_queries));
 }
 
-bool LoadBalancer::open(Worker const& worker, Wanted const& wanted, common::Moment now) const {
+bool LoadBalancer::can_accept(Worker const& worker, PlacementRequest const& request, common::Moment now) const {
   WorkerSpec const& spec = worker.spec;
   if (spec.draining || spec.evacuated) {
     return false;
   }
-  Eligibility const verdict = detector_.eligibility(worker.judged, now);
+  Eligibility const verdict = detector_.eligibility(worker.detector_handle, now);
   if (std::holds_alternative<Unavailable>(verdict) ||
-      (std::holds_alternative<OnProbation>(verdict) && worker.own > 0)) {
+      (std::holds_alternative<OnProbation>(verdict) && worker.own_queries > 0)) {
     return false;
   }
-  if (holds(wanted.avoid, spec.id) || (!wanted.homes.empty() && !holds(wanted.homes, spec.region))) {
+  if (contains(request.avoid, spec.id) || (!request.homes.empty() && !contains(request.homes, spec.region))) {
     return false;
   }
-  if (cold(worker, now) && spec.cold_rate > 0) {
+  if (is_cold(worker, now) && spec.cold_rate > 0) {
     std::size_t recent = 0;
-    for (common::Moment const sent : worker.sends) {
+    for (common::Moment const sent : worker.recent_sends) {
       recent += now - sent < constants::cold_window ? 1 : 0;
     }
-    if (static_cast<double>(recent) >= cold_part(worker)) {
+    if (static_cast<double>(recent) >= cold_quota(worker)) {
       return false;
     }
   }
-  double const proxies = std::max<double>(1.0, static_cast<double>(terms_.proxies.size()));
+  double const proxies = std::max<double>(1.0, static_cast<double>(context_.proxies.size()));
   double const connections =
       spec.connections == 0
           ? 1e9
           : std::max(2.0, static_cast<double>(spec.connections) * constants::connection_part / proxies);
-  return static_cast<double>(worker.own) < connections && load(worker, now) < worker.slots * constants::queue_factor;
+  return static_cast<double>(worker.own_queries) < connections &&
+         estimated_load(worker, now) < worker.slots * constants::queue_factor;
 }
 
-/// By a written split, or else by this furrow's own estimate where that is on.
-bool LoadBalancer::kept_apart(Worker const& worker) const {
-  return worker.spec.phase.empty() ? terms_.keep_long_apart && worker.ranks >= 3 : worker.spec.phase != "both";
+bool LoadBalancer::separates_long_prompts(Worker const& worker) const {
+  return worker.spec.phase.empty() ? context_.keep_long_apart && worker.rank_count >= 3 : worker.spec.phase != "both";
 }
 
-LoadBalancer::Price LoadBalancer::price(Worker const& worker, Wanted const& wanted, bool owner,
-                                        common::Moment now) const {
+LoadBalancer::CostEstimate LoadBalancer::estimate_cost(Worker const& worker, PlacementRequest const& request,
+                                                       bool owner, common::Moment now) const {
   WorkerSpec const& spec = worker.spec;
-  bool const near = spec.region == terms_.region;
-  double const running = load(worker, now);
-  double const over = running - worker.slots;
-  bool const long_prompt = wanted.tokens >= constants::owned_tokens;
-  Price price;
-  price.uncached = wanted.tokens;
-  price.seconds = near ? 0 : constants::other_region_seconds;
-  price.cost = spec.hall == terms_.hall ? 0 : near ? constants::other_zone_cost : constants::other_region_cost;
+  bool const in_own_region = spec.region == context_.region;
+  double const running = estimated_load(worker, now);
+  double const excess = running - worker.slots;
+  bool const long_prompt = request.tokens >= constants::owned_tokens;
+  CostEstimate estimate;
+  estimate.uncached = request.tokens;
+  estimate.seconds = in_own_region ? 0 : constants::other_region_seconds;
+  estimate.cost = spec.hall == context_.hall ? 0
+                  : in_own_region            ? constants::other_zone_cost
+                                             : constants::other_region_cost;
   if (spec.model) {
-    double const kept = worker.reuse.match(wanted.parts);
-    double const shared = shared_of(wanted.parts).tokens;
-    double const cached = owner ? std::max(kept, shared) : kept;  // colleagues send the same there, too
-    price.cost += guards_.reread_cost ? std::max(0.0, shared - cached) * constants::reread_cost : 0;
-    // Behind walls an owner is preferred, but nothing is foretold that was not seen (section 14.3).
-    bool const isolated = !wanted.parts.empty() && wanted.parts.front().holder != 0;
-    price.uncached = std::max(0.0, wanted.tokens - (isolated ? kept : cached));
-    price.seconds += (price.uncached + worker.own_prefill) * constants::prefill_start[1] * worker.pace;
-    price.cost += running * (long_prompt ? constants::running_cost_long : constants::running_cost);
-    // Long prompts and the rest are kept apart: reading one holds up every
-    // stream on its worker (section 13.6).
-    if (kept_apart(worker) && long_prompt != fed_long(worker, now)) {
-      price.cost += long_prompt ? constants::long_astray_cost : constants::short_astray_cost;
+    double const known_cached = worker.cache.match(request.parts);
+    double const shared = shared_prefix(request.parts).tokens;
+    double const cached =
+        owner ? std::max(known_cached, shared) : known_cached;  // other proxies send this prefix to its owner, too
+    estimate.cost += guards_.reread_cost ? std::max(0.0, shared - cached) * constants::reread_cost : 0;
+    // For an isolated prompt the owner is preferred, but only what this proxy saw counts as cached (section 14.3).
+    bool const isolated = !request.parts.empty() && request.parts.front().holder != 0;
+    estimate.uncached = std::max(0.0, request.tokens - (isolated ? known_cached : cached));
+    estimate.seconds += (estimate.uncached + worker.own_prefill_tokens) * constants::prefill_start[1] * worker.slowdown;
+    estimate.cost += running * (long_prompt ? constants::running_cost_long : constants::running_cost);
+    // Long and short prompts go to different workers: reading a long prompt delays every stream on its worker
+    // (section 13.6).
+    if (separates_long_prompts(worker) && long_prompt != takes_long_prompts(worker, now)) {
+      estimate.cost += long_prompt ? constants::long_astray_cost : constants::short_astray_cost;
     }
   } else {
-    price.seconds += running / worker.slots * constants::plain_seconds;
+    estimate.seconds += running / worker.slots * constants::plain_seconds;
   }
-  price.seconds += guards_.overdue ? detector_.overdue(worker.judged, now) : 0;
-  if (over >= 0) {
-    price.seconds += (over + 1) / worker.slots * constants::plain_seconds * 2;
+  estimate.seconds += guards_.overdue ? detector_.overdue(worker.detector_handle, now) : 0;
+  if (excess >= 0) {
+    estimate.seconds += (excess + 1) / worker.slots * constants::plain_seconds * 2;
   }
-  if (cold(worker, now)) {
-    price.cost += constants::cold_cost;
+  if (is_cold(worker, now)) {
+    estimate.cost += constants::cold_cost;
   }
-  if (guards_.trial && std::holds_alternative<OnProbation>(detector_.eligibility(worker.judged, now))) {
-    price.cost += wanted.once ? constants::trial_once_cost : constants::trial_cost;
+  if (guards_.probation && std::holds_alternative<OnProbation>(detector_.eligibility(worker.detector_handle, now))) {
+    estimate.cost += request.single_dispatch ? constants::trial_once_cost : constants::trial_cost;
   }
-  if (detector_.zone_suspected(worker.judged, now)) {
-    price.cost += constants::dark_cost;
+  if (detector_.zone_suspected(worker.detector_handle, now)) {
+    estimate.cost += constants::dark_cost;
   }
-  price.cost += price.seconds;
-  return price;
+  estimate.cost += estimate.seconds;
+  return estimate;
 }
 
-std::set<std::string> const* LoadBalancer::free_regions(std::string const& service, Wanted const& wanted) const {
-  std::map<std::string, std::set<std::string>>::const_iterator const found = free_.find(service);
-  double const way = constants::other_region_cost + constants::other_region_seconds;
-  bool const roams =
-      wanted.homes.empty() && shared_of(wanted.parts).tokens * constants::reread_cost >= constants::roaming_worth * way;
-  return roams && found != free_.end() ? &found->second : nullptr;
+std::set<std::string> const* LoadBalancer::spare_regions_for(std::string const& service,
+                                                             PlacementRequest const& request) const {
+  std::map<std::string, std::set<std::string>>::const_iterator const found = spare_regions_.find(service);
+  double const region_penalty = constants::other_region_cost + constants::other_region_seconds;
+  bool const is_pooled = request.homes.empty() && shared_prefix(request.parts).tokens * constants::reread_cost >=
+                                                      constants::roaming_worth * region_penalty;
+  return is_pooled && found != spare_regions_.end() ? &found->second : nullptr;
 }
 
-LoadBalancer::Worker const* LoadBalancer::best(std::string const& service, Wanted const& wanted, common::Moment now,
-                                               Price& price_found) const {
+LoadBalancer::Worker const* LoadBalancer::cheapest(std::string const& service, PlacementRequest const& request,
+                                                   common::Moment now, CostEstimate& best_estimate) const {
   std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(service);
   Worker const* found = nullptr;
   if (ids == by_service_.end()) {
     return found;
   }
-  // The owner of what a prompt shares: in each region the same worker for all
-  // furrows, whether it is open now or not (section 13.5).
+  // The owner of a shared prefix: by rendezvous hashing the same worker of a region for all proxies, whether it can
+  // take queries now or not (section 13.5).
   std::map<std::string_view, std::pair<std::uint64_t, Worker const*>> owners;
-  std::uint64_t const key = shared_of(wanted.parts).key;
-  std::set<std::string> const* const free = free_regions(service, wanted);
+  std::uint64_t const key = shared_prefix(request.parts).key;
+  std::set<std::string> const* const spare = spare_regions_for(service, request);
   if (key != 0 && guards_.owners) {
     for (std::string const& id : ids->second) {
       Worker const& worker = workers_.at(id);
       if (!worker.spec.model || worker.spec.draining || worker.spec.evacuated) {
         continue;
       }
-      if (kept_apart(worker) && (wanted.tokens >= constants::owned_tokens) != fed_long(worker, now) &&
+      if (separates_long_prompts(worker) &&
+          (request.tokens >= constants::owned_tokens) != takes_long_prompts(worker, now) &&
           worker.spec.phase != "both") {
-        continue;  // an owner is one that is fed such prompts
+        continue;  // only a worker that takes prompts of this length can be the owner
       }
-      if (free != nullptr && free->count(worker.spec.region) == 0) {
+      if (spare != nullptr && spare->count(worker.spec.region) == 0) {
         continue;
       }
       std::pair<std::uint64_t, Worker const*>& owner =
-          owners[free == nullptr ? std::string_view(worker.spec.region) : std::string_view()];
+          owners[spare == nullptr ? std::string_view(worker.spec.region) : std::string_view()];
       std::uint64_t const weight = mix(worker.hash, key);
       if (owner.second == nullptr || weight > owner.first) {
         owner = {weight, &worker};
@@ -311,80 +319,87 @@
   }
   for (std::string const& id : ids->second) {
     Worker const& worker = workers_.at(id);
-    if (!open(worker, wanted, now)) {
+    if (!can_accept(worker, request, now)) {
       continue;
     }
     std::map<std::string_view, std::pair<std::uint64_t, Worker const*>>::const_iterator const owner =
-        owners.find(free == nullptr ? std::string_view(worker.spec.region) : std::string_view());
-    Price const offer = price(worker, wanted, owner != owners.end() && owner->second.second == &worker, now);
-    if (found == nullptr || offer.cost < price_found.cost) {
+        owners.find(spare == nullptr ? std::string_view(worker.spec.region) : std::string_view());
+    CostEstimate const candidate =
+        estimate_cost(worker, request, owner != owners.end() && owner->second.second == &worker, now);
+    if (found == nullptr || candidate.cost < best_estimate.cost) {
       found = &worker;
-      price_found = offer;
+      best_estimate = candidate;
     }
   }
   return found;
 }
 
-std::variant<Assignment, NoAssignment> LoadBalancer::choose(Wanted const& wanted, common::Moment now) {
-  double whole = 0;
-  for (schema::Share const& share : wanted.shares) {
-    whole += share.weight;
+std::variant<Assignment, NoAssignment> LoadBalancer::choose(PlacementRequest const& request, common::Moment now) {
+  double total_weight = 0;
+  for (schema::Share const& share : request.shares) {
+    total_weight += share.weight;
   }
-  double point = wanted.draw * whole;
+  double offset = request.draw * total_weight;
   std::size_t first = 0;
-  for (std::size_t index = 0; index < wanted.shares.size(); ++index) {
-    if (wanted.shares[index].weight > 0) {
+  for (std::size_t index = 0; index < request.shares.size(); ++index) {
+    if (request.shares[index].weight > 0) {
       first = index;
-      if (point < wanted.shares[index].weight) {
+      if (offset < request.shares[index].weight) {
         break;
       }
-      point -= wanted.shares[index].weight;
+      offset -= request.shares[index].weight;
     }
   }
-  // The drawn share first; another one of the lane only where it has no place.
-  for (std::size_t step = 0; step < wanted.shares.size(); ++step) {
-    schema::Share const& share = wanted.shares[(first + step) % wanted.shares.size()];
+  // The drawn share first; another share of the route only if no worker of the drawn one can take the query.
+  for (std::size_t step = 0; step < request.shares.size(); ++step) {
+    schema::Share const& share = request.shares[(first + step) % request.shares.size()];
     if (share.weight <= 0) {
       continue;
     }
-    Price offer;
-    Worker const* const found = best(share.service, wanted, now, offer);
+    CostEstimate candidate;
+    Worker const* const found = cheapest(share.service, request, now, candidate);
     if (found != nullptr) {
       Worker& worker = workers_.at(found->spec.id);
-      bool const alone = worker.own_prefill <= 0 && worker.told_waiting <= 0 && !cold(worker, now);
-      bool const sure = worker.reuse.match(wanted.parts) > 0;
-      double const running = load(worker, now);
-      ++worker.own;
-      ++worker.sent_since;
-      worker.own_prefill += offer.uncached;
-      witness(worker, DispatchSent{next_ticket_, now + static_cast<common::Span>(offer.seconds * 1e6)}, now);
+      bool const alone = worker.own_prefill_tokens <= 0 && worker.reported_waiting <= 0 && !is_cold(worker, now);
+      bool const sure = worker.cache.match(request.parts) > 0;
+      double const running = estimated_load(worker, now);
+      ++worker.own_queries;
+      ++worker.sent_since_report;
+      worker.own_prefill_tokens += candidate.uncached;
+      record_evidence(worker, DispatchSent{next_ticket_, now + static_cast<common::Span>(candidate.seconds * 1e6)},
+                      now);
       if (worker.spec.model) {
         Demand& demand = demand_[{worker.spec.service, worker.spec.region}];
-        demand.fade(now);
-        (wanted.tokens >= constants::owned_tokens ? demand.prefill : demand.decode) +=
-            offer.uncached * constants::prefill_start[1] + constants::short_work;
+        demand.decay(now);
+        (request.tokens >= constants::owned_tokens ? demand.prefill : demand.decode) +=
+            candidate.uncached * constants::prefill_start[1] + constants::short_work;
       }
       if (worker.spec.cold_rate > 0) {
-        while (!worker.sends.empty() &&
-               (now - worker.sends.front() >= constants::cold_window || worker.sends.size() > 256)) {
-          worker.sends.pop_front();
+        while (!worker.recent_sends.empty() &&
+               (now - worker.recent_sends.front() >= constants::cold_window || worker.recent_sends.size() > 256)) {
+          worker.recent_sends.pop_front();
         }
-        worker.sends.push_back(now);
+        worker.recent_sends.push_back(now);
       }
-      return Assignment{worker.spec.id, worker.spec.address,
-                        offer.uncached, offer.seconds,
-                        offer.cost,     worker.spec.region == terms_.region,
-                        next_ticket_++, alone,
-                        sure,           running};
+      return Assignment{worker.spec.id,
+                        worker.spec.address,
+                        candidate.uncached,
+                        candidate.seconds,
+                        candidate.cost,
+                        worker.spec.region == context_.region,
+                        next_ticket_++,
+                        alone,
+                        sure,
+                        running};
     }
   }
   return NoAssignment{!workers_.empty(), constants::plain_seconds};
 }
 
-bool LoadBalancer::alternative(Wanted const& wanted, common::Moment now) const {
-  for (schema::Share const& share : wanted.shares) {
-    Price offer;
-    if (share.weight > 0 && best(share.service, wanted, now, offer) != nullptr) {
+bool LoadBalancer::alternative(PlacementRequest const& request, common::Moment now) const {
+  for (schema::Share const& share : request.shares) {
+    CostEstimate candidate;
+    if (share.weight > 0 && cheapest(share.service, request, now, candidate) != nullptr) {
       return true;
     }
   }
@@ -403,7 +418,7 @@
 
 bool LoadBalancer::is_in_regions(std::string const& worker, std::vector<std::string> const& regions) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(worker);
-  return found != workers_.end() && holds(regions, found->second.spec.region);
+  return found != workers_.end() && contains(regions, found->second.spec.region);
 }
 
 void LoadBalancer::first_token(Assignment const& assignment, std::vector<PromptPart> const& parts, double seconds) {
@@ -412,12 +427,12 @@
     return;
   }
   Worker& worker = found->second;
-  witness(worker, FirstTokenReceived{assignment.ticket}, 0);
-  worker.own_prefill = std::max(0.0, worker.own_prefill - assignment.uncached);
-  worker.reuse.remember(parts);
+  record_evidence(worker, FirstTokenReceived{assignment.ticket}, 0);
+  worker.own_prefill_tokens = std::max(0.0, worker.own_prefill_tokens - assignment.uncached);
+  worker.cache.remember(parts);
   if (assignment.uncached >= constants::owned_tokens) {
     double const seen = seconds / (assignment.uncached * constants::prefill_start[1]);
-    worker.pace += 0.1 * (std::clamp(seen, 0.5, 4.0) - worker.pace);
+    worker.slowdown += 0.1 * (std::clamp(seen, 0.5, 4.0) - worker.slowdown);
   }
 }
 
@@ -427,25 +442,25 @@
     return;
   }
   Worker& worker = found->second;
-  worker.own -= worker.own > 0 ? 1 : 0;
-  // A whole answer has no first token of its own: what it had read ends here.
-  if (!first_seen || detector_.awaits_first_token(worker.judged, assignment.ticket)) {
-    worker.own_prefill = std::max(0.0, worker.own_prefill - assignment.uncached);
+  worker.own_queries -= worker.own_queries > 0 ? 1 : 0;
+  // An answer that is not streamed has no separate first token: its prefill ends here.
+  if (!first_seen || detector_.awaits_first_token(worker.detector_handle, assignment.ticket)) {
+    worker.own_prefill_tokens = std::max(0.0, worker.own_prefill_tokens - assignment.uncached);
   }
-  witness(worker, DispatchEnded{assignment.ticket, outcome}, now);
-  if (worker.spec.draining && worker.own == 0) {
+  record_evidence(worker, DispatchEnded{assignment.ticket, outcome}, now);
+  if (worker.spec.draining && worker.own_queries == 0) {
     std::map<std::string, std::vector<std::string>>::const_iterator const ids = by_service_.find(worker.spec.service);
-    if (ids == by_service_.end() || !holds(ids->second, assignment.worker)) {
+    if (ids == by_service_.end() || !contains(ids->second, assignment.worker)) {
       detector_.remove_worker(assignment.worker);
-      workers_.erase(found);  // it had left the list
+      workers_.erase(found);  // it left the list before
     }
   }
 }
 
-void LoadBalancer::witness(Worker& worker, Evidence const& evidence, common::Moment now) {
-  for (OutlierAction const& action : detector_.record_evidence(worker.judged, evidence, now)) {
+void LoadBalancer::record_evidence(Worker& worker, Evidence const& evidence, common::Moment now) {
+  for (OutlierAction const& action : detector_.record_evidence(worker.detector_handle, evidence, now)) {
     if (std::holds_alternative<CacheMayBeLost>(action)) {
-      worker.reuse.clear_isolated();
+      worker.cache.clear_isolated();
     }
   }
 }
@@ -453,27 +468,27 @@
 void LoadBalancer::forget_isolated(std::string const& id) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
-    found->second.reuse.clear_isolated();
+    found->second.cache.clear_isolated();
   }
 }
 
-void LoadBalancer::gave_up(std::string const& id, std::vector<PromptPart> const& parts, double tokens) {
+void LoadBalancer::mark_evicted(std::string const& id, std::vector<PromptPart> const& parts, double tokens) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
-    found->second.reuse.record_eviction(parts, tokens);
+    found->second.cache.record_eviction(parts, tokens);
   }
 }
 
 void LoadBalancer::heard(std::string const& id, common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
   if (found != workers_.end()) {
-    witness(found->second, BytesReceived{}, now);
+    record_evidence(found->second, BytesReceived{}, now);
   }
 }
 
 double LoadBalancer::running_on(std::string const& id, common::Moment now) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
-  return found == workers_.end() ? 0 : load(found->second, now);
+  return found == workers_.end() ? 0 : estimated_load(found->second, now);
 }
 
 std::string LoadBalancer::pool_of(std::string const& id) const {
@@ -483,23 +498,24 @@
 
 bool LoadBalancer::ejected(std::string const& id, common::Moment now) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
-  return found != workers_.end() && detector_.ejected(found->second.judged, now);
+  return found != workers_.end() && detector_.ejected(found->second.detector_handle, now);
 }
 
 common::Moment LoadBalancer::heard_at(std::string const& id) const {
   std::map<std::string, Worker>::const_iterator const found = workers_.find(id);
-  return found == workers_.end() ? 0 : detector_.heard_at(found->second.judged);
+  return found == workers_.end() ? 0 : detector_.heard_at(found->second.detector_handle);
 }
 
-void LoadBalancer::told(std::string const& id, double running, double waiting, double slots, common::Moment now) {
+void LoadBalancer::report_load(std::string const& id, double running, double waiting, double slots,
+                               common::Moment now) {
   std::map<std::string, Worker>::iterator const found = workers_.find(id);
-  if (found == workers_.end() || !guards_.told_load) {
+  if (found == workers_.end() || !guards_.reported_load) {
     return;
   }
-  found->second.told_total = running + waiting;
-  found->second.told_waiting = waiting;
-  found->second.told_at = now;
-  found->second.sent_since = 0;
+  found->second.reported_total = running + waiting;
+  found->second.reported_waiting = waiting;
+  found->second.reported_at = now;
+  found->second.sent_since_report = 0;
   if (slots >= 1) {
     found->second.slots = slots;
   }
--- a/source/scheduling/prefix/prefix_record.cpp
+++ b/source/scheduling/prefix/prefix_record.cpp
@@ -39,7 +39,7 @@
 
 std::size_t PrefixRecord::match(std::vector<std::uint64_t> const& chain) const {
   std::size_t count = 0;
-  while (count < chain.size() && (young_.count(chain[count]) > 0 || old_.count(chain[count]) > 0)) {
+  while (count < chain.size() && (current_.count(chain[count]) > 0 || previous_.count(chain[count]) > 0)) {
     ++count;
   }
   return count;
@@ -47,17 +47,17 @@
 
 void PrefixRecord::remember(std::vector<std::uint64_t> const& chain) {
   for (std::uint64_t const block : chain) {
-    young_[block] = true;
-    if (young_.size() >= most_ / 2) {
-      old_ = std::move(young_);
-      young_.clear();
+    current_[block] = true;
+    if (current_.size() >= capacity_ / 2) {
+      previous_ = std::move(current_);
+      current_.clear();
     }
   }
 }
 
 void PrefixRecord::clear() {
-  young_.clear();
-  old_.clear();
+  current_.clear();
+  previous_.clear();
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/prefix/prefix_record.hpp
+++ b/source/scheduling/prefix/prefix_record.hpp
@@ -8,27 +8,33 @@
 
 namespace finchlink::scheduling {
 
-/// A prompt as a chain of block hashes: each covers all before it, so equal
-/// hashes mean equal prefixes (section 8.4). No text is kept.
+/// Hashes of a prompt's blocks, each covering all blocks before it as well, so that equal hashes mean equal prefixes
+/// (section 8.4). A last block that is not full has none. The text itself is not kept.
 [[nodiscard]] std::vector<std::uint64_t> block_hashes(std::string_view body, std::size_t block_bytes);
+/// Combines two hashes; the order of the arguments matters.
 [[nodiscard]] std::uint64_t mix(std::uint64_t left, std::uint64_t right);
+/// Hash of a text, the same in every process.
 [[nodiscard]] std::uint64_t hash_text(std::string_view text);
 
-/// Which prompts are kept on one worker, as far as we saw. Two generations
-/// make up the forgetting: what is used again moves to the young one.
+/// Estimates which prompt prefixes one worker still has in its cache, from the queries sent to it. Blocks are kept in
+/// two generations: when the current one is full it becomes the previous one, which is dropped. A block that is used
+/// again is entered in the current generation.
 class PrefixRecord {
  public:
-  explicit PrefixRecord(std::size_t most = 4096) : most_(most) {}
-  /// Blocks at the chain's beginning that the worker should still have.
+  /// `capacity`: blocks of both generations together.
+  explicit PrefixRecord(std::size_t capacity = 4096) : capacity_(capacity) {}
+  /// Number of leading blocks of the prompt that the worker should still have.
   [[nodiscard]] std::size_t match(std::vector<std::uint64_t> const& chain) const;
+  /// Enters all blocks of a prompt that was sent to the worker.
   void remember(std::vector<std::uint64_t> const& chain);
   void clear();
-  [[nodiscard]] std::size_t size() const { return young_.size() + old_.size(); }
+  /// Blocks held; a block that is in both generations counts twice.
+  [[nodiscard]] std::size_t size() const { return current_.size() + previous_.size(); }
 
  private:
-  std::size_t most_;
-  tsl::robin_map<std::uint64_t, bool> young_;
-  tsl::robin_map<std::uint64_t, bool> old_;
+  std::size_t capacity_;
+  tsl::robin_map<std::uint64_t, bool> current_;
+  tsl::robin_map<std::uint64_t, bool> previous_;
 };
 
 }  // namespace finchlink::scheduling
--- a/source/tests/scheduling/load_balancer_test.cpp
+++ b/source/tests/scheduling/load_balancer_test.cpp
@@ -34,7 +34,7 @@
   return specs;
 }
 
-LoadBalancerContext terms(std::size_t proxies = 1, std::size_t self = 0) {
+LoadBalancerContext context(std::size_t proxies = 1, std::size_t self = 0) {
   LoadBalancerContext entry;
   entry.hall = "north";
   entry.region = "dublin";
@@ -47,20 +47,20 @@
   return entry;
 }
 
-Wanted wanted(std::string const& service = "web", double tokens = 0) {
-  Wanted entry;
+PlacementRequest request_for(std::string const& service = "web", double tokens = 0) {
+  PlacementRequest entry;
   entry.shares = {schema::Share{service, 1}};
   entry.tokens = tokens;
   return entry;
 }
 
-Wanted long_prompt(std::uint64_t beginning) {
-  Wanted entry = wanted("pool", 17000);
-  entry.parts = {PromptPart{beginning, 13300}, PromptPart{beginning * 1000 + 1, 3700}};
+PlacementRequest long_prompt(std::uint64_t prefix) {
+  PlacementRequest entry = request_for("pool", 17000);
+  entry.parts = {PromptPart{prefix, 13300}, PromptPart{prefix * 1000 + 1, 3700}};
   return entry;
 }
 
-std::string place(LoadBalancer& balancer, Wanted const& query, common::Moment now) {
+std::string place(LoadBalancer& balancer, PlacementRequest const& query, common::Moment now) {
   std::variant<Assignment, NoAssignment> const found = balancer.choose(query, now);
   Assignment const* const assignment = std::get_if<Assignment>(&found);
   return assignment == nullptr ? "" : assignment->worker;
@@ -68,10 +68,10 @@
 
 constexpr common::Moment start = common::seconds(1000);
 
-TEST(LoadBalancer, WeightsDivideAndWeightNothingIsNeverServed) {
+TEST(LoadBalancer, WeightsSplitQueriesAndWeightZeroIsNeverServed) {
   LoadBalancer balancer;
-  balancer.update({spec("a", "web"), spec("b", "pool"), spec("c", "old")}, terms(), start);
-  Wanted query;
+  balancer.update({spec("a", "web"), spec("b", "pool"), spec("c", "old")}, context(), start);
+  PlacementRequest query;
   query.shares = {schema::Share{"old", 0}, schema::Share{"web", 90}, schema::Share{"pool", 10},
                   schema::Share{"old", 0}};
   std::map<std::string, int> counts;
@@ -86,7 +86,7 @@
   EXPECT_EQ(counts["a"], 900);
   EXPECT_EQ(counts["b"], 100);
   EXPECT_EQ(counts["c"], 0);
-  // Nor when it alone has a place.
+  // Weight zero is not served even if only its worker has a free place.
   query.avoid = {"a", "b"};
   for (double const draw : {0.0, 0.5, 0.999999}) {
     query.draw = draw;
@@ -94,17 +94,17 @@
   }
 }
 
-TEST(LoadBalancer, AnotherShareHelpsOutOnlyWhereTheDrawnOneHasNoPlace) {
+TEST(LoadBalancer, AnotherShareServesOnlyWhereTheDrawnOneHasNoPlace) {
   LoadBalancer balancer;
-  balancer.update({spec("a", "web"), spec("b", "pool")}, terms(), start);
-  Wanted query;
+  balancer.update({spec("a", "web"), spec("b", "pool")}, context(), start);
+  PlacementRequest query;
   query.shares = {schema::Share{"web", 99}, schema::Share{"pool", 1}};
   EXPECT_EQ(place(balancer, query, start), "a");
   query.avoid = {"a"};
   EXPECT_EQ(place(balancer, query, start), "b");
 }
 
-TEST(ProxyCount, OneThatIsNoMemberAnyMoreCountsForAWhile) {
+TEST(ProxyCount, AFormerMemberStillCountsForAWhile) {
   ProxyCount proxy_count;
   EXPECT_TRUE(proxy_count.proxies(start).empty());
   proxy_count.told({"b", "a", "c"}, start);
@@ -113,19 +113,20 @@
   common::Moment const over = start + 10 + constants::proxy_count_memory;
   EXPECT_EQ(proxy_count.proxies(over - 1), (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(proxy_count.proxies(over), (std::vector<std::string>{"a"}));
-  // It counts once when it is back, and anew from when it left again.
+  // A member that is back counts once, and its time starts again when it leaves again.
   proxy_count.told({"a", "b"}, over - 5);
   EXPECT_EQ(proxy_count.proxies(over - 1), (std::vector<std::string>{"a", "b", "c"}));
   proxy_count.told({"a"}, over - 4);
   EXPECT_EQ(proxy_count.proxies(over), (std::vector<std::string>{"a", "b"}));
   proxy_count.told({"a"}, over - 4 + constants::proxy_count_memory);
-  EXPECT_EQ(proxy_count.proxies(over - 4), (std::vector<std::string>{"a"}));  // forgotten, not only hidden
+  EXPECT_EQ(proxy_count.proxies(over - 4),
+            (std::vector<std::string>{"a"}));  // removed, not only left out of the answer
 }
 
-/// Most of the furrows are cut off from the trellises and go on serving; the
-/// rest are told of themselves only. A cold worker gets no more than its bound.
-TEST(ProxyCount, CutOffFurrowsAndTheRestStayBelowTheColdBoundTogether) {
-  for (std::size_t const cut : {0, 1, 6, 10}) {
+/// Some of the proxies are cut off from the controllers and go on serving, while the others get a member list without
+/// them. A cold worker must still get no more than its bound from all of them together.
+TEST(ProxyCount, CutOffProxiesAndTheRestStayBelowTheColdBoundTogether) {
+  for (std::size_t const cut_off : {0, 1, 6, 10}) {
     constexpr std::size_t proxies = 12;
     std::vector<LoadBalancer> balancers(proxies);
     std::vector<WorkerSpec> specs{spec("a", "web")};
@@ -140,25 +141,25 @@
     for (std::size_t index = 0; index < proxies; ++index) {
       ProxyCount proxy_count;
       proxy_count.told(all, start);
-      if (index >= cut) {
-        proxy_count.told({all.begin() + static_cast<std::ptrdiff_t>(cut), all.end()}, start + common::seconds(2));
+      if (index >= cut_off) {
+        proxy_count.told({all.begin() + static_cast<std::ptrdiff_t>(cut_off), all.end()}, start + common::seconds(2));
       }
-      LoadBalancerContext entry = terms(1, index);
+      LoadBalancerContext entry = context(1, index);
       entry.proxies = proxy_count.proxies(start + common::seconds(3));
       balancers[index].update(specs, entry, start + common::seconds(3));
-      while (place(balancers[index], wanted(), start + common::seconds(3)) != "") {
+      while (place(balancers[index], request_for(), start + common::seconds(3)) != "") {
         ++taken;
       }
     }
-    EXPECT_LE(static_cast<double>(taken), 8 * 1.5 + 5) << cut;
-    EXPECT_GE(taken, 6u) << cut;
+    EXPECT_LE(static_cast<double>(taken), 8 * 1.5 + 5) << cut_off;
+    EXPECT_GE(taken, 6u) << cut_off;
   }
 }
 
-TEST(LoadBalancer, HomesAreNeverLeft) {
+TEST(LoadBalancer, AQueryNeverLeavesItsHomeRegions) {
   LoadBalancer balancer;
-  balancer.update({spec("here", "web", "north"), spec("there", "web", "far")}, terms(), start);
-  Wanted query = wanted();
+  balancer.update({spec("here", "web", "north"), spec("there", "web", "far")}, context(), start);
+  PlacementRequest query = request_for();
   query.homes = {"cork"};
   EXPECT_EQ(place(balancer, query, start), "there");
   query.avoid = {"there"};
@@ -170,44 +171,44 @@
   EXPECT_EQ(place(balancer, query, start), "");
 }
 
-TEST(LoadBalancer, DrainingEvacuatedAndLeftWorkersGetNothing) {
-  for (int const how : {0, 1, 2}) {
+TEST(LoadBalancer, DrainingEvacuatedAndUnlistedWorkersGetNothing) {
+  for (int const change : {0, 1, 2}) {
     LoadBalancer balancer;
     std::vector<WorkerSpec> specs = several(2, "web");
-    balancer.update(specs, terms(), start);
+    balancer.update(specs, context(), start);
     std::variant<Assignment, NoAssignment> const running = balancer.choose(
         [] {
-          Wanted query = wanted();
+          PlacementRequest query = request_for();
           query.avoid = {"north-1"};
           return query;
         }(),
         start);
     ASSERT_TRUE(std::holds_alternative<Assignment>(running));
-    if (how == 0) {
+    if (change == 0) {
       specs[0].draining = true;
-    } else if (how == 1) {
+    } else if (change == 1) {
       specs[0].evacuated = true;
     } else {
       specs.erase(specs.begin());
     }
-    balancer.update(specs, terms(), start);
-    EXPECT_FALSE(balancer.usable("north-0")) << how;
+    balancer.update(specs, context(), start);
+    EXPECT_FALSE(balancer.usable("north-0")) << change;
     EXPECT_TRUE(balancer.usable("north-1"));
     for (int step = 0; step < 5; ++step) {
-      EXPECT_EQ(place(balancer, wanted(), start), "north-1") << how;
+      EXPECT_EQ(place(balancer, request_for(), start), "north-1") << change;
     }
-    Wanted other = wanted();
+    PlacementRequest other = request_for();
     other.avoid = {"north-1"};
-    EXPECT_EQ(place(balancer, other, start), "") << how;
-    // What runs there ends in peace; one that left is forgotten then.
+    EXPECT_EQ(place(balancer, other, start), "") << change;
+    // The query that runs there ends normally; a worker that left the list is removed then.
     balancer.ended(std::get<Assignment>(running), true, Outcome::success, start);
-    EXPECT_EQ(balancer.size(), how == 2 ? 1u : 2u);
+    EXPECT_EQ(balancer.size(), change == 2 ? 1u : 2u);
     EXPECT_FALSE(balancer.usable("north-0"));
   }
 }
 
-/// Queries sent to a cold worker within one second by all furrows together,
-/// each of which has as many as it may place.
+/// The most queries sent to a cold worker within any one second by all proxies together, when each has as many queries
+/// as it may send.
 std::size_t sent_in_a_second(std::size_t proxies, double cold_rate, LoadBalancerGuards guards) {
   std::vector<LoadBalancer> balancers;
   std::vector<WorkerSpec> specs = several(1, "web");
@@ -216,13 +217,13 @@
   specs[0].cold_until = start + common::seconds(60);
   for (std::size_t index = 0; index < proxies; ++index) {
     balancers.emplace_back(guards);
-    balancers.back().update(specs, terms(proxies, index), start);
+    balancers.back().update(specs, context(proxies, index), start);
   }
   std::vector<common::Moment> sends;
   for (common::Moment now = start; now < start + common::seconds(5); now += common::milliseconds(10)) {
     for (LoadBalancer& balancer : balancers) {
       for (int attempt = 0; attempt < 3; ++attempt) {
-        std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), now);
+        std::variant<Assignment, NoAssignment> const found = balancer.choose(request_for(), now);
         if (Assignment const* const assignment = std::get_if<Assignment>(&found)) {
           sends.push_back(now);
           balancer.ended(*assignment, true, Outcome::success, now);
@@ -240,127 +241,127 @@
   return most;
 }
 
-TEST(LoadBalancer, ColdWorkersGetNoMoreThanTheBoundFromAllFurrowsTogether) {
+TEST(LoadBalancer, ColdWorkersGetNoMoreThanTheBoundFromAllProxiesTogether) {
   for (double const rate : {45.0, 12.0, 2.0}) {
     double const bound = rate * 1.5 + 5;
     for (std::size_t const proxies : {1u, 3u, 12u, 40u}) {
       std::size_t const most = sent_in_a_second(proxies, rate, {});
       EXPECT_LE(static_cast<double>(most), bound) << rate << " " << proxies;
-      EXPECT_GE(most, 1u) << rate << " " << proxies;  // it is not left to starve either
+      EXPECT_GE(most, 1u) << rate << " " << proxies;  // it must not get nothing either
     }
   }
   EXPECT_GT(static_cast<double>(sent_in_a_second(12, 45, LoadBalancerGuards{.cold_bound = false})),
-            45 * 1.5 + 5);  // the guard is needed
+            45 * 1.5 + 5);  // without the rule the bound is exceeded
 }
 
-TEST(LoadBalancer, FewerQueriesThanFurrowsAreTendedByThoseAHashPicks) {
-  // (0.5 x 1.5 + 5) x 0.6 = 3.45: three of twelve furrows, one query each.
+TEST(LoadBalancer, FewerColdQueriesThanProxiesAreSentByThoseThatAHashPicks) {
+  // (0.5 x 1.5 + 5) x 0.6 = 3.45: three of twelve proxies may send, one query each.
   std::size_t const most = sent_in_a_second(12, 0.5, {});
   EXPECT_GE(most, 1u);
   EXPECT_LE(most, 3u);
 }
 
-TEST(LoadBalancer, AWorkerOfAHallTakenBackIsColdUntilTheListWouldHaveTold) {
-  for (bool const guarded : {true, false}) {
-    LoadBalancer balancer(LoadBalancerGuards{.suspect_returned = guarded});
+TEST(LoadBalancer, AWorkerOfARestoredZoneIsColdUntilTheListWouldShowIt) {
+  for (bool const guard_on : {true, false}) {
+    LoadBalancer balancer(LoadBalancerGuards{.suspect_returned = guard_on});
     std::vector<WorkerSpec> specs = several(1, "web");
     specs[0].cold_rate = 4;
     specs[0].capacity = 1000;
-    balancer.update(specs, terms(), start);
+    balancer.update(specs, context(), start);
     specs[0].evacuated = true;
-    balancer.update(specs, terms(), start);
-    EXPECT_EQ(place(balancer, wanted(), start), "");
+    balancer.update(specs, context(), start);
+    EXPECT_EQ(place(balancer, request_for(), start), "");
     specs[0].evacuated = false;
-    balancer.update(specs, terms(), start);
+    balancer.update(specs, context(), start);
     std::size_t taken = 0;
     for (int attempt = 0; attempt < 100; ++attempt) {
-      taken += place(balancer, wanted(), start).empty() ? 0 : 1;
+      taken += place(balancer, request_for(), start).empty() ? 0 : 1;
     }
-    EXPECT_EQ(static_cast<double>(taken) > 4 * 1.5 + 5, !guarded);
-    EXPECT_FALSE(place(balancer, wanted(), start + constants::cold_suspect + 1).empty());
+    EXPECT_EQ(static_cast<double>(taken) > 4 * 1.5 + 5, !guard_on);
+    EXPECT_FALSE(place(balancer, request_for(), start + constants::cold_suspect + 1).empty());
   }
 }
 
-TEST(LoadBalancer, OlderNewsOfColdDontMakeItWarm) {
+TEST(LoadBalancer, AnOlderColdUntilDoesNotMakeAWorkerWarm) {
   LoadBalancer balancer;
   std::vector<WorkerSpec> specs = several(1, "web");
   specs[0].cold_rate = 1;
   specs[0].capacity = 1000;
   specs[0].cold_until = start + common::seconds(5);
-  balancer.update(specs, terms(), start);
-  specs[0].cold_until = 0;  // a list read before it came
-  balancer.update(specs, terms(), start);
+  balancer.update(specs, context(), start);
+  specs[0].cold_until = 0;  // from a list that was read before the worker turned cold
+  balancer.update(specs, context(), start);
   std::size_t taken = 0;
   for (int attempt = 0; attempt < 50; ++attempt) {
-    taken += place(balancer, wanted(), start).empty() ? 0 : 1;
+    taken += place(balancer, request_for(), start).empty() ? 0 : 1;
   }
   EXPECT_LE(static_cast<double>(taken), 1 * 1.5 + 5);
 }
 
-TEST(LoadBalancer, DefectsMakeAWorkerRestLongerEachTime) {
-  for (bool const guarded : {true, false}) {
-    LoadBalancer balancer(LoadBalancerGuards{.rest = guarded});
-    balancer.update(several(1, "web"), terms(), start);
+TEST(LoadBalancer, FailuresEjectAWorkerForLongerEachTime) {
+  for (bool const guard_on : {true, false}) {
+    LoadBalancer balancer(LoadBalancerGuards{.ejection = guard_on});
+    balancer.update(several(1, "web"), context(), start);
     common::Moment now = start;
     common::Span before = 0;
     for (int round = 0; round < 4; ++round) {
-      std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), now);
+      std::variant<Assignment, NoAssignment> const found = balancer.choose(request_for(), now);
       ASSERT_TRUE(std::holds_alternative<Assignment>(found)) << round;
       balancer.ended(std::get<Assignment>(found), false, Outcome::failure, now);
-      if (!guarded) {
-        EXPECT_FALSE(place(balancer, wanted(), now).empty());
+      if (!guard_on) {
+        EXPECT_FALSE(place(balancer, request_for(), now).empty());
         continue;
       }
-      EXPECT_TRUE(place(balancer, wanted(), now).empty());
-      common::Span rest = 0;
-      while (rest < common::seconds(60) && !balancer.alternative(wanted(), now + rest)) {
-        rest += common::milliseconds(100);
+      EXPECT_TRUE(place(balancer, request_for(), now).empty());
+      common::Span ejection_span = 0;
+      while (ejection_span < common::seconds(60) && !balancer.alternative(request_for(), now + ejection_span)) {
+        ejection_span += common::milliseconds(100);
       }
-      EXPECT_GT(rest, before);
-      before = rest;
-      now += rest;
+      EXPECT_GT(ejection_span, before);
+      before = ejection_span;
+      now += ejection_span;
     }
-    // A good answer ends it: the next defect counts as the first.
-    std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), now);
+    // A success resets the ejection time: the next failure counts as the first.
+    std::variant<Assignment, NoAssignment> const found = balancer.choose(request_for(), now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
     balancer.ended(std::get<Assignment>(found), true, Outcome::success, now);
-    std::variant<Assignment, NoAssignment> const again = balancer.choose(wanted(), now);
+    std::variant<Assignment, NoAssignment> const again = balancer.choose(request_for(), now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(again));
     balancer.ended(std::get<Assignment>(again), false, Outcome::unreachable, now);
-    EXPECT_FALSE(place(balancer, wanted(), now + constants::worker_rest_least + 1).empty());
+    EXPECT_FALSE(place(balancer, request_for(), now + constants::worker_rest_least + 1).empty());
   }
 }
 
-TEST(LoadBalancer, AWorkerOutOfARestIsTriedWithOneQueryAtATime) {
+TEST(LoadBalancer, AWorkerBackFromEjectionGetsOneQueryAtATime) {
   for (bool const heard : {false, true}) {
     LoadBalancer balancer;
-    balancer.update(several(1, "web"), terms(), start);
-    std::variant<Assignment, NoAssignment> const first = balancer.choose(wanted(), start);
+    balancer.update(several(1, "web"), context(), start);
+    std::variant<Assignment, NoAssignment> const first = balancer.choose(request_for(), start);
     ASSERT_TRUE(std::holds_alternative<Assignment>(first));
     balancer.ended(std::get<Assignment>(first), false, Outcome::failure, start);
     common::Moment const now = start + constants::worker_rest_most;
-    std::variant<Assignment, NoAssignment> const trial = balancer.choose(wanted(), now);
-    ASSERT_TRUE(std::holds_alternative<Assignment>(trial));
-    EXPECT_TRUE(place(balancer, wanted(), now).empty());  // the first is not back yet
+    std::variant<Assignment, NoAssignment> const probe = balancer.choose(request_for(), now);
+    ASSERT_TRUE(std::holds_alternative<Assignment>(probe));
+    EXPECT_TRUE(place(balancer, request_for(), now).empty());  // the first one has not ended yet
     if (heard) {
       balancer.heard("north-0", now);
     } else {
-      balancer.ended(std::get<Assignment>(trial), true, Outcome::success, now);
+      balancer.ended(std::get<Assignment>(probe), true, Outcome::success, now);
     }
-    EXPECT_FALSE(place(balancer, wanted(), now).empty());
-    EXPECT_FALSE(place(balancer, wanted(), now).empty());
+    EXPECT_FALSE(place(balancer, request_for(), now).empty());
+    EXPECT_FALSE(place(balancer, request_for(), now).empty());
   }
 }
 
-TEST(LoadBalancer, TwoOutOfReachMakeTheirHallTheLastChoiceAndNoMore) {
-  for (bool const guarded : {true, false}) {
-    LoadBalancer balancer(LoadBalancerGuards{.zone_suspicion = guarded});
+TEST(LoadBalancer, TwoUnreachableWorkersMakeTheirZoneTheLastChoiceAndNoMore) {
+  for (bool const guard_on : {true, false}) {
+    LoadBalancer balancer(LoadBalancerGuards{.zone_suspicion = guard_on});
     std::vector<WorkerSpec> specs = several(4, "web", "north");
     specs.push_back(spec("far-0", "web", "far"));
-    balancer.update(specs, terms(), start);
+    balancer.update(specs, context(), start);
     std::vector<Assignment> lost;
     for (int step = 0; step < 2; ++step) {
-      std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), start);
+      std::variant<Assignment, NoAssignment> const found = balancer.choose(request_for(), start);
       ASSERT_TRUE(std::holds_alternative<Assignment>(found));
       lost.push_back(std::get<Assignment>(found));
       EXPECT_EQ(lost.back().worker.rfind("north-", 0), 0u);
@@ -368,73 +369,73 @@
     for (Assignment const& assignment : lost) {
       balancer.ended(assignment, false, Outcome::unreachable, start);
     }
-    EXPECT_EQ(place(balancer, wanted(), start + 1) == "far-0", guarded);
-    // It is a preference: what is left of the hall still serves.
-    Wanted here = wanted();
+    EXPECT_EQ(place(balancer, request_for(), start + 1) == "far-0", guard_on);
+    // The zone is only the last choice: its other workers still serve.
+    PlacementRequest here = request_for();
     here.avoid = {"far-0"};
     EXPECT_FALSE(place(balancer, here, start + 1).empty());
-    // One that is heard is not meant, and a good answer from there ends it.
+    // A worker that answers is exempt, and a success from the zone ends the suspicion.
     std::variant<Assignment, NoAssignment> const found = balancer.choose(here, start + 1);
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
     balancer.ended(std::get<Assignment>(found), true, Outcome::success, start + 2);
-    EXPECT_EQ(place(balancer, wanted(), start + 3).rfind("north-", 0), 0u);
+    EXPECT_EQ(place(balancer, request_for(), start + 3).rfind("north-", 0), 0u);
   }
 }
 
-TEST(LoadBalancer, RefusedAndMisdirectedRestToo) {
+TEST(LoadBalancer, RefusedAndMisdirectedQueriesEjectAWorkerToo) {
   LoadBalancer balancer;
-  balancer.update(several(1, "web"), terms(), start);
-  std::variant<Assignment, NoAssignment> const first = balancer.choose(wanted(), start);
+  balancer.update(several(1, "web"), context(), start);
+  std::variant<Assignment, NoAssignment> const first = balancer.choose(request_for(), start);
   ASSERT_TRUE(std::holds_alternative<Assignment>(first));
   balancer.ended(std::get<Assignment>(first), false, Outcome::refused, start);
-  EXPECT_EQ(place(balancer, wanted(), start), "");
-  std::variant<Assignment, NoAssignment> const second = balancer.choose(wanted(), start + constants::refused_rest);
+  EXPECT_EQ(place(balancer, request_for(), start), "");
+  std::variant<Assignment, NoAssignment> const second = balancer.choose(request_for(), start + constants::refused_rest);
   ASSERT_TRUE(std::holds_alternative<Assignment>(second));
   balancer.ended(std::get<Assignment>(second), false, Outcome::misdirected, start + constants::refused_rest);
-  EXPECT_EQ(place(balancer, wanted(), start + common::seconds(2)), "");  // another has its address
+  EXPECT_EQ(place(balancer, request_for(), start + common::seconds(2)), "");  // another has its address
 }
 
-TEST(LoadBalancer, CallersWhoWentAwayDontSpeakAgainstAWorker) {
+TEST(LoadBalancer, AbandonedQueriesDoNotCountAgainstAWorker) {
   LoadBalancer balancer;
-  balancer.update(several(1, "web"), terms(), start);
+  balancer.update(several(1, "web"), context(), start);
   for (int round = 0; round < 20; ++round) {
-    std::variant<Assignment, NoAssignment> const found = balancer.choose(wanted(), start);
+    std::variant<Assignment, NoAssignment> const found = balancer.choose(request_for(), start);
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
     balancer.ended(std::get<Assignment>(found), false, Outcome::abandoned, start);
   }
 }
 
-TEST(LoadBalancer, ConnectionsAndPlacesAreBounds) {
-  // Of what a worker takes from all callers each furrow has its even part.
+TEST(LoadBalancer, ConnectionsAndReportedLoadAreBounds) {
+  // Each proxy may use an even part of the connections that a worker takes from all callers.
   std::vector<WorkerSpec> specs = several(1, "web");
   specs[0].capacity = 1000;
   specs[0].connections = 100;
   std::size_t sum = 0;
   for (std::size_t index = 0; index < 5; ++index) {
     LoadBalancer balancer;
-    balancer.update(specs, terms(5, index), start);
-    while (!place(balancer, wanted(), start).empty()) {
+    balancer.update(specs, context(5, index), start);
+    while (!place(balancer, request_for(), start).empty()) {
       ++sum;
     }
   }
   EXPECT_LE(sum, 100u);
   EXPECT_GE(sum, 50u);
-  // What it said of its load counts, whoever caused it, and fades.
+  // The load that the worker reported counts, whichever caller caused it, and fades with age.
   LoadBalancer balancer;
   specs[0].connections = 0;
   specs[0].capacity = 8;
-  balancer.update(specs, terms(), start);
-  balancer.told("north-0", 8, 4, 8, start);
-  EXPECT_EQ(place(balancer, wanted(), start), "");
-  EXPECT_FALSE(place(balancer, wanted(), start + common::seconds(4)).empty());
+  balancer.update(specs, context(), start);
+  balancer.report_load("north-0", 8, 4, 8, start);
+  EXPECT_EQ(place(balancer, request_for(), start), "");
+  EXPECT_FALSE(place(balancer, request_for(), start + common::seconds(4)).empty());
 }
 
-TEST(LoadBalancer, LoadsAreLevelledAmongEquals) {
+TEST(LoadBalancer, LoadIsBalancedAmongEqualWorkers) {
   LoadBalancer balancer;
-  balancer.update(several(4, "web"), terms(), start);
+  balancer.update(several(4, "web"), context(), start);
   std::map<std::string, int> counts;
   for (int step = 0; step < 16; ++step) {
-    ++counts[place(balancer, wanted(), start)];
+    ++counts[place(balancer, request_for(), start)];
   }
   EXPECT_EQ(counts.size(), 4u);
   for (std::pair<std::string const, int> const& entry : counts) {
@@ -442,32 +443,32 @@
   }
 }
 
-TEST(LoadBalancer, OwnersAreTheSameInAllFurrowsOfARegionAndSpread) {
+TEST(LoadBalancer, OwnersAreTheSameInAllProxiesOfARegionAndSpread) {
   std::vector<WorkerSpec> specs = several(6, "pool");
   for (WorkerSpec& entry : several(4, "pool", "far")) {
     specs.push_back(entry);
   }
   std::set<std::string> owners;
-  for (std::uint64_t beginning = 1; beginning <= 40; ++beginning) {
-    std::set<std::string> named;
+  for (std::uint64_t prefix = 1; prefix <= 40; ++prefix) {
+    std::set<std::string> chosen;
     for (std::size_t index = 0; index < 6; ++index) {
       LoadBalancer balancer;
       std::vector<WorkerSpec> shuffled = specs;
       std::rotate(shuffled.begin(), shuffled.begin() + static_cast<std::ptrdiff_t>(index), shuffled.end());
-      LoadBalancerContext own = terms(6, index);
+      LoadBalancerContext own = context(6, index);
       own.hall = index % 2 == 0 ? "north" : "south";
       balancer.update(shuffled, own, start);
-      named.insert(place(balancer, long_prompt(beginning), start));
+      chosen.insert(place(balancer, long_prompt(prefix), start));
     }
-    EXPECT_EQ(named.size(), 1u) << beginning;
-    EXPECT_EQ(named.begin()->rfind("north-", 0), 0u);  // of the own region
-    owners.insert(*named.begin());
+    EXPECT_EQ(chosen.size(), 1u) << prefix;
+    EXPECT_EQ(chosen.begin()->rfind("north-", 0), 0u);  // in the proxy's own region
+    owners.insert(*chosen.begin());
   }
   EXPECT_GE(owners.size(), 4u);
 }
 
-// Section 13.14: a lane has its home in "dublin", so what may be served
-// anywhere is owned in "cork".
+// Section 13.14: a route has its home in "dublin", so the prefixes of queries that may be served anywhere are owned by
+// workers in "cork".
 std::vector<WorkerSpec> two_regions(std::size_t far_workers) {
   std::vector<WorkerSpec> specs = several(6, "pool");
   for (WorkerSpec& entry : several(far_workers, "pool", "far")) {
@@ -476,86 +477,87 @@
   return specs;
 }
 
-LoadBalancerContext claimed_terms(std::string const& region) {
-  LoadBalancerContext own = terms();
+LoadBalancerContext context_with_homes(std::string const& region) {
+  LoadBalancerContext own = context();
   own.claims["pool"] = {"dublin"};
   own.region = region;
   own.hall = region == "cork" ? "far" : "north";
   return own;
 }
 
-TEST(LoadBalancer, WhatMayBeServedAnywhereIsOwnedWhereNoLaneHasItsHome) {
+TEST(LoadBalancer, QueriesWithoutAHomeAreOwnedWhereNoRouteHasItsHome) {
   std::set<std::string> owners;
-  for (std::uint64_t beginning = 1; beginning <= 20; ++beginning) {
-    std::set<std::string> named;
+  for (std::uint64_t prefix = 1; prefix <= 20; ++prefix) {
+    std::set<std::string> chosen;
     for (std::string const region : {"dublin", "cork"}) {
       LoadBalancer balancer;
-      balancer.update(two_regions(4), claimed_terms(region), start);
-      named.insert(place(balancer, long_prompt(beginning), start));
+      balancer.update(two_regions(4), context_with_homes(region), start);
+      chosen.insert(place(balancer, long_prompt(prefix), start));
     }
-    EXPECT_EQ(named.size(), 1u) << beginning;  // one owner for both regions
-    EXPECT_EQ(named.begin()->rfind("far-", 0), 0u);
-    owners.insert(*named.begin());
+    EXPECT_EQ(chosen.size(), 1u) << prefix;  // one owner for both regions
+    EXPECT_EQ(chosen.begin()->rfind("far-", 0), 0u);
+    owners.insert(*chosen.begin());
   }
   EXPECT_GE(owners.size(), 3u);
 }
 
-TEST(LoadBalancer, AQueryWithAHomeAndAShortBeginningStayInTheirRegion) {
+TEST(LoadBalancer, AQueryWithAHomeAndAShortSharedPrefixStayInTheirRegion) {
   LoadBalancer balancer;
-  balancer.update(two_regions(4), claimed_terms("dublin"), start);
-  Wanted at_home = long_prompt(3);
+  balancer.update(two_regions(4), context_with_homes("dublin"), start);
+  PlacementRequest at_home = long_prompt(3);
   at_home.homes = {"dublin"};
   EXPECT_EQ(place(balancer, at_home, start).rfind("north-", 0), 0u);
-  Wanted brief = wanted("pool", 2500);
-  brief.parts = {PromptPart{5, 1500}, PromptPart{5001, 1000}};  // a second reading is cheaper than the way
-  EXPECT_EQ(place(balancer, brief, start).rfind("north-", 0), 0u);
+  PlacementRequest short_prompt = request_for("pool", 2500);
+  short_prompt.parts = {PromptPart{5, 1500},
+                        PromptPart{5001, 1000}};  // reading it again costs less than the way to the other region
+  EXPECT_EQ(place(balancer, short_prompt, start).rfind("north-", 0), 0u);
 }
 
-TEST(LoadBalancer, TooFewWorkersToSpareOrClaimsOnEveryRegionLeaveOwnersInEach) {
-  LoadBalancer few;
-  few.update(two_regions(2), claimed_terms("dublin"), start);  // 2 of 8
-  EXPECT_EQ(place(few, long_prompt(3), start).rfind("north-", 0), 0u);
+TEST(LoadBalancer, TooFewSpareWorkersOrHomesInEveryRegionLeaveOwnersInEach) {
+  LoadBalancer too_few;
+  too_few.update(two_regions(2), context_with_homes("dublin"), start);  // 2 of 8
+  EXPECT_EQ(place(too_few, long_prompt(3), start).rfind("north-", 0), 0u);
   LoadBalancer everywhere;
-  LoadBalancerContext own = claimed_terms("dublin");
+  LoadBalancerContext own = context_with_homes("dublin");
   own.claims["pool"].insert("cork");
   everywhere.update(two_regions(4), own, start);
   EXPECT_EQ(place(everywhere, long_prompt(3), start).rfind("north-", 0), 0u);
-  // Evacuated workers are none to spare.
+  // Workers of a drained zone are not spare.
   std::vector<WorkerSpec> specs = two_regions(4);
   for (WorkerSpec& entry : specs) {
     entry.evacuated = entry.hall == "far";
   }
   LoadBalancer evacuated;
-  evacuated.update(specs, claimed_terms("dublin"), start);
+  evacuated.update(specs, context_with_homes("dublin"), start);
   EXPECT_EQ(place(evacuated, long_prompt(3), start).rfind("north-", 0), 0u);
 }
 
-TEST(LoadBalancer, AnOwnersLossMovesOnlyItsOwnBeginnings) {
+TEST(LoadBalancer, LosingAnOwnerMovesOnlyItsOwnPrefixes) {
   std::vector<WorkerSpec> specs = several(6, "pool");
   std::map<std::uint64_t, std::string> before;
-  for (std::uint64_t beginning = 1; beginning <= 30; ++beginning) {
+  for (std::uint64_t prefix = 1; prefix <= 30; ++prefix) {
     LoadBalancer balancer;
-    balancer.update(specs, terms(), start);
-    before[beginning] = place(balancer, long_prompt(beginning), start);
+    balancer.update(specs, context(), start);
+    before[prefix] = place(balancer, long_prompt(prefix), start);
   }
   std::string const lost = before[1];
   std::erase_if(specs, [&lost](WorkerSpec const& entry) { return entry.id == lost; });
-  for (std::uint64_t beginning = 1; beginning <= 30; ++beginning) {
+  for (std::uint64_t prefix = 1; prefix <= 30; ++prefix) {
     LoadBalancer balancer;
-    balancer.update(specs, terms(), start);
-    std::string const now = place(balancer, long_prompt(beginning), start);
-    if (before[beginning] != lost) {
-      EXPECT_EQ(now, before[beginning]);
+    balancer.update(specs, context(), start);
+    std::string const now = place(balancer, long_prompt(prefix), start);
+    if (before[prefix] != lost) {
+      EXPECT_EQ(now, before[prefix]);
     } else {
       EXPECT_NE(now, lost);
     }
   }
 }
 
-TEST(LoadBalancer, KeptPartsDrawAQueryBack) {
+TEST(LoadBalancer, CachedPartsAttractTheNextQuery) {
   LoadBalancer balancer;
-  balancer.update(several(6, "pool"), terms(), start);
-  Wanted query = long_prompt(7);
+  balancer.update(several(6, "pool"), context(), start);
+  PlacementRequest query = long_prompt(7);
   std::variant<Assignment, NoAssignment> const first = balancer.choose(query, start);
   ASSERT_TRUE(std::holds_alternative<Assignment>(first));
   Assignment const& assignment = std::get<Assignment>(first);
@@ -567,50 +569,50 @@
   EXPECT_LT(std::get<Assignment>(second).uncached, 1000);
 }
 
-TEST(LoadBalancer, LongPromptsAndTheRestAreKeptApart) {
+TEST(LoadBalancer, LongAndShortPromptsGoToDifferentWorkers) {
   LoadBalancer balancer;
-  balancer.update(several(6, "pool"), terms(), start);
-  std::set<std::string> read_long;
-  std::set<std::string> read_short;
+  balancer.update(several(6, "pool"), context(), start);
+  std::set<std::string> workers_of_long;
+  std::set<std::string> workers_of_short;
   common::Moment now = start;
   for (std::uint64_t step = 0; step < 200; ++step) {
     now += common::milliseconds(20);
     bool const is_long = step % 10 == 0;
-    Wanted const query = is_long ? long_prompt(step) : wanted("pool", 380);
+    PlacementRequest const query = is_long ? long_prompt(step) : request_for("pool", 380);
     std::variant<Assignment, NoAssignment> const found = balancer.choose(query, now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(found));
     Assignment const& assignment = std::get<Assignment>(found);
     if (step > 50) {
-      (is_long ? read_long : read_short).insert(assignment.worker);
+      (is_long ? workers_of_long : workers_of_short).insert(assignment.worker);
     }
     balancer.first_token(assignment, query.parts, 0.1);
     balancer.ended(assignment, true, Outcome::success, now);
   }
-  for (std::string const& worker : read_long) {
-    EXPECT_EQ(read_short.count(worker), 0u) << worker;
+  for (std::string const& worker : workers_of_long) {
+    EXPECT_EQ(workers_of_short.count(worker), 0u) << worker;
   }
-  EXPECT_FALSE(read_short.empty());
-  EXPECT_FALSE(read_long.empty());
+  EXPECT_FALSE(workers_of_short.empty());
+  EXPECT_FALSE(workers_of_long.empty());
 }
 
-TEST(LoadBalancer, KeepingApartNeverKeepsAQueryFromTheLastPlace) {
-  // However long ones are asked for, some workers are left to the rest, and
-  // both go astray rather than nowhere.
+TEST(LoadBalancer, SeparatingLongPromptsNeverDeniesAQueryTheLastPlace) {
+  // Whatever the share of long prompts, some workers are left for short ones, and a prompt of either kind goes to a
+  // worker for the other kind rather than to none.
   LoadBalancer balancer;
-  balancer.update(several(3, "pool"), terms(), start);
+  balancer.update(several(3, "pool"), context(), start);
   for (std::uint64_t step = 0; step < 8 * 3; ++step) {
-    EXPECT_FALSE(place(balancer, step % 2 == 0 ? long_prompt(step) : wanted("pool", 100), start).empty()) << step;
+    EXPECT_FALSE(place(balancer, step % 2 == 0 ? long_prompt(step) : request_for("pool", 100), start).empty()) << step;
   }
 }
 
-TEST(LoadBalancer, AnUnknownServiceAndAnEmptyListGiveNoSpot) {
+TEST(LoadBalancer, AnUnknownServiceAndAnEmptyListGiveNoAssignment) {
   LoadBalancer balancer;
-  std::variant<Assignment, NoAssignment> const none = balancer.choose(wanted(), start);
+  std::variant<Assignment, NoAssignment> const none = balancer.choose(request_for(), start);
   ASSERT_TRUE(std::holds_alternative<NoAssignment>(none));
-  EXPECT_FALSE(std::get<NoAssignment>(none).any);
-  balancer.update(several(1, "web"), terms(), start);
-  EXPECT_EQ(place(balancer, wanted("other"), start), "");
-  EXPECT_EQ(place(balancer, Wanted{}, start), "");
+  EXPECT_FALSE(std::get<NoAssignment>(none).has_workers);
+  balancer.update(several(1, "web"), context(), start);
+  EXPECT_EQ(place(balancer, request_for("other"), start), "");
+  EXPECT_EQ(place(balancer, PlacementRequest{}, start), "");
   EXPECT_FALSE(balancer.serves("north-0", "pool"));
   EXPECT_TRUE(balancer.serves("north-0", "web"));
   EXPECT_TRUE(balancer.is_in_regions("north-0", {"cork", "dublin"}));
