--- a/source/common/process/process.cpp
+++ b/source/common/process/process.cpp
@@ -27,8 +27,9 @@
   std::uint64_t const listed = 2 * bounds.list_pause_ms + bounds.tell_pause_ms + round + bounds.ask_hold_ms;
   // A session that a peer trellis tells of: heard at one ask, told just before
   // the next, and kept until the telling after that.
-  std::uint64_t const gossip =
-      bounds.ask_hold_ms + static_cast<std::uint64_t>(constants::ask_least / 1000) + bounds.tell_pause_ms + round;
+  std::uint64_t const gossip = bounds.ask_hold_ms +
+                               static_cast<std::uint64_t>(constants::min_update_request_interval / 1000) +
+                               bounds.tell_pause_ms + round;
   struct Sum {
     char const* what;
     std::uint64_t sum;
--- a/source/common/relay_constants.hpp
+++ b/source/common/relay_constants.hpp
@@ -9,18 +9,18 @@
 // --- relay (section 13) ---
 /// Parts of the bounds shared by all furrows that are used: the rest covers
 /// furrows that have just come, gone or restarted, and lists that differ.
-inline constexpr double retry_quota_ratio_part = 0.75;
-inline constexpr double retry_quota_slack_part = 0.6;
+inline constexpr double retry_quota_ratio_fraction = 0.75;
+inline constexpr double retry_quota_slack_fraction = 0.6;
 inline constexpr double cold_part = 0.6;
 inline constexpr double connection_part = 0.8;
 /// A furrow that is no member any more counts among those that share a bound
 /// this long: it may be cut off only, and cuts last up to some ten seconds.
-inline constexpr Span proxy_count_memory = seconds(20);
+inline constexpr Span proxy_count_retention = seconds(20);
 /// Window over which queries to a cold worker are counted, a little over the
 /// second that the bound names, since they arrive later than they are sent.
 inline constexpr Span cold_window = milliseconds(1300);
 /// A hall taken back counts as cold until the list would have told.
-inline constexpr Span cold_suspect = milliseconds(3000);
+inline constexpr Span restored_zone_cold_span = milliseconds(3000);
 /// Part of a worker's memory that the record counts on: running queries take the rest.
 inline constexpr double reuse_part = 0.8;
 /// Part of a service's workers that stand in regions which no lane calls home,
@@ -28,7 +28,7 @@
 inline constexpr double free_least = 0.3;
 /// Only beginnings whose second reading costs this many times the way there: the
 /// way is paid each time, the reading once.
-inline constexpr double roaming_worth = 2;
+inline constexpr double min_reread_to_transit_ratio = 2;
 /// Beginnings of at least this many tokens have an owner and teach the pace.
 inline constexpr double owned_tokens = 1000;
 /// Kept apart by each furrow's own estimate: off, since owners that change with
@@ -38,17 +38,17 @@
 /// region's workers that long prompts are fed to while there are others too;
 /// worker seconds that a query costs beside its prefill; costs of going astray.
 inline constexpr double demand_memory = 10;
-inline constexpr double long_share_least = 0.5;
-inline constexpr double long_share_most = 0.8;
+inline constexpr double min_long_share = 0.5;
+inline constexpr double max_long_share = 0.8;
 inline constexpr double short_work = 0.01;
-inline constexpr double long_astray_cost = 0.12;
-inline constexpr double short_astray_cost = 0.06;
+inline constexpr double long_misplacement_cost = 0.12;
+inline constexpr double short_misplacement_cost = 0.06;
 /// Reports of work to the scaler (section 13.11): their bytes are priced between
 /// regions, so they are seldom; a slice should still hold two of each furrow.
-inline constexpr Span relay_report_span = milliseconds(10000);
-inline constexpr Span relay_report_least = milliseconds(500);
+inline constexpr Span relay_report_interval = milliseconds(10000);
+inline constexpr Span min_relay_report_interval = milliseconds(500);
 /// Rows for the fit in one report, and reports that wait for a trellis.
-inline constexpr std::size_t samples_told = 8;
+inline constexpr std::size_t max_reported_samples = 8;
 inline constexpr std::size_t reports_most = 4;
 /// Part of a set point that first answers are rated by: the rest is the way and
 /// what the furrow holds; how unevenly prompts are long, (1 + variation) / 2 for
@@ -59,8 +59,8 @@
 /// A phase with less work than this part of one worker's gets none of its own.
 inline constexpr double apart_least = 0.5;
 /// Gaps between events that are looked at: at least, and at most of one stream.
-inline constexpr std::size_t gaps_least = 3;
-inline constexpr std::size_t gaps_most = 32;
+inline constexpr std::size_t min_gaps = 3;
+inline constexpr std::size_t max_gaps = 32;
 /// A told load is forgotten over this many seconds.
 inline constexpr double load_memory = 3;
 /// Queries on a worker, as a multiple of its places, up to which it is sent more.
@@ -76,9 +76,9 @@
 /// for a query that has one chance only, and of one in a hall where others are
 /// out of reach; how long that is remembered.
 inline constexpr double trial_cost = 0.1;
-inline constexpr double trial_once_cost = 0.6;
+inline constexpr double probation_once_cost = 0.6;
 inline constexpr double dark_cost = 4.0;
-inline constexpr Span dark_memory = seconds(3);
+inline constexpr Span unreachable_zone_memory = seconds(3);
 /// The way to another region and back, in seconds, and what a first token may
 /// be later than predicted before its worker counts as held up.
 inline constexpr double other_region_seconds = 0.12;
@@ -92,22 +92,22 @@
 /// to queries: two of three, so that one always serves; with fewer than the least
 /// nobody is an outlier among others.
 inline constexpr double ejection_share = 0.7;
-inline constexpr std::size_t ejection_pool_least = 3;
+inline constexpr std::size_t min_ejection_pool = 3;
 /// Refusals by workers, of one request, that are no tries of its route: nothing ran there.
-inline constexpr int refusals_most = 3;
+inline constexpr int max_refusals = 3;
 /// A worker that refused is left alone this long.
-inline constexpr Span refused_rest = milliseconds(100);
+inline constexpr Span refusal_cooldown = milliseconds(100);
 /// Establishing a connection to a worker; the way between regions twice, and more.
 inline constexpr Span relay_connect_deadline = milliseconds(350);
 /// The same within a region, where the way takes a few milliseconds.
-inline constexpr Span relay_connect_near = milliseconds(120);
+inline constexpr Span relay_connect_deadline_in_region = milliseconds(120);
 /// Tries to connect that one query may make; none of them reached a worker.
-inline constexpr int connects_most = 4;
+inline constexpr int max_connects = 4;
 /// Bytes of a caller's next requests that are read while one is served, so that its
 /// end behind them is seen; with more than this ahead it isn't watched any longer.
-inline constexpr std::size_t read_ahead_most = 64u << 10u;
+inline constexpr std::size_t max_read_ahead_bytes = 64u << 10u;
 /// Heads of interim answers (1xx) that a worker may send before its final one.
-inline constexpr int interim_answers_most = 8;
+inline constexpr int max_interim_responses = 8;
 /// An idle connection to a worker is used again within this.
 inline constexpr Span worker_idle = milliseconds(4000);
 /// Idle connections kept per worker.
@@ -116,19 +116,19 @@
 /// started: a caller refused meanwhile may have no try left (its first met the
 /// process that ended), and one that waits is served, if late. A trellis that
 /// starts at the same moment has read a majority by then.
-inline constexpr Span routing_config_hold = milliseconds(1000);
+inline constexpr Span routing_config_wait = milliseconds(1000);
 /// Part of the time its caller has left that it waits at most, so that one refused
 /// can still come back; most furrows have both within the least.
-inline constexpr double routing_config_hold_part = 0.2;
-inline constexpr Span routing_config_hold_least = milliseconds(250);
+inline constexpr double routing_config_wait_fraction = 0.2;
+inline constexpr Span min_routing_config_wait = milliseconds(250);
 /// Up to when a furrow counts as just started: what has not come by then is lost
 /// for longer, and queries are refused at once.
 inline constexpr Span first_span = seconds(10);
 /// Bytes of a query refused unread that are thrown away at most, so that the
 /// answer arrives: as large a body as charters usually allow.
-inline constexpr std::size_t refused_bytes = 4u << 20u;
+inline constexpr std::size_t max_discarded_bytes = 4u << 20u;
 /// Pause between two looks for a place.
-inline constexpr Span place_pause = milliseconds(20);
+inline constexpr Span placement_retry_pause = milliseconds(20);
 /// Part of a lane's set point up to which a query is held without a place, and
 /// the bound where a lane tells none.
 inline constexpr double hold_part = 0.2;
@@ -138,9 +138,9 @@
 inline constexpr double silence_part = 0.6;
 /// As many of these bounds a long prompt waits for a worker that takes connections and says nothing: by then only a
 /// request that is stuck there explains it.
-inline constexpr int silence_bounds_most = 5;
+inline constexpr int max_stall_bounds = 5;
 /// The set point that silence is measured by where a lane tells none.
-inline constexpr double silence_point_ms = 1000;
+inline constexpr double default_stall_set_point_ms = 1000;
 /// A worker that gave bytes to any query within this is busy, not dark: it is
 /// asked again after the step, at most up to twice the silence allowed.
 inline constexpr Span alive_span = milliseconds(250);
@@ -148,8 +148,8 @@
 /// Stack of a relay's coroutine, in bytes; only what is touched counts.
 inline constexpr std::size_t relay_stack = 96u << 10u;
 /// While no trellis answers this many are asked at once, this long each time.
-inline constexpr std::size_t lost_asks = 3;
-inline constexpr Span lost_patience = milliseconds(900);
+inline constexpr std::size_t max_parallel_update_requests = 3;
+inline constexpr Span lost_contact_timeout = milliseconds(900);
 /// Two asks for news are at least this far apart.
 inline constexpr Span ask_least = milliseconds(150);
 /// A hall with fewer ready furrows is helped out by its region; most told.
--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -290,7 +290,7 @@
   scheduling::ScalerAction action = scheduling::Rest{""};
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    scalers_[name].aim_at(pool.set_point, constants::long_share_least, constants::long_share_most);
+    scalers_[name].aim_at(pool.set_point, constants::min_long_share, constants::max_long_share);
     action = scalers_[name].tick(current, value.revision, pool.workers, aims, bounds, common::boot_now(), pool.fixed);
     if (scheduling::Rest const* const rest = std::get_if<scheduling::Rest>(&action)) {
       reasons_["scaler/" + pool.region] = pool.service + ": " + rest->reason;
--- a/source/data_plane/main.cpp
+++ b/source/data_plane/main.cpp
@@ -16,7 +16,7 @@
   using namespace finchlink;
   std::unique_ptr<common::Caller> caller;
   std::unique_ptr<data_plane::ProxyState> field;
-  std::unique_ptr<data_plane::RelayServer> station;
+  std::unique_ptr<data_plane::RelayServer> relay_server;
   common::Daemon daemon;
   daemon.program = "furrow";
   daemon.needed = {"name", "hall", "http_address", "seeds"};
@@ -27,18 +27,18 @@
       data_plane::ListReader const reader = [&context](std::string const& address, common::Yield yield) {
         return platform::read_list(context, address, common::constants::list_deadline, yield);
       };
-      station = std::make_unique<data_plane::RelayServer>(context, settings, platform::dialect(), platform::notation(),
-                                                          reader, common::random_identity());
-      return station->begin();
+      relay_server = std::make_unique<data_plane::RelayServer>(context, settings, platform::dialect(),
+                                                               platform::notation(), reader, common::random_identity());
+      return relay_server->begin();
     }
     if (settings.relay) {
       if (settings.threads != 1) {
         return absl::InvalidArgumentError("/threads must be 1 for a relay");
       }
-      station = std::make_unique<data_plane::RelayServer>(context, settings, data_plane::own_dialect(),
-                                                          config::own_notation(), data_plane::ListReader(),
-                                                          common::random_identity());
-      return station->begin();
+      relay_server = std::make_unique<data_plane::RelayServer>(context, settings, data_plane::own_dialect(),
+                                                               config::own_notation(), data_plane::ListReader(),
+                                                               common::random_identity());
+      return relay_server->begin();
     }
     caller = std::make_unique<common::Caller>(context);
     field = std::make_unique<data_plane::ProxyState>(context, settings, common::random_identity());
@@ -53,16 +53,16 @@
     return absl::OkStatus();
   };
   daemon.drain = [&](common::Moment) {
-    if (station != nullptr) {
-      station->drain();
+    if (relay_server != nullptr) {
+      relay_server->drain();
     } else {
       field->drain();
     }
   };
-  daemon.busy = [&] { return station != nullptr ? station->busy() : field->busy(); };
+  daemon.busy = [&] { return relay_server != nullptr ? relay_server->busy() : field->busy(); };
   daemon.changed = [&](schema::Settings const& settings) {
-    if (station != nullptr) {
-      station->renew(settings);
+    if (relay_server != nullptr) {
+      relay_server->update_settings(settings);
     }
   };
   return common::run_daemon(daemon, count, values);
--- a/source/data_plane/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -13,164 +13,167 @@
 namespace constants = common::constants;
 using boost::system::error_code;
 
-bool Relay::may_spend(bool spend) {
-  scheduling::RetryQuota& retry_quota = station_.retry_quota(service_);
-  if (!spend) {
+bool Relay::retry_allowed(bool consume) {
+  scheduling::RetryQuota& retry_quota = server_.retry_quota(service_);
+  if (!consume) {
     return retry_quota.available();
   }
-  bool const granted = reserved_ || retry_quota.take();
-  reserved_ = false;
-  station_.tally().retries += granted ? 1 : 0;
+  bool const granted = retry_reserved_ || retry_quota.take();
+  retry_reserved_ = false;
+  server_.counters().retries += granted ? 1 : 0;
   return granted;
 }
 
-bool Relay::find_place() {
+bool Relay::wait_for_placement() {
   common::Span const longest_wait =
       route_.set_point_ms > 0
-          ? common::milliseconds(static_cast<std::int64_t>(route_.set_point_ms * constants::hold_part))
-          : constants::hold_plain;
-  common::Span const retry_wait = began_ ? common::milliseconds(static_cast<std::int64_t>(route_.gap_set_point_ms / 2))
-                                  : state_machine_.dispatches() > 0 ? constants::place_pause
+          ? common::milliseconds(static_cast<std::int64_t>(route_.set_point_ms * constants::placement_wait_fraction))
+          : constants::default_placement_wait;
+  common::Span const retry_wait = head_written_
+                                      ? common::milliseconds(static_cast<std::int64_t>(route_.gap_set_point_ms / 2))
+                                  : state_machine_.dispatches() > 0 ? constants::placement_retry_pause
                                                                     : 0;
   common::Moment const until = std::max(query_.arrived + longest_wait, common::boot_now() + retry_wait);
   while (true) {
-    follow();
-    if (state_machine_.settled() || gone_ || back_) {
+    refresh_route();
+    if (state_machine_.settled() || caller_gone_ || resume_set_aside_) {
       return false;
     }
-    wanted_.shares = route_.shares;
-    wanted_.homes = homes_;
-    wanted_.single_dispatch = !repeatable();
-    wanted_.draw = random_fraction();
+    placement_request_.shares = route_.shares;
+    placement_request_.homes = home_regions_;
+    placement_request_.single_dispatch = !repeatable();
+    placement_request_.draw = random_fraction();
     common::Moment const now = common::boot_now();
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const choice =
-        station_.balancer().choose(wanted_, now);
+        server_.balancer().choose(placement_request_, now);
     if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&choice)) {
       assignment_ = *assignment;
-      trail_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + assignment->worker + " predicted " +
-                std::to_string(static_cast<int>(assignment->predicted_seconds * 1000)) + "/" +
-                std::to_string(static_cast<int>(assignment->cost * 1000)) + " uncached " +
-                std::to_string(static_cast<int>(assignment->uncached));
+      placement_log_ += "; at " + std::to_string((now - query_.arrived) / 1000) + " ms " + assignment->worker +
+                        " predicted " + std::to_string(static_cast<int>(assignment->predicted_seconds * 1000)) + "/" +
+                        std::to_string(static_cast<int>(assignment->cost * 1000)) + " uncached " +
+                        std::to_string(static_cast<int>(assignment->uncached));
       return true;
     }
     if (now >= until || now >= deadline_) {
-      feed_or_return(scheduling::NoCapacity{});
+      feed_or_resume(scheduling::NoCapacity{});
       return false;
     }
-    asio::steady_timer timer(station_.context(), common::duration(constants::place_pause));
-    seat_ = &timer;
+    asio::steady_timer timer(server_.context(), common::duration(constants::placement_retry_pause));
+    placement_timer_ = &timer;
     error_code ignored;
     timer.async_wait(yield_[ignored]);
-    seat_ = nullptr;
+    placement_timer_ = nullptr;
   }
 }
 
 void Relay::dispatch() {
-  if (!find_place()) {
+  if (!wait_for_placement()) {
     return;
   }
   if (service_.empty()) {
     schema::Lane const& route = route_;
     service_ = route.shares.front().service;
-    station_.retry_quota(service_).arrived();
+    server_.retry_quota(service_).arrived();
   }
   feed(scheduling::Placed{assignment_.worker});
-  first_seen_ = false;
+  first_output_seen_ = false;
   scheduling::Outcome outcome = scheduling::Outcome::unreachable;
-  if (!reach()) {
-    // The worker received nothing, so another assignment is no retry; connects_most bounds how often.
-    station_.balancer().ended(assignment_, false, gone_ ? scheduling::Outcome::abandoned : outcome, common::boot_now());
-    wanted_.avoid.push_back(assignment_.worker);
-    if (!gone_) {
+  if (!connect_worker()) {
+    // The worker received nothing, so another assignment is no retry; max_connects bounds how often.
+    server_.balancer().ended(assignment_, false, caller_gone_ ? scheduling::Outcome::abandoned : outcome,
+                             common::boot_now());
+    placement_request_.avoid.push_back(assignment_.worker);
+    if (!caller_gone_) {
       ++connects_;
-      if (connects_ < constants::connects_most) {
+      if (connects_ < constants::max_connects) {
         feed(scheduling::PlacementWithdrawn{});
       } else {
-        feed_or_return(scheduling::ConnectFailure{});
+        feed_or_resume(scheduling::ConnectFailure{});
       }
     }
     return;
   }
   std::shared_ptr<scheduling::RouteTable const> const previous_routes = route_table_;
-  follow();
-  if (state_machine_.settled() || back_ || !station_.balancer().usable(assignment_.worker) ||
-      (route_table_ != previous_routes && !still_named())) {
-    station_.balancer().ended(assignment_, false, scheduling::Outcome::abandoned, common::boot_now());
-    keep_worker(constants::worker_idle);
-    if (!back_) {
+  refresh_route();
+  if (state_machine_.settled() || resume_set_aside_ || !server_.balancer().usable(assignment_.worker) ||
+      (route_table_ != previous_routes && !worker_still_routed())) {
+    server_.balancer().ended(assignment_, false, scheduling::Outcome::abandoned, common::boot_now());
+    keep_worker(constants::worker_idle_timeout);
+    if (!resume_set_aside_) {
       feed(scheduling::PlacementWithdrawn{});
     }
     return;
   }
   feed(scheduling::Connected{});
-  ++station_.tally().dispatches;
+  ++server_.counters().dispatches;
   reading_ = std::make_shared<Reading>();
-  outcome = talk();
-  station_.balancer().ended(assignment_, first_seen_, gone_ || slow_ ? scheduling::Outcome::abandoned : outcome,
-                            common::boot_now());
-  after_talk();
+  outcome = exchange();
+  server_.balancer().ended(assignment_, first_output_seen_,
+                           caller_gone_ || gave_up_slow_ ? scheduling::Outcome::abandoned : outcome,
+                           common::boot_now());
+  finish_dispatch();
 }
 
-void Relay::after_talk() {
-  bool const set_aside = setting_aside_ && after_.has_value() && worker_ != nullptr && worker_->is_open();
+void Relay::finish_dispatch() {
+  bool const set_aside = setting_aside_ && next_message_.has_value() && worker_ != nullptr && worker_->is_open();
   setting_aside_ = false;
   if (set_aside) {
-    aside_ = reading_;
-    aside_->assignment = assignment_;
-    aside_->isolated = isolated_;
-    aside_->socket = std::move(worker_);
+    set_aside_ = reading_;
+    set_aside_->assignment = assignment_;
+    set_aside_->isolated = isolated_prompt_;
+    set_aside_->socket = std::move(worker_);
   }
   drop_worker();
   reading_.reset();
-  slow_ = false;
-  wanted_.avoid.push_back(assignment_.worker);
-  if (after_.has_value()) {
-    scheduling::QueryMessage const message = *after_;
-    after_.reset();
+  gave_up_slow_ = false;
+  placement_request_.avoid.push_back(assignment_.worker);
+  if (next_message_.has_value()) {
+    scheduling::QueryMessage const message = *next_message_;
+    next_message_.reset();
     if (scheduling::WorkerFailure const* const failure = std::get_if<scheduling::WorkerFailure>(&message)) {
-      if (!gone_) {
+      if (!caller_gone_) {
         common::note(common::Event::WorkerDefect, assignment_.worker + " " + failure->what + " " + id_);
       }
-      if (common::boot_now() >= deadline_ && whole_.empty()) {
+      if (common::boot_now() >= deadline_ && response_head_.empty()) {
         feed(scheduling::DeadlinePassed{});
         return;
       }
     }
-    if (!gone_) {
-      follow();
-      if (set_aside && !back_) {
+    if (!caller_gone_) {
+      refresh_route();
+      if (set_aside && !resume_set_aside_) {
         feed(message);
-      } else if (!back_) {
-        feed_or_return(message);
+      } else if (!resume_set_aside_) {
+        feed_or_resume(message);
       }
     }
   }
 }
 
-void Relay::go_back() {
-  reading_ = std::move(aside_);
-  aside_.reset();
+void Relay::resume_set_aside() {
+  reading_ = std::move(set_aside_);
+  set_aside_.reset();
   worker_ = std::move(reading_->socket);
   assignment_ = reading_->assignment;
-  isolated_ = reading_->isolated;
-  whole_.clear();
-  whole_body_.clear();
-  place_next_ = false;
-  reserved_ = false;
+  isolated_prompt_ = reading_->isolated;
+  response_head_.clear();
+  response_body_.clear();
+  dispatch_next_ = false;
+  retry_reserved_ = false;
   feed(scheduling::WorkerResumed{assignment_.worker});
-  if (later_.has_value()) {
-    feed(*later_);
-    later_.reset();
+  if (deferred_decision_.has_value()) {
+    feed(*deferred_decision_);
+    deferred_decision_.reset();
   }
-  expect_bytes(pause_set_point_ms(), common::boot_now());
+  arm_stall_detector(event_gap_set_point_ms(), common::boot_now());
   (void)read_events(*reading_);  // the load balancer has counted the end of this dispatch already
-  after_talk();
+  finish_dispatch();
 }
 
-bool Relay::still_named() const {
+bool Relay::worker_still_routed() const {
   for (schema::Share const& share : route_.shares) {
-    if (share.weight > 0 && station_.balancer().serves(assignment_.worker, share.service)) {
-      return homes_.empty() || station_.balancer().is_in_regions(assignment_.worker, homes_);
+    if (share.weight > 0 && server_.balancer().serves(assignment_.worker, share.service)) {
+      return home_regions_.empty() || server_.balancer().is_in_regions(assignment_.worker, home_regions_);
     }
   }
   return false;
@@ -178,7 +181,7 @@
 
 void Relay::keep_worker(common::Span longest) {
   if (worker_ != nullptr && worker_->is_open()) {
-    station_.keep(assignment_.worker, std::move(worker_), longest);
+    server_.keep_idle_connection(assignment_.worker, std::move(worker_), longest);
   }
   worker_.reset();
 }
@@ -192,11 +195,11 @@
   worker_.reset();
 }
 
-bool Relay::reach() {
+bool Relay::connect_worker() {
   // A request without an id always gets a fresh connection: on a kept one, a surplus answer to an earlier request
   // could not be told from its own.
   if (repeatable() && !id_.empty()) {
-    worker_ = station_.kept(assignment_.worker);
+    worker_ = server_.take_idle_connection(assignment_.worker);
     if (worker_ != nullptr) {
       return true;
     }
@@ -205,18 +208,18 @@
   if (!endpoint.ok()) {
     return false;
   }
-  worker_ = std::make_unique<Socket>(station_.context());
-  ++station_.tally().connects;
+  worker_ = std::make_unique<Socket>(server_.context());
+  ++server_.counters().connects;
   connecting_ = true;
-  alarm_->set(std::min(
-      deadline_, common::boot_now() +
-                     (assignment_.in_own_region ? constants::relay_connect_near : constants::relay_connect_deadline)));
+  alarm_->set(
+      std::min(deadline_, common::boot_now() + (assignment_.in_own_region ? constants::relay_connect_deadline_in_region
+                                                                          : constants::relay_connect_deadline)));
   error_code error = common::open_own(*worker_, *endpoint);
   if (!error) {
     worker_->async_connect(*endpoint, yield_[error]);
   }
   connecting_ = false;
-  if (error || !worker_->is_open() || gone_) {
+  if (error || !worker_->is_open() || caller_gone_) {
     worker_.reset();
     return false;
   }
@@ -224,14 +227,14 @@
   return true;
 }
 
-void Relay::expect_bytes(double set_point_ms, common::Moment now) {
+void Relay::arm_stall_detector(double set_point_ms, common::Moment now) {
   drop_probe();
-  scheduling::StallTerms const terms{set_point_ms, assignment_.predicted_seconds, wanted_.tokens,
+  scheduling::StallTerms const terms{set_point_ms, assignment_.predicted_seconds, placement_request_.tokens,
                                      assignment_.in_own_region};
-  alarm_->set(std::min(deadline_, silence_.begin(terms, now).due));
+  alarm_->set(std::min(deadline_, stall_detector_.begin(terms, now).due));
 }
 
-double Relay::pause_set_point_ms() const {
+double Relay::event_gap_set_point_ms() const {
   return route_.gap_set_point_ms > 0 ? route_.gap_set_point_ms : 2 * route_.set_point_ms;
 }
 
--- a/source/data_plane/relay/caller_monitor.cpp
+++ b/source/data_plane/relay/caller_monitor.cpp
@@ -18,45 +18,46 @@
     if (error || guard->relay == nullptr) {
       return;
     }
-    if (guard->relay->look_at_caller()) {
+    if (guard->relay->read_from_caller()) {
       guard->relay->watch_caller();
     }
   });
 }
 
-bool Relay::look_at_caller() {
-  while (ahead_.buffer.size() < constants::read_ahead_most) {
-    boost::beast::flat_buffer::mutable_buffers_type const free_space = ahead_.buffer.prepare(constants::piece_bytes);
+bool Relay::read_from_caller() {
+  while (read_ahead_.buffer.size() < constants::max_read_ahead_bytes) {
+    boost::beast::flat_buffer::mutable_buffers_type const free_space =
+        read_ahead_.buffer.prepare(constants::piece_bytes);
     ssize_t const count = recv(caller_.native_handle(), free_space.data(), free_space.size(), MSG_DONTWAIT);
     if (count > 0) {
-      ahead_.buffer.commit(static_cast<std::size_t>(count));
-      ahead_.since = ahead_.since == 0 ? common::boot_now() : ahead_.since;
+      read_ahead_.buffer.commit(static_cast<std::size_t>(count));
+      read_ahead_.since = read_ahead_.since == 0 ? common::boot_now() : read_ahead_.since;
       continue;
     }
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       return true;
     }
-    gone_ = true;
-    cut();
+    caller_gone_ = true;
+    abort_attempt();
     return false;
   }
   return false;
 }
 
-void Relay::cut() {
+void Relay::abort_attempt() {
   if (worker_ != nullptr) {
     error_code ignored;
     worker_->close(ignored);
   }
-  if (seat_ != nullptr) {
-    seat_->cancel();
+  if (placement_timer_ != nullptr) {
+    placement_timer_->cancel();
   }
 }
 
-void Relay::rang() {
+void Relay::on_alarm() {
   common::Moment const now = common::boot_now();
   if (now >= deadline_) {
-    cut();
+    abort_attempt();
     if (writing_) {
       error_code ignored;
       caller_.close(ignored);
@@ -68,10 +69,10 @@
     return;
   }
   if (connecting_) {
-    cut();
+    abort_attempt();
     return;
   }
-  perform(silence_.timer_fired(station_.balancer().heard_at(assignment_.worker), now));
+  perform(stall_detector_.timer_fired(server_.balancer().heard_at(assignment_.worker), now));
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -38,7 +38,7 @@
 
 /// Writes a final response before the whole query was read, and closes the connection. Closing with unread bytes would
 /// reset it, and the caller might never read the response: so what still arrives is discarded first, for at most
-/// refused_linger and refused_bytes (section 13.8).
+/// refused_linger and max_discarded_bytes (section 13.8).
 void reject_unread(Socket& socket, Alarm& alarm, ReadTimeout& timeout, std::string const& status,
                    std::string const& extra_lines, std::string const& reason, bool bare, common::Yield yield) {
   timeout.closes_socket = true;
@@ -48,7 +48,7 @@
   socket.shutdown(Socket::shutdown_send, error);
   std::array<char, constants::piece_bytes> discarded;
   std::size_t total = 0;
-  while (!error && total < constants::refused_bytes) {
+  while (!error && total < constants::max_discarded_bytes) {
     total += socket.async_read_some(asio::buffer(discarded), yield[error]);
   }
 }
@@ -115,7 +115,7 @@
     }
     Query query;
     query.arrived = ahead.since != 0 ? ahead.since : common::boot_now();
-    server.opened();
+    server.query_opened();
     std::string const query_id_line =
         server.dialect().query + ": " + std::string(view(parser.get()[server.dialect().query])) + "\r\n";
     bool const bare = parser.get().method() == http::verb::head;
@@ -127,7 +127,7 @@
         scheduling::TenantReading const reading = tenant_of(*route->tenancy, parser.get());
         if (reading.end == scheduling::TenantEnd::refused) {
           reject_unread(*socket, *alarm, *timeout, "400 Bad Request", query_id_line, reading.fault, bare, yield);
-          server.closed();
+          server.query_closed();
           break;
         }
       }
@@ -151,11 +151,11 @@
       } else if (error == http::error::bad_chunk || error == http::error::bad_chunk_extension) {
         reject_unread(*socket, *alarm, *timeout, "400 Bad Request", query_id_line, "malformed", bare, yield);
       }
-      server.closed();
+      server.query_closed();
       break;
     }
     query.had_length = parser.content_length().has_value() || parser.chunked();
-    query.keep = parser.get().keep_alive();
+    query.keep_alive = parser.get().keep_alive();
     query.body = std::make_shared<std::string const>(std::move(parser.get().body()));
     ahead.since = buffer.size() > 0 ? common::boot_now() : 0;
     query.header = before_body.has_value() ? std::move(*before_body) : std::move(parser.get().base());
@@ -169,12 +169,12 @@
                      : std::optional<common::Span>(common::milliseconds(static_cast<std::int64_t>(
                            std::min<std::uint64_t>(leading_number(left, 86400000), 86400000))));
     common::Span const longest_wait =
-        scheduling::first_hold(server.routing_config_hold, query.arrived - server.begun_at(), time_left);
-    while (!server.begun() && common::boot_now() - query.arrived < longest_wait) {
-      common::pause(server.context(), constants::place_pause, yield);
+        scheduling::first_hold(server.routing_config_wait, query.arrived - server.started_at(), time_left);
+    while (!server.initialized() && common::boot_now() - query.arrived < longest_wait) {
+      common::pause(server.context(), constants::placement_retry_pause, yield);
     }
     std::shared_ptr<scheduling::RouteTable const> const route_table = server.route_table();
-    bool const keep = query.keep && !server.draining();
+    bool const keep = query.keep_alive && !server.draining();
     if (route_table == nullptr) {
       keep_serving = write_error(*socket, "503 Service Unavailable", query_id_line + "Retry-After: 0.5\r\n", "no_setup",
                                  keep, bare, yield);
@@ -193,7 +193,7 @@
         keep_serving = relay->run();
       }
     }
-    server.closed();
+    server.query_closed();
   }
   alarm->stop();
 }
--- a/source/data_plane/relay/event_stream.cpp
+++ b/source/data_plane/relay/event_stream.cpp
@@ -10,10 +10,10 @@
 namespace asio = boost::asio;
 namespace constants = common::constants;
 
-scheduling::Outcome Relay::talk_events(Reading& reading) {
+scheduling::Outcome Relay::relay_event_stream(Reading& reading) {
   reading.sighting.sent = reading.sent;
   reading.resumed = state_machine_.last_event() > 0;
-  station_.tally().resumed += reading.resumed ? 1 : 0;
+  server_.counters().resumed += reading.resumed ? 1 : 0;
   numbering_.begin_segment();
   return read_events(reading);
 }
@@ -26,39 +26,39 @@
   bool ended = false;
   while (!parser.is_done()) {
     if (!read_some(reading.buffer, parser, bytes)) {
-      after_ = scheduling::WorkerFailure{"cut_stream"};
+      next_message_ = scheduling::WorkerFailure{"cut_stream"};
       return scheduling::Outcome::failure;
     }
     setting_aside_ = false;  // bytes arrived before the read was cancelled
     EventCutter::CompleteEvents const complete = reading.cutter.feed(bytes, numbering_);
     if (complete.gap) {  // nothing behind the gap was passed on: another worker may have the missing events
-      after_ = scheduling::WorkerFailure{"gap"};
+      next_message_ = scheduling::WorkerFailure{"gap"};
       return scheduling::Outcome::failure;
     }
-    if (parser.is_done() && (!reading.cutter.incomplete().empty() || !ended_whole(parser))) {
-      after_ = scheduling::WorkerFailure{"cut_event"};
+    if (parser.is_done() && (!reading.cutter.incomplete().empty() || !ended_cleanly(parser))) {
+      next_message_ = scheduling::WorkerFailure{"cut_event"};
       return scheduling::Outcome::failure;
     }
     if (complete.count == 0 && complete.bytes.empty()) {
       continue;
     }
     common::Moment const now = common::boot_now();
-    station_.balancer().heard(assignment_.worker, now);
+    server_.balancer().heard(assignment_.worker, now);
     sighting.record_events(complete.count, now);
-    if (first_at_ == 0) {
-      first_at_ = now;
+    if (first_output_at_ == 0) {
+      first_output_at_ = now;
     }
     if (reading.first) {
       reading.first = false;
-      first_seen_ = true;
-      aside_.reset();  // this worker continues the stream: the one set aside is no longer needed
-      station_.balancer().first_token(assignment_, kept_parts(), static_cast<double>(now - sent) / 1e6);
+      first_output_seen_ = true;
+      set_aside_.reset();  // this worker continues the stream: the one set aside is no longer needed
+      server_.balancer().first_token(assignment_, cached_parts(), static_cast<double>(now - sent) / 1e6);
     }
-    expect_bytes(pause_set_point_ms(), now);
+    arm_stall_detector(event_gap_set_point_ms(), now);
     std::string text;
-    if (!began_) {
-      began_ = true;
-      text = answer_head(parser) + "Transfer-Encoding: chunked\r\n" + closing_line() + "\r\n";
+    if (!head_written_) {
+      head_written_ = true;
+      text = response_head(parser) + "Transfer-Encoding: chunked\r\n" + connection_header() + "\r\n";
     }
     char size[24];
     std::snprintf(size, sizeof(size), "%zx\r\n", complete.bytes.size());
@@ -70,21 +70,21 @@
       text.append("0\r\n\r\n");
     }
     if (!write(text)) {
-      after_ = scheduling::CallerGone{};
+      next_message_ = scheduling::CallerGone{};
       return scheduling::Outcome::abandoned;
     }
   }
-  if (!began_) {
-    after_ = scheduling::WorkerFailure{"no_event"};
+  if (!head_written_) {
+    next_message_ = scheduling::WorkerFailure{"no_event"};
     return scheduling::Outcome::failure;
   }
   if (!ended) {  // the end of the body came separately, after the last event
     (void)write("0\r\n\r\n");
   }
   feed(scheduling::StreamEnded{});
-  after_answer(reading.buffer, parser);
+  keep_worker_if_reusable(reading.buffer, parser);
   if (!reading.resumed) {
-    station_.saw(std::move(sighting), assignment_, wanted_);
+    server_.record_observation(std::move(sighting), assignment_, placement_request_);
   }
   return scheduling::Outcome::success;
 }
--- a/source/data_plane/relay/prompt_isolation.cpp
+++ b/source/data_plane/relay/prompt_isolation.cpp
@@ -37,7 +37,7 @@
   return model;
 }
 
-std::array<std::uint64_t, 2> draw_once() {
+std::array<std::uint64_t, 2> draw_nonce() {
   // From the system each time: a generator's next numbers could be worked out.
   std::random_device device;
   std::array<std::uint64_t, 2> numbers{};
--- a/source/data_plane/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -15,18 +15,18 @@
 
 Relay::Relay(RelayServer& station, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
              std::shared_ptr<scheduling::RouteTable const> route_table, common::Yield yield)
-    : station_(station),
+    : server_(station),
       query_(query),
       route_table_(std::move(route_table)),
       route_(route),
       caller_(caller),
-      ahead_(ahead),
+      read_ahead_(ahead),
       yield_(yield),
-      bare_(query.header.method() == http::verb::head),
+      head_request_(query.header.method() == http::verb::head),
       id_(view(query.header[station.dialect().query])),
       deadline_(query.arrived + common::milliseconds(static_cast<std::int64_t>(route.deadline_ms))),
-      state_machine_(terms(route), [this](common::Moment) { return may_spend(true); }),
-      silence_(station.mechanisms().stall) {
+      state_machine_(terms(route), [this](common::Moment) { return retry_allowed(true); }),
+      stall_detector_(station.mechanisms().stall) {
   std::string_view const left = view(query.header[station.dialect().left]);
   if (!left.empty()) {
     deadline_ =
@@ -36,38 +36,38 @@
   std::uint64_t const behind = leading_number(view(query.header[station.dialect().last_event]), no_number);
   numbering_ = EventNumbering(behind == no_number ? std::nullopt : std::optional<std::uint64_t>(behind));
   std::string_view const tokens = view(query.header[station.dialect().tokens]);
-  wanted_.tokens = static_cast<double>(leading_number(tokens, 0));
+  placement_request_.tokens = static_cast<double>(leading_number(tokens, 0));
   std::size_t const comma = tokens.find(',');
-  wanted_.outputs =
+  placement_request_.outputs =
       comma == std::string_view::npos ? 0 : static_cast<double>(leading_number(tokens.substr(comma + 1), 0));
-  enter_isolation();
+  resolve_tenant();
 }
 
 bool Relay::run() {
-  if (!tenant_fault_.empty()) {  // a charter since the header was read says otherwise
-    answer("400 Bad Request", tenant_fault_, false);
-    return keep_;
+  if (!tenant_error_.empty()) {  // a charter since the header was read says otherwise
+    answer("400 Bad Request", tenant_error_, false);
+    return keep_caller_;
   }
   guard_->relay = this;
-  alarm_ = std::make_shared<Alarm>(station_.context(), [guard = guard_] {
+  alarm_ = std::make_shared<Alarm>(server_.context(), [guard = guard_] {
     if (guard->relay != nullptr) {
       guard->relay->rang();
     }
   });
-  if (look_at_caller()) {  // it may have left while its request waited for its turn
+  if (read_from_caller()) {  // it may have left while its request waited for its turn
     watch_caller();
   }
   perform(state_machine_.begin());
   while (!state_machine_.settled()) {
-    if (gone_) {
+    if (caller_gone_) {
       feed(scheduling::CallerGone{});
     } else if (common::boot_now() >= deadline_) {
       feed(scheduling::DeadlinePassed{});
-    } else if (back_) {
-      back_ = false;
-      go_back();
-    } else if (place_next_) {
-      place_next_ = false;
+    } else if (resume_set_aside_) {
+      resume_set_aside_ = false;
+      resume_set_aside();
+    } else if (dispatch_next_) {
+      dispatch_next_ = false;
       dispatch();
     } else {
       feed(scheduling::WorkerFailure{"internal"});
@@ -80,9 +80,9 @@
   drop_probe();
   caller_.cancel(ignored);
   scheduling::Settled const* const settled = std::get_if<scheduling::Settled>(&state_machine_.state());
-  tell_late(settled == nullptr ? "open" : settled->how);
-  ++station_.tally().outcomes[settled == nullptr ? "open" : settled->how];
-  return keep_;
+  log_if_late(settled == nullptr ? "open" : settled->how);
+  ++server_.counters().outcomes[settled == nullptr ? "open" : settled->how];
+  return keep_caller_;
 }
 
 scheduling::QueryTerms Relay::terms(schema::Lane const& route) {
@@ -94,15 +94,15 @@
   return terms;
 }
 
-void Relay::tell_late(std::string const& how) const {
-  common::Span const first = (first_at_ == 0 ? common::boot_now() : first_at_) - query_.arrived;
+void Relay::log_if_late(std::string const& how) const {
+  common::Span const first = (first_output_at_ == 0 ? common::boot_now() : first_output_at_) - query_.arrived;
   if (route_.set_point_ms <= 0 || static_cast<double>(first) / 1000 < route_.set_point_ms) {
     return;
   }
-  common::note(common::Event::QueryLate, id_ + " " + route_.name + " " + how + " first " +
-                                             std::to_string(first / 1000) + " ms of " +
-                                             std::to_string((common::boot_now() - query_.arrived) / 1000) + " tokens " +
-                                             std::to_string(static_cast<std::uint64_t>(wanted_.tokens)) + trail_);
+  common::note(common::Event::QueryLate,
+               id_ + " " + route_.name + " " + how + " first " + std::to_string(first / 1000) + " ms of " +
+                   std::to_string((common::boot_now() - query_.arrived) / 1000) + " tokens " +
+                   std::to_string(static_cast<std::uint64_t>(placement_request_.tokens)) + placement_log_);
 }
 
 void Relay::perform(std::vector<scheduling::QueryAction> const& actions) {
@@ -112,21 +112,21 @@
 }
 
 void Relay::follow() {
-  if (station_.route_table() == route_table_ || station_.route_table() == nullptr) {
+  if (server_.route_table() == route_table_ || server_.route_table() == nullptr) {
     return;
   }
-  std::shared_ptr<scheduling::RouteTable const> const current = station_.route_table();
+  std::shared_ptr<scheduling::RouteTable const> const current = server_.route_table();
   std::string_view const target = view(query_.header.target());
   schema::Lane const* const found = current->find(view(query_.header[http::field::host]), target);
   route_table_ = current;
   scheduling::ConfigReevaluated decided;
   if (found == nullptr) {
-    withdrawn_route_ = true;
+    route_withdrawn_ = true;
     decided.decision = scheduling::ServingDecision::none;
   } else {
     route_ = *found;
-    enter_isolation();
-    if (!tenant_fault_.empty()) {
+    resolve_tenant();
+    if (!tenant_error_.empty()) {
       decided.decision = scheduling::ServingDecision::none;
     }
     scheduling::QueryTerms const next = terms(route_);
@@ -136,18 +136,18 @@
     deadline_ =
         std::min(deadline_, query_.arrived + common::milliseconds(static_cast<std::int64_t>(route_.deadline_ms)));
   }
-  if (aside_ != nullptr &&
+  if (set_aside_ != nullptr &&
       (decided.decision != scheduling::ServingDecision::serve || !decided.repeatable || !decided.resumable)) {
-    later_ = decided;  // it may run nowhere else any more, but finish where it runs
-    back_ = true;
+    deferred_decision_ = decided;  // it may run nowhere else any more, but finish where it runs
+    resume_set_aside_ = true;
     return;
   }
   feed(decided);
 }
 
-void Relay::feed_or_return(scheduling::QueryMessage const& message) {
-  if (aside_ != nullptr) {
-    back_ = true;
+void Relay::feed_or_resume(scheduling::QueryMessage const& message) {
+  if (set_aside_ != nullptr) {
+    resume_set_aside_ = true;
   } else {
     feed(message);
   }
--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -202,7 +202,7 @@
   while (!idle.empty() && (idle.size() >= constants::worker_idle_most || now >= idle.front().until)) {
     idle.pop_front();
   }
-  idle.push_back(Kept{std::move(socket), now + std::min(longest, constants::worker_idle)});
+  idle.push_back(Kept{std::move(socket), now + std::min(longest, constants::worker_idle_timeout)});
 }
 
 void RelayServer::drain() {
@@ -212,7 +212,7 @@
     schema::NewsAsk const asked = ask({});
     // A copy: news that come meanwhile replace the list that is walked here.
     std::vector<std::string> const told = controllers_;
-    for (std::size_t index = 0; index < std::min(constants::lost_asks, told.size()); ++index) {
+    for (std::size_t index = 0; index < std::min(constants::max_parallel_update_requests, told.size()); ++index) {
       if (caller_
               .call(told[index], asked,
                     common::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms)), yield)
@@ -263,12 +263,13 @@
       // Some may be down, and say nothing: a few are asked, the first who is sure
       // counts. More would each send the whole charter to a furrow without one.
       std::vector<std::pair<std::string, schema::Message>> calls;
-      for (std::size_t index = 0; index < std::min(constants::lost_asks, controllers_.size()); ++index) {
+      for (std::size_t index = 0; index < std::min(constants::max_parallel_update_requests, controllers_.size());
+           ++index) {
         calls.emplace_back(controllers_[(turn + index) % controllers_.size()], query);
       }
       turn += 1;
       common::Gather::run(
-          context_, caller_, calls, std::min(patience, lost_patience),
+          context_, caller_, calls, std::min(patience, lost_contact_timeout),
           [&](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
             schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
             if (update == nullptr) {
@@ -308,8 +309,8 @@
       continue;
     }
     turn = static_cast<std::size_t>(std::find(controllers_.begin(), controllers_.end(), from) - controllers_.begin());
-    if (ready() == was_ready && spent < constants::ask_least) {
-      common::pause(context_, constants::ask_least - spent, yield);
+    if (ready() == was_ready && spent < constants::min_update_request_interval) {
+      common::pause(context_, constants::min_update_request_interval - spent, yield);
     }
   }
 }
@@ -477,7 +478,7 @@
   common::Moment const now = common::boot_now();
   sighting.worker = assignment.worker;
   sighting.pool = balancer_.pool_of(assignment.worker);
-  sighting.long_prompt = wanted.tokens >= constants::owned_tokens;
+  sighting.long_prompt = wanted.tokens >= constants::min_owned_tokens;
   sighting.alone = assignment.alone;
   sighting.sure = assignment.sure;
   sighting.uncached = assignment.uncached;
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -108,8 +108,8 @@
            scheduling::PlacementRequest const& wanted);
 
   /// How long a query waits for the first charter.
-  common::Span routing_config_hold = common::constants::routing_config_hold;
-  common::Span lost_patience = common::constants::lost_patience;
+  common::Span routing_config_wait = common::constants::routing_config_wait;
+  common::Span lost_contact_timeout = common::constants::lost_contact_timeout;
   void opened() { ++open_; }
   void closed() { --open_; }
   [[nodiscard]] std::string directory(std::string const& hall, std::string const& region);
--- a/source/data_plane/relay/request_head.cpp
+++ b/source/data_plane/relay/request_head.cpp
@@ -9,7 +9,7 @@
 namespace constants = common::constants;
 
 std::string Relay::head() const {
-  Dialect const& dialect = station_.dialect();
+  Dialect const& dialect = server_.dialect();
   std::string text;
   text.reserve(1024);
   text.append(view(query_.header.method_string()))
@@ -33,11 +33,11 @@
   if (resuming) {
     text.append(dialect.last_event).append(": ").append(std::to_string(*numbering_.last())).append("\r\n");
   }
-  if (prompt_.has_value() && !isolated_.header.empty()) {
-    text.append(dialect.parts).append(": ").append(isolated_.header).append("\r\n");
+  if (prompt_.has_value() && !isolated_prompt_.header.empty()) {
+    text.append(dialect.parts).append(": ").append(isolated_prompt_.header).append("\r\n");
   }
-  if (prompt_.has_value() && !isolated_.version.empty()) {
-    text.append(dialect.expected).append(": ").append(isolated_.version).append("\r\n");
+  if (prompt_.has_value() && !isolated_prompt_.version.empty()) {
+    text.append(dialect.expected).append(": ").append(isolated_prompt_.version).append("\r\n");
   }
   if (!dialect.urgency.empty() && route_.stream && query_.header[dialect.urgency].empty()) {
     text.append(dialect.urgency)
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -42,11 +42,11 @@
 }
 
 bool Relay::read_head(Reading& reading) {
-  for (int head_count = 0; head_count <= constants::interim_answers_most; ++head_count) {
+  for (int head_count = 0; head_count <= constants::max_interim_responses; ++head_count) {
     reading.parser = std::make_unique<Parser>();
     reading.parser->header_limit(constants::answer_header_limit);
     reading.parser->body_limit(boost::none);
-    reading.parser->skip(bare_);
+    reading.parser->skip(head_request_);
     if (!worker_->is_open()) {
       return false;
     }
@@ -65,7 +65,7 @@
 }
 
 bool Relay::is_refusal(WorkerHeader const& got) const {
-  Dialect const& dialect = station_.dialect();
+  Dialect const& dialect = server_.dialect();
   std::string_view const id = view(got[dialect.query]);
   if (!id.empty() && id != id_) {
     return false;  // a late answer to another request: this request may be running
@@ -74,59 +74,59 @@
   return status == 421 || (status >= 400 && !got[dialect.not_run].empty());
 }
 
-bool Relay::ended_whole(Parser const& parser) const {
+bool Relay::ended_cleanly(Parser const& parser) const {
   // Once a write has failed with the connection's reset, the next read sees an orderly end: it proves nothing then.
   return !parser.need_eof() || !reading_->sending->failed;
 }
 
-scheduling::Outcome Relay::talk() {
-  Dialect const& dialect = station_.dialect();
+scheduling::Outcome Relay::exchange() {
+  Dialect const& dialect = server_.dialect();
   common::Moment const sent = common::boot_now();
-  expect_bytes(route_.set_point_ms, sent);
+  arm_stall_detector(route_.set_point_ms, sent);
   if (prompt_.has_value()) {
-    isolated_ = station_.isolation().send(*prompt_, assignment_.worker, draw_once());
+    isolated_prompt_ = server_.isolation().send(*prompt_, assignment_.worker, draw_nonce());
   }
   begin_sending();
   if (!read_head(*reading_)) {
-    after_ = scheduling::WorkerFailure{"no_answer"};
+    next_message_ = scheduling::WorkerFailure{"no_answer"};
     return scheduling::Outcome::failure;
   }
   boost::beast::flat_buffer& buffer = reading_->buffer;
   Parser& parser = *reading_->parser;
   Parser::value_type const& got = parser.get();
   unsigned int const status = got.result_int();
-  hear_load(view(got[dialect.load]));
+  apply_reported_load(view(got[dialect.load]));
   if (is_refusal(got)) {
-    after_ = scheduling::WorkerRefused{};
-    std::string const expected = isolated_.version;
-    hear_isolation(got, false);
+    next_message_ = scheduling::WorkerRefused{};
+    std::string const expected = isolated_prompt_.version;
+    apply_isolation_response(got, false);
     bool const other_weights =
         prompt_.has_value() && !got[dialect.weights].empty() && view(got[dialect.weights]) != expected;
     if (status == 421 && !other_weights) {
       return scheduling::Outcome::misdirected;
     }
-    finish_reading(buffer, parser);
+    read_to_end(buffer, parser);
     return scheduling::Outcome::refused;
   }
   if (view(got[dialect.query]) != id_) {
-    after_ = scheduling::WorkerFailure{"wrong_query"};
+    next_message_ = scheduling::WorkerFailure{"wrong_query"};
     return scheduling::Outcome::failure;
   }
   bool const success = status >= 200 && status < 300;
   if ((success && got[dialect.seal].empty()) || !got[dialect.not_run].empty() || status < 200 || status == 429 ||
       status == 503 || status == 408) {
-    after_ = scheduling::WorkerFailure{"no_answer_of_ours"};
+    next_message_ = scheduling::WorkerFailure{"no_answer_of_ours"};
     return scheduling::Outcome::failure;
   }
-  hear_isolation(got, success);
-  if (success && !bare_ && got[http::field::content_type].starts_with("text/event-stream")) {
+  apply_isolation_response(got, success);
+  if (success && !head_request_ && got[http::field::content_type].starts_with("text/event-stream")) {
     reading_->sent = sent;
-    return talk_events(*reading_);
+    return relay_event_stream(*reading_);
   }
-  return talk_whole(buffer, parser, status);
+  return relay_whole_response(buffer, parser, status);
 }
 
-void Relay::hear_load(std::string_view text) {
+void Relay::apply_reported_load(std::string_view text) {
   if (text.empty()) {
     return;
   }
@@ -137,10 +137,10 @@
         leading_number(number_text.substr(std::min(number_text.size(), number_text.find_first_not_of(' '))), 0));
     text.remove_prefix(std::min(text.size(), number_text.size() + 1));
   }
-  station_.balancer().report_load(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
+  server_.balancer().report_load(assignment_.worker, figures[0], figures[1], figures[2], common::boot_now());
 }
 
-void Relay::after_answer(boost::beast::flat_buffer const& buffer, Parser const& parser) {
+void Relay::keep_worker_if_reusable(boost::beast::flat_buffer const& buffer, Parser const& parser) {
   // While the worker still reads this request, the next one on the connection would be taken for the rest of its body.
   if (!reading_->sending->whole()) {
     return;
@@ -149,7 +149,7 @@
       !worker_->is_open()) {
     return;
   }
-  common::Span longest = constants::worker_idle;
+  common::Span longest = constants::worker_idle_timeout;
   std::string_view const keep_alive_field = view(parser.get()["Keep-Alive"]);
   std::size_t const at = keep_alive_field.find("timeout=");
   if (at != std::string_view::npos) {
@@ -161,49 +161,50 @@
   keep_worker(longest);
 }
 
-void Relay::finish_reading(boost::beast::flat_buffer& buffer, Parser& parser) {
+void Relay::read_to_end(boost::beast::flat_buffer& buffer, Parser& parser) {
   std::string bytes;
   while (!parser.is_done() && (parser.content_length().has_value() || parser.chunked())) {
     if (!read_some(buffer, parser, bytes)) {
       return;
     }
   }
-  after_answer(buffer, parser);
+  keep_worker_if_reusable(buffer, parser);
 }
 
-scheduling::Outcome Relay::talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status) {
+scheduling::Outcome Relay::relay_whole_response(boost::beast::flat_buffer& buffer, Parser& parser,
+                                                unsigned int status) {
   std::string body;
   std::string bytes;
-  bool const bare = bare_ || status == 204 || status == 304;
+  bool const bare = head_request_ || status == 204 || status == 304;
   while (!parser.is_done()) {
     if (!read_some(buffer, parser, bytes) || body.size() + bytes.size() > constants::answer_limit) {
-      after_ = scheduling::WorkerFailure{"cut_answer"};
+      next_message_ = scheduling::WorkerFailure{"cut_answer"};
       return scheduling::Outcome::failure;
     }
     body += bytes;
   }
-  if (!bare && !ended_whole(parser)) {
-    after_ = scheduling::WorkerFailure{"cut_answer"};
+  if (!bare && !ended_cleanly(parser)) {
+    next_message_ = scheduling::WorkerFailure{"cut_answer"};
     return scheduling::Outcome::failure;
   }
-  first_seen_ = true;
+  first_output_seen_ = true;
   if (prompt_.has_value()) {
-    station_.balancer().first_token(assignment_, status < 300 ? kept_parts() : std::vector<scheduling::PromptPart>(),
-                                    0);
+    server_.balancer().first_token(assignment_, status < 300 ? cached_parts() : std::vector<scheduling::PromptPart>(),
+                                   0);
   }
-  first_at_ = common::boot_now();
+  first_output_at_ = common::boot_now();
   // A response to HEAD gives the length that the body would have.
-  std::string const length = bare_  ? std::string(view(parser.get()[http::field::content_length]))
-                             : bare ? ""
-                                    : std::to_string(body.size());
-  whole_ = answer_head(parser) + (length.empty() ? "" : "Content-Length: " + length + "\r\n");
-  whole_body_ = std::move(body);
-  after_answer(buffer, parser);
+  std::string const length = head_request_ ? std::string(view(parser.get()[http::field::content_length]))
+                             : bare        ? ""
+                                           : std::to_string(body.size());
+  response_head_ = response_head(parser) + (length.empty() ? "" : "Content-Length: " + length + "\r\n");
+  response_body_ = std::move(body);
+  keep_worker_if_reusable(buffer, parser);
   if (status >= 500 && repeatable()) {
-    after_ = scheduling::WorkerFailure{"worker_error"};
+    next_message_ = scheduling::WorkerFailure{"worker_error"};
     return scheduling::Outcome::failure;
   }
-  after_ = scheduling::WholeResponse{};
+  next_message_ = scheduling::WholeResponse{};
   return status >= 500 ? scheduling::Outcome::failure : scheduling::Outcome::success;
 }
 
--- a/source/scheduling/load_balancer/load_balancer.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -44,7 +44,7 @@
       common::Moment cold_until = std::max(spec.cold_until, worker.spec.cold_until);
       if (guards_.suspect_returned && worker.spec.evacuated && !spec.evacuated) {
         // The worker may have turned cold while its zone was drained; the list shows that only a little later.
-        cold_until = std::max(cold_until, now + constants::cold_suspect);
+        cold_until = std::max(cold_until, now + constants::restored_zone_cold_span);
       }
       if (spec.cold_until > worker.spec.cold_until && worker.spec.cold_until <= now) {
         worker.cache.clear();
@@ -61,7 +61,7 @@
     }
     worker.detector_handle = detector_.add_worker(
         WorkerInfo{spec.id, pool_name(spec.region, spec.service), spec.hall, !spec.draining && !spec.evacuated});
-    worker.cache.set_capacity(spec.kept_tokens * constants::reuse_part);
+    worker.cache.set_capacity(spec.kept_tokens * constants::cache_memory_fraction);
     by_service_[spec.service].push_back(spec.id);
     next.emplace(spec.id, std::move(worker));
   }
@@ -102,7 +102,7 @@
   std::erase_if(spare_regions_,
                 [&worker_counts, this](std::pair<std::string const, std::set<std::string>> const& entry) {
                   std::pair<double, double> const& count = worker_counts[entry.first];
-                  return !guards_.spare_regions || count.first < count.second * constants::free_least;
+                  return !guards_.spare_regions || count.first < count.second * constants::min_unclaimed_fraction;
                 });
   // A split decides which prompts a worker gets, as long as each phase has a worker that takes queries
   // (section 13.11).
@@ -139,7 +139,7 @@
 }
 
 void LoadBalancer::Demand::decay(common::Moment now) {
-  double const factor = std::exp(-seconds_of(now - updated_at) / constants::demand_memory);
+  double const factor = std::exp(-seconds_of(now - updated_at) / constants::demand_memory_seconds);
   prefill *= factor;
   decode *= factor;
   updated_at = now;
@@ -156,7 +156,7 @@
   }
   Demand const& demand = found->second;
   double share = demand.prefill / (demand.prefill + demand.decode);
-  share = std::clamp(share, constants::long_share_least, constants::long_share_most);
+  share = std::clamp(share, constants::min_long_share, constants::max_long_share);
   double const count = std::round(share * static_cast<double>(worker.rank_count));
   return static_cast<double>(worker.rank) < std::clamp(count, 1.0, static_cast<double>(worker.rank_count - 1));
 }
@@ -165,7 +165,8 @@
   if (worker.spec.cold_rate <= 0 || !guards_.cold_bound) {
     return 1e9;
   }
-  double const limit = (worker.spec.cold_rate * context_.cold_overshoot + context_.cold_slack) * constants::cold_part;
+  double const limit =
+      (worker.spec.cold_rate * context_.cold_overshoot + context_.cold_slack) * constants::cold_start_fraction;
   double const proxies = std::max<double>(1.0, static_cast<double>(context_.proxies.size()));
   double const even_share = limit / proxies;
   if (even_share >= 1) {
@@ -183,10 +184,10 @@
 
 double LoadBalancer::estimated_load(Worker const& worker, common::Moment now) const {
   double const age = worker.reported_at == 0 ? 1e9 : seconds_of(now - worker.reported_at);
-  double const reported = age > constants::load_memory
+  double const reported = age > constants::reported_load_seconds
                               ? 0
                               : (worker.reported_total + static_cast<double>(worker.sent_since_report)) *
-                                    (1 - age / constants::load_memory);
+                                    (1 - age / constants::reported_load_seconds);
   return std::max(reported, static_cast<double>(worker.own_queries));
 }
 
@@ -216,7 +217,7 @@
   double const connections =
       spec.connections == 0
           ? 1e9
-          : std::max(2.0, static_cast<double>(spec.connections) * constants::connection_part / proxies);
+          : std::max(2.0, static_cast<double>(spec.connections) * constants::connection_fraction / proxies);
   return static_cast<double>(worker.own_queries) < connections &&
          estimated_load(worker, now) < worker.slots * constants::queue_factor;
 }
@@ -231,7 +232,7 @@
   bool const in_own_region = spec.region == context_.region;
   double const running = estimated_load(worker, now);
   double const excess = running - worker.slots;
-  bool const long_prompt = request.tokens >= constants::owned_tokens;
+  bool const long_prompt = request.tokens >= constants::min_owned_tokens;
   CostEstimate estimate;
   estimate.uncached = request.tokens;
   estimate.seconds = in_own_region ? 0 : constants::other_region_seconds;
@@ -252,7 +253,7 @@
     // Long and short prompts go to different workers: reading a long prompt delays every stream on its worker
     // (section 13.6).
     if (separates_long_prompts(worker) && long_prompt != takes_long_prompts(worker, now)) {
-      estimate.cost += long_prompt ? constants::long_astray_cost : constants::short_astray_cost;
+      estimate.cost += long_prompt ? constants::long_misplacement_cost : constants::short_misplacement_cost;
     }
   } else {
     estimate.seconds += running / worker.slots * constants::plain_seconds;
@@ -265,10 +266,10 @@
     estimate.cost += constants::cold_cost;
   }
   if (guards_.probation && std::holds_alternative<OnProbation>(detector_.eligibility(worker.detector_handle, now))) {
-    estimate.cost += request.single_dispatch ? constants::trial_once_cost : constants::trial_cost;
+    estimate.cost += request.single_dispatch ? constants::probation_once_cost : constants::probation_cost;
   }
   if (detector_.zone_suspected(worker.detector_handle, now)) {
-    estimate.cost += constants::dark_cost;
+    estimate.cost += constants::unreachable_zone_cost;
   }
   estimate.cost += estimate.seconds;
   return estimate;
@@ -279,7 +280,7 @@
   std::map<std::string, std::set<std::string>>::const_iterator const found = spare_regions_.find(service);
   double const region_penalty = constants::other_region_cost + constants::other_region_seconds;
   bool const is_pooled = request.homes.empty() && shared_prefix(request.parts).tokens * constants::reread_cost >=
-                                                      constants::roaming_worth * region_penalty;
+                                                      constants::min_reread_to_transit_ratio * region_penalty;
   return is_pooled && found != spare_regions_.end() ? &found->second : nullptr;
 }
 
@@ -302,7 +303,7 @@
         continue;
       }
       if (separates_long_prompts(worker) &&
-          (request.tokens >= constants::owned_tokens) != takes_long_prompts(worker, now) &&
+          (request.tokens >= constants::min_owned_tokens) != takes_long_prompts(worker, now) &&
           worker.spec.phase != "both") {
         continue;  // only a worker that takes prompts of this length can be the owner
       }
@@ -371,8 +372,8 @@
       if (worker.spec.model) {
         Demand& demand = demand_[{worker.spec.service, worker.spec.region}];
         demand.decay(now);
-        (request.tokens >= constants::owned_tokens ? demand.prefill : demand.decode) +=
-            candidate.uncached * constants::prefill_start[1] + constants::short_work;
+        (request.tokens >= constants::min_owned_tokens ? demand.prefill : demand.decode) +=
+            candidate.uncached * constants::prefill_start[1] + constants::short_query_seconds;
       }
       if (worker.spec.cold_rate > 0) {
         while (!worker.recent_sends.empty() &&
@@ -430,7 +431,7 @@
   record_evidence(worker, FirstTokenReceived{assignment.ticket}, 0);
   worker.own_prefill_tokens = std::max(0.0, worker.own_prefill_tokens - assignment.uncached);
   worker.cache.remember(parts);
-  if (assignment.uncached >= constants::owned_tokens) {
+  if (assignment.uncached >= constants::min_owned_tokens) {
     double const seen = seconds / (assignment.uncached * constants::prefill_start[1]);
     worker.slowdown += 0.1 * (std::clamp(seen, 0.5, 4.0) - worker.slowdown);
   }
--- a/source/scheduling/observer/observer.cpp
+++ b/source/scheduling/observer/observer.cpp
@@ -14,7 +14,7 @@
   }
   if (events == 0) {
     first = now;
-  } else if (gaps.size() < constants::gaps_most) {
+  } else if (gaps.size() < constants::max_gaps) {
     // Events that arrived in one read share the gap evenly.
     gaps.push_back(static_cast<double>(now - last) / 1e6 / static_cast<double>(count));
   }
@@ -47,7 +47,7 @@
   if (frozen_.count(observation.pool) > 0) {
     return;
   }
-  bool const room = samples_.size() < constants::samples_told;
+  bool const room = samples_.size() < constants::max_reported_samples;
   if (observation.alone && prefill_seconds > 0 && (room || samples_.count({observation.worker, false}) > 0)) {
     schema::Sample& sample = samples_[{observation.worker, false}];
     sample.worker = observation.worker;
@@ -56,7 +56,7 @@
     sample.uncached = observation.uncached;
     sample.pairs = pairs_read;
   }
-  if (observation.gaps.size() >= constants::gaps_least && (room || samples_.count({observation.worker, true}) > 0)) {
+  if (observation.gaps.size() >= constants::min_gaps && (room || samples_.count({observation.worker, true}) > 0)) {
     schema::Sample& sample = samples_[{observation.worker, true}];
     sample.worker = observation.worker;
     sample.decode = true;
--- a/source/scheduling/outlier_detection/outlier_detector.cpp
+++ b/source/scheduling/outlier_detection/outlier_detector.cpp
@@ -87,7 +87,7 @@
     case Outcome::abandoned:
       break;
     case Outcome::refused:
-      record.paused_until = std::max(record.paused_until, now + constants::refused_rest);
+      record.paused_until = std::max(record.paused_until, now + constants::refusal_cooldown);
       break;
     case Outcome::misdirected:
       // Another worker has its address now: this one won't return under its id.
@@ -128,7 +128,7 @@
     return false;
   }
   std::map<std::string, std::vector<Handle>>::const_iterator const pool = pools_.find(record.info.pool);
-  if (!guards_.ejection_bound || pool == pools_.end() || pool->second.size() < constants::ejection_pool_least) {
+  if (!guards_.ejection_bound || pool == pools_.end() || pool->second.size() < constants::min_ejection_pool) {
     return true;  // in so small a pool there are no outliers: it is ejected by its own failures
   }
   // The worst workers are ejected, as many as the share allows; the others serve on probation.
@@ -163,10 +163,10 @@
   std::size_t recent = 0;
   common::Moment last = 0;
   for (std::pair<std::string const, common::Moment> const& entry : found->second) {
-    recent += now - entry.second < constants::dark_memory ? 1 : 0;
+    recent += now - entry.second < constants::unreachable_zone_memory ? 1 : 0;
     last = std::max(last, entry.second);
   }
-  return recent >= 2 && record.heard_at < last - constants::alive_span;
+  return recent >= 2 && record.heard_at < last - constants::worker_alive_span;
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/proxy_count/proxy_count.cpp
+++ b/source/scheduling/proxy_count/proxy_count.cpp
@@ -19,7 +19,7 @@
     gone_.erase(name);
   }
   std::erase_if(gone_, [now](std::pair<std::string const, common::Moment> const& entry) {
-    return now - entry.second >= common::constants::proxy_count_memory;
+    return now - entry.second >= common::constants::proxy_count_retention;
   });
   members_ = std::move(next);
 }
@@ -27,7 +27,7 @@
 std::vector<std::string> ProxyCount::proxies(common::Moment now) const {
   std::vector<std::string> names = members_;
   for (std::pair<std::string const, common::Moment> const& entry : gone_) {
-    if (now - entry.second < common::constants::proxy_count_memory) {
+    if (now - entry.second < common::constants::proxy_count_retention) {
       names.push_back(entry.first);
     }
   }
--- a/source/scheduling/query_state/first_hold.hpp
+++ b/source/scheduling/query_state/first_hold.hpp
@@ -15,15 +15,15 @@
 /// `longest`: upper limit. `up`: time since the start. `left`: the caller's remaining
 /// time, if it sent a deadline.
 [[nodiscard]] inline common::Span first_hold(common::Span longest, common::Span up, std::optional<common::Span> left) {
-  if (up >= common::constants::first_span) {
+  if (up >= common::constants::startup_span) {
     return 0;
   }
   if (!left.has_value()) {
     return longest;
   }
   common::Span const part =
-      static_cast<common::Span>(static_cast<double>(*left) * common::constants::routing_config_hold_part);
-  return std::min(longest, std::max(common::constants::routing_config_hold_least, part));
+      static_cast<common::Span>(static_cast<double>(*left) * common::constants::routing_config_wait_fraction);
+  return std::min(longest, std::max(common::constants::min_routing_config_wait, part));
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/query_state/query_state_machine.cpp
+++ b/source/scheduling/query_state/query_state_machine.cpp
@@ -115,7 +115,7 @@
   }
   // The worker guarantees that nothing ran, so this doesn't count as one of the dispatches that the route allows. It
   // still takes a retry token.
-  if (refusals_ < common::constants::refusals_most) {
+  if (refusals_ < common::constants::max_refusals) {
     ++refusals_;
     --dispatches_;
   }
--- a/source/scheduling/retry_quota/retry_quota.cpp
+++ b/source/scheduling/retry_quota/retry_quota.cpp
@@ -9,8 +9,8 @@
 namespace constants = common::constants;
 
 void RetryQuota::set_limits(double ratio, double slack, double proxies) {
-  tokens_per_arrival_ = ratio * constants::retry_quota_ratio_part;
-  capacity_ = std::max(1.0, slack * constants::retry_quota_slack_part / std::max(1.0, proxies));
+  tokens_per_arrival_ = ratio * constants::retry_quota_ratio_fraction;
+  capacity_ = std::max(1.0, slack * constants::retry_quota_slack_fraction / std::max(1.0, proxies));
   if (!initialized_) {
     initialized_ = true;
     tokens_ = capacity_ / 2;
--- a/source/scheduling/scaler/pools.cpp
+++ b/source/scheduling/scaler/pools.cpp
@@ -99,8 +99,8 @@
     return 0;
   }
   std::uint64_t const slice = settings.scaler_window_ms / std::max<std::uint64_t>(1, settings.scaler_slices);
-  return std::clamp<std::uint64_t>(slice / 2, constants::relay_report_least / 1000,
-                                   constants::relay_report_span / 1000);
+  return std::clamp<std::uint64_t>(slice / 2, constants::min_relay_report_interval / 1000,
+                                   constants::relay_report_interval / 1000);
 }
 
 std::map<std::string, schema::FurrowReport> apart(schema::FurrowReport const& report,
--- a/source/scheduling/scaler/scaler.cpp
+++ b/source/scheduling/scaler/scaler.cpp
@@ -126,11 +126,11 @@
     return 1;
   }
   double const reading = reading_seconds(model, work, 0);
-  double const left = set_point * constants::set_point_part - model.prefill[0] - reading;
+  double const left = set_point * constants::set_point_fraction - model.prefill[0] - reading;
   if (left <= 0) {
     return 1;  // by this fit no load keeps it: then it tells nothing of who should read
   }
-  return std::max(constants::load_least, left / (left + std::max(1e-6, reading * constants::reading_spread)));
+  return std::max(constants::min_worker_load, left / (left + std::max(1e-6, reading * constants::prefill_spread)));
 }
 
 /// Is a phase's part of all work enough for a worker of its own?
@@ -138,7 +138,7 @@
                  std::size_t workers) {
   double const prefill = work.prefill.queries * busy_seconds(model, work.prefill, true, true, aims, batch, 0);
   double const decode = work.decode.queries * busy_seconds(model, work.decode, true, true, aims, batch, 0);
-  return std::min(prefill, decode) * static_cast<double>(workers) >= (prefill + decode) * constants::apart_least;
+  return std::min(prefill, decode) * static_cast<double>(workers) >= (prefill + decode) * constants::min_phase_work;
 }
 }  // namespace
 
--- a/source/scheduling/stall_detection/stall_detector.cpp
+++ b/source/scheduling/stall_detection/stall_detector.cpp
@@ -9,12 +9,12 @@
 namespace constants = common::constants;
 
 bool StallDetector::long_prompt() const {
-  return terms_.prompt_tokens >= constants::owned_tokens;
+  return terms_.prompt_tokens >= constants::min_owned_tokens;
 }
 
 common::Span StallDetector::bound() const {
-  double const point = terms_.set_point_ms > 0 ? terms_.set_point_ms : constants::silence_point_ms;
-  return std::max(common::milliseconds(static_cast<std::int64_t>(point * constants::silence_part)),
+  double const point = terms_.set_point_ms > 0 ? terms_.set_point_ms : constants::default_stall_set_point_ms;
+  return std::max(common::milliseconds(static_cast<std::int64_t>(point * constants::stall_fraction)),
                   static_cast<common::Span>(terms_.predicted_seconds * 2e6));
 }
 
@@ -38,17 +38,17 @@
     return GiveUp{};  // the connection wasn't accepted in time
   }
   common::Span const stalled_for = now - since_;
-  if (now - heard_at < constants::alive_span && stalled_for < 2 * bound()) {
-    return wait_until(now + constants::alive_step);
+  if (now - heard_at < constants::worker_alive_span && stalled_for < 2 * bound()) {
+    return wait_until(now + constants::worker_alive_step);
   }
   if (!guards_.give_up) {
     return wait_until(now + bound());
   }
-  if (!guards_.probe || !long_prompt() || stalled_for >= constants::silence_bounds_most * bound()) {
+  if (!guards_.probe || !long_prompt() || stalled_for >= constants::max_stall_bounds * bound()) {
     return GiveUp{};
   }
   state_ = State::probing;
-  due_ = now + (terms_.same_region ? constants::relay_connect_near : constants::relay_connect_deadline);
+  due_ = now + (terms_.same_region ? constants::relay_connect_deadline_in_region : constants::relay_connect_deadline);
   return ProbeWorker{due_};
 }
 
--- a/source/simulator/decisions/decisions.cpp
+++ b/source/simulator/decisions/decisions.cpp
@@ -117,7 +117,7 @@
     request->wanted.draw = kernel_.uniform();
     ++asked_;
     ++report_.kinds[kind].asked;
-    place(request, kernel_.now() + span_of(entry.set_point_seconds * constants::hold_part));
+    place(request, kernel_.now() + span_of(entry.set_point_seconds * constants::placement_wait_fraction));
   }
 
   void place(RequestPointer const& request, common::Moment until) {
@@ -131,7 +131,7 @@
     }
     check_idle(*request);
     if (kernel_.now() < until) {
-      kernel_.after(constants::place_pause, [this, request, until] { place(request, until); });
+      kernel_.after(constants::placement_retry_pause, [this, request, until] { place(request, until); });
     }
   }
 
--- a/source/simulator/relay/relay.cpp
+++ b/source/simulator/relay/relay.cpp
@@ -269,7 +269,7 @@
       pool.second += proxy.balancer.ejected(spec.id, kernel_.now()) ? 1 : 0;
     }
     for (std::pair<std::string const, std::pair<std::size_t, std::size_t>> const& pool : pools) {
-      if (pool.second.first < constants::ejection_pool_least) {
+      if (pool.second.first < constants::min_ejection_pool) {
         continue;
       }
       double const part = static_cast<double>(pool.second.second) / static_cast<double>(pool.second.first);
@@ -607,11 +607,11 @@
       return;
     }
     if (until == 0) {
-      common::Span const hold =
-          common::milliseconds(static_cast<std::int64_t>(flight->route.set_point_ms * constants::hold_part));
+      common::Span const hold = common::milliseconds(
+          static_cast<std::int64_t>(flight->route.set_point_ms * constants::placement_wait_fraction));
       common::Span const again =
           flight->passed_on > 0 ? common::milliseconds(static_cast<std::int64_t>(flight->route.gap_set_point_ms / 2))
-          : flight->state_machine->dispatches() > 0 ? constants::place_pause
+          : flight->state_machine->dispatches() > 0 ? constants::placement_retry_pause
                                                     : 0;
       until = std::max(flight->arrived + hold, kernel_.now() + again);
     }
@@ -627,7 +627,7 @@
       if (kernel_.now() >= until) {
         feed(flight, scheduling::NoCapacity{});
       } else {
-        kernel_.after(constants::place_pause, [this, flight, until] { seek(flight, until); });
+        kernel_.after(constants::placement_retry_pause, [this, flight, until] { seek(flight, until); });
       }
       return;
     }
@@ -655,9 +655,9 @@
     std::uint64_t const dispatch = flight->dispatch;
     Life const* const life = at_address(flight->assignment.address);
     bool const dark = life != nullptr && life->dark;
-    common::Span const takes =
-        dark ? (flight->assignment.in_own_region ? constants::relay_connect_near : constants::relay_connect_deadline)
-             : 2 * hop(*flight);
+    common::Span const takes = dark ? (flight->assignment.in_own_region ? constants::relay_connect_deadline_in_region
+                                                                        : constants::relay_connect_deadline)
+                                    : 2 * hop(*flight);
     bool const reached = life != nullptr && !dark;
     kernel_.after(takes, [this, flight, dispatch, reached] {
       if (!live(*flight) || flight->dispatch != dispatch) {
@@ -666,7 +666,7 @@
       if (!reached) {
         leave(*flight, scheduling::Outcome::unreachable);
         ++flight->connects;
-        if (flight->connects < constants::connects_most) {
+        if (flight->connects < constants::max_connects) {
           feed(flight, scheduling::PlacementWithdrawn{});
         } else {
           feed(flight, scheduling::ConnectFailure{});
--- a/source/tests/common/followed_test.cpp
+++ b/source/tests/common/followed_test.cpp
@@ -173,11 +173,11 @@
     File file;
     file.write(fleet.settings);
     common::Followed followed(file.path(), read_own,
-                              [&fleet](schema::Settings const& settings) { fleet.station->renew(settings); });
+                              [&fleet](schema::Settings const& settings) { fleet.server->update_settings(settings); });
     ASSERT_TRUE(followed.begin(fleet.settings).ok());
     fleet.begin(in_touch);
     followed.run(*fleet.context, common::seconds(3600));  // it takes the signal
-    EXPECT_EQ(fleet.station->ready(), in_touch);
+    EXPECT_EQ(fleet.server->ready(), in_touch);
     schema::Settings next = fleet.settings;
     next.bounds.directory_ttl_ms = 1500;
     next.seeds = {before};
@@ -186,7 +186,7 @@
     Heard heard;
     ASSERT_EQ(raise(SIGHUP), 0);
     ASSERT_TRUE(fleet.until([&] { return heard.count("E1006") == 1; }));
-    ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+    ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
     std::optional<Response> const answer =
         fleet.answer_on(fleet.call("GET /-/directory HTTP/1.1\r\nHost: any\r\n\r\n", fleet.settings.directory_address));
     ASSERT_TRUE(answer.has_value());
@@ -194,8 +194,8 @@
     file.write("no settings");
     ASSERT_EQ(raise(SIGHUP), 0);
     ASSERT_TRUE(fleet.until([&] { return heard.count("E1007") == 1; }));
-    EXPECT_EQ(fleet.station->settings().bounds.directory_ttl_ms, 1500u);
-    EXPECT_EQ(fleet.station->settings().seeds, next.seeds);
+    EXPECT_EQ(fleet.server->settings().bounds.directory_ttl_ms, 1500u);
+    EXPECT_EQ(fleet.server->settings().seeds, next.seeds);
     fleet.context->stop();
   }
 }
--- a/source/tests/membership/cut_off_test.cpp
+++ b/source/tests/membership/cut_off_test.cpp
@@ -210,7 +210,7 @@
   FreshnessLease lease_;
 };
 
-constexpr common::Span round_of_asks = common::constants::lost_patience + common::constants::ask_retry;
+constexpr common::Span round_of_asks = common::constants::lost_contact_timeout + common::constants::ask_retry;
 
 /// A random schedule of cuts, freezes, restarts, changes and asks; gives what it broke.
 std::set<std::string> run(std::uint64_t seed, Guards const& guards) {
--- a/source/tests/membership/freshness_lease_test.cpp
+++ b/source/tests/membership/freshness_lease_test.cpp
@@ -137,10 +137,11 @@
             constants::confirmation_bound);
   // One that has just started hears a vouched word before it takes another: two rounds of asks.
   EXPECT_GE(constants::unconfirmed_wait,
-            2 * (constants::lost_patience + constants::ask_retry + constants::relay_connect_deadline / 2));
+            2 * (constants::lost_contact_timeout + constants::ask_retry + constants::relay_connect_deadline / 2));
   // In touch the newest vouch is younger: two asks held, one that failed, pauses between them, the ways.
   EXPECT_GE(constants::routing_config_confirmed_bound, 2 * constants::wide_ask_hold + constants::wide_ask_deadline +
-                                                           2 * constants::ask_least + common::milliseconds(500));
+                                                           2 * constants::min_update_request_interval +
+                                                           common::milliseconds(500));
   // Draining: last read of the list before it showed, its bound, clocks apart.
   EXPECT_LE(constants::list_bound + constants::list_bound / 10, common::milliseconds(4000));
   EXPECT_GT(constants::session_bound, constants::confirmation_bound);
--- a/source/tests/membership/gossip_schedule_test.cpp
+++ b/source/tests/membership/gossip_schedule_test.cpp
@@ -47,7 +47,7 @@
   for (common::Moment now = common::seconds(1); now < common::seconds(61); now += step) {
     if (now >= next_ask) {
       (void)teller.heard(proxy(), now);
-      next_ask = now + constants::wide_ask_hold + constants::ask_least;
+      next_ask = now + constants::wide_ask_hold + constants::min_update_request_interval;
     }
     if (now >= next_round) {
       next_round = now + constants::wide_tell_pause + (pace == Pace::one_after_the_other ? patience : 0);
--- a/source/tests/membership/withheld_updates_test.cpp
+++ b/source/tests/membership/withheld_updates_test.cpp
@@ -103,16 +103,16 @@
     ask.member.held = lease.held();
     common::Moment const asked = kernel.now();
     std::shared_ptr<bool> const over = std::make_shared<bool>(false);
-    common::Span const patience = lost ? constants::lost_patience : constants::wide_ask_deadline;
+    common::Span const patience = lost ? constants::lost_contact_timeout : constants::wide_ask_deadline;
     std::function<void(bool)> const next = [this, over](bool heard) {
       if (!*over) {
         *over = true;
         lost = !heard;
-        kernel.after(heard ? constants::ask_least : constants::ask_retry, [this] { this->ask(); });
+        kernel.after(heard ? constants::min_update_request_interval : constants::ask_retry, [this] { this->ask(); });
       }
     };
     kernel.after(patience, [next] { next(false); });
-    for (std::size_t index = 0; index < (lost ? constants::lost_asks : 1); ++index) {
+    for (std::size_t index = 0; index < (lost ? constants::max_parallel_update_requests : 1); ++index) {
       far.call("t" + std::to_string(index), ask, patience,
                [this, asked, next](std::optional<schema::Message> const& reply) {
                  if (reply.has_value()) {
@@ -156,7 +156,8 @@
     // Bytes at the way's pace, a way there and back a piece, and asks beside it:
     // each of some hundred bytes, and the first by three at once.
     common::Span const bound = static_cast<common::Span>(static_cast<double>(routing_config.size()) * 8e6 / bits) +
-                               18 * 2 * one_way + constants::lost_patience + constants::ask_least;
+                               18 * 2 * one_way + constants::lost_contact_timeout +
+                               constants::min_update_request_interval;
     std::printf("[ figure ] furrow, 2 MB over %.0f Mbit/s, 55 ms one way: adopted after %lld ms, bound %lld ms\n",
                 bits / 1e6, static_cast<long long>(proxy.adopted / 1000), static_cast<long long>(bound / 1000));
     ASSERT_GT(proxy.adopted, 0);
--- a/source/tests/relay/exchange_fuzz_test.cpp
+++ b/source/tests/relay/exchange_fuzz_test.cpp
@@ -267,7 +267,7 @@
     std::size_t const head_end = got.find("\r\n\r\n");
     if (head_end != std::string::npos) {
       EXPECT_TRUE(entry.stream()) << entry.id << " " << got.substr(0, 300);
-      check_events(entry, passed(got));
+      check_events(entry, received_stream(got));
     } else {
       EXPECT_EQ(got, "");
       EXPECT_FALSE(entry.attempts > 0 && !entry.stream()) << entry.id << " may have run, and its caller got no answer";
@@ -293,7 +293,7 @@
     }
     bool const chunked = got.substr(0, head_end).find("Transfer-Encoding: chunked") != std::string::npos;
     if (chunked) {
-      Passed const stream = passed(got);
+      ReceivedStream const stream = received_stream(got);
       if (!stream.whole) {
         return false;
       }
@@ -323,7 +323,7 @@
     }
   }
 
-  void check_events(ExchangeRecord const& entry, Passed const& stream) {
+  void check_events(ExchangeRecord const& entry, ReceivedStream const& stream) {
     std::string const due = entry.pieces(entry.behind + 1, entry.events);
     EXPECT_EQ(stream.events, due.substr(0, stream.events.size())) << entry.id;
     if (stream.whole) {
@@ -340,7 +340,7 @@
       Worker& worker = *named.second;
       worker.pause_reading_at = chance(10) ? 1 : std::numeric_limits<std::size_t>::max();
       answer_early(worker);
-      worker.look();
+      worker.collect_arrivals();
       std::vector<Arrival> arrivals = std::move(worker.arrivals);
       worker.arrivals.clear();
       for (Arrival& arrival : arrivals) {
@@ -383,7 +383,7 @@
     common::Moment const now = common::boot_now();
     ++attempts_;
     ++entry.attempts;
-    std::uint64_t const free_attempts = std::min<std::uint64_t>(entry.refusals, common::constants::refusals_most);
+    std::uint64_t const free_attempts = std::min<std::uint64_t>(entry.refusals, common::constants::max_refusals);
     EXPECT_LE(entry.attempts, max_attempts + free_attempts) << entry.id;
     EXPECT_LE(entry.runs, max_attempts) << entry.id;
     EXPECT_FALSE(entry.left > 0 && now - entry.left > departure_grace)
--- a/source/tests/relay/exchange_table_test.cpp
+++ b/source/tests/relay/exchange_table_test.cpp
@@ -133,8 +133,8 @@
     fleet.begin();
     if (cell.state == State::sent_on_kept) {
       caller = fleet.call(query("/plain/before", "q0"));
-      ASSERT_NE(fleet.holder(1), nullptr);
-      fleet.order[0]->arrivals.back().line->send(success("q0", "before"));
+      ASSERT_NE(fleet.worker_of(1), nullptr);
+      fleet.arrival_order[0]->arrivals.back().line->send(success("q0", "before"));
       ASSERT_TRUE(fleet.answer_on(caller).has_value());
       earlier = 1;
     }
@@ -154,7 +154,7 @@
       first = &worker;
       line = worker.lines[0];
     } else {
-      first = fleet.holder(earlier + 1);
+      first = fleet.worker_of(earlier + 1);
       ASSERT_NE(first, nullptr);
       seen = common::boot_now();
       line = first->arrivals.back().line;
@@ -168,7 +168,7 @@
     for (std::size_t index = 0; index < cell.other_workers; ++index) {
       fleet.worker("w" + std::to_string(index + 2), service);
     }
-    ASSERT_TRUE(fleet.until([this] { return fleet.station->balancer().size() == fleet.list.workers.size(); }));
+    ASSERT_TRUE(fleet.until([this] { return fleet.server->balancer().size() == fleet.list.workers.size(); }));
   }
 
   void begin_answer() {
@@ -184,11 +184,11 @@
       ASSERT_TRUE(fleet.answer_on(caller).has_value());
     }
     if (streams() && cell.state != State::sent) {
-      ASSERT_TRUE(fleet.until([this] { return passed(caller->got).events == stream_events(1, 2); }));
+      ASSERT_TRUE(fleet.until([this] { return received_stream(caller->got).events == stream_events(1, 2); }));
     }
     if (cell.state == State::mid_event) {
       send(chunk(event(3).substr(0, 10)));
-      fleet.rest(10);
+      fleet.run_for(10);
     }
     if (cell.state == State::kept) {
       id = "q2";
@@ -223,28 +223,28 @@
           return settled();
         },
         deadline_ms + 500);
-    fleet.rest(20);
+    fleet.run_for(20);
   }
 
   bool settled() {
     if (cell.outcome == Outcome::nobody) {
-      return fleet.station->tally().outcomes["abandoned"] > 0;
+      return fleet.server->counters().outcomes["abandoned"] > 0;
     }
     if (streams() && cell.outcome != Outcome::refused && cell.outcome != Outcome::bad_gateway &&
         cell.outcome != Outcome::timed_out && cell.outcome != Outcome::own_error) {
-      return passed(caller->got).whole || caller->ended;
+      return received_stream(caller->got).whole || caller->ended;
     }
     return read_first<false>(caller->got).has_value() || caller->ended;
   }
 
   void check_outcome() {
     if (cell.outcome == Outcome::nobody) {
-      EXPECT_EQ(fleet.station->tally().outcomes["abandoned"], 1u);
+      EXPECT_EQ(fleet.server->counters().outcomes["abandoned"], 1u);
       return;
     }
     if (streams() && (cell.outcome == Outcome::first || cell.outcome == Outcome::second ||
                       cell.outcome == Outcome::joined || cell.outcome == Outcome::broken)) {
-      Passed const got = passed(caller->got);
+      ReceivedStream const got = received_stream(caller->got);
       EXPECT_EQ(got.whole, cell.outcome != Outcome::broken);
       EXPECT_EQ(got.behind, "");
       EXPECT_EQ(got.events, broken_events != nullptr || cell.outcome == Outcome::broken
@@ -444,13 +444,13 @@
 /// The next request has arrived already, so the end of the caller's connection lies behind unread bytes.
 void caller_pipelines_and_leaves(Exchange& exchange) {
   exchange.caller->send(query("/plain/b", "q9"));
-  exchange.fleet.rest(30);
+  exchange.fleet.run_for(30);
   common::Moment const left = common::boot_now();
   exchange.leave();
   EXPECT_TRUE(exchange.fleet.until([&] { return exchange.line->ended; }, 800));
   EXPECT_LT(common::boot_now() - left, common::milliseconds(500));
-  exchange.fleet.rest(100);
-  for (Worker* const worker : exchange.fleet.order) {
+  exchange.fleet.run_for(100);
+  for (Worker* const worker : exchange.fleet.arrival_order) {
     for (Arrival const& arrival : worker->arrivals) {
       EXPECT_NE(arrival.header("Finchlink-Query"), "q9");
     }
@@ -462,20 +462,20 @@
   std::shared_ptr<Line> const other = exchange.fleet.call("");
   EXPECT_TRUE(exchange.fleet.until([&] { return exchange.line->ended; }, 500));
   exchange.send(success("q1", "late"));
-  exchange.fleet.rest(20);
+  exchange.fleet.run_for(20);
   EXPECT_EQ(other->got, "");
   EXPECT_FALSE(other->ended);
 }
 void caller_pipelines(Exchange& exchange) {
   exchange.caller->send(query("/plain/b", "q9"));
-  exchange.fleet.rest(20);
-  EXPECT_EQ(exchange.fleet.order.size(), exchange.earlier + 1)
+  exchange.fleet.run_for(20);
+  EXPECT_EQ(exchange.fleet.arrival_order.size(), exchange.earlier + 1)
       << "a pipelined request was sent before the first was answered";
   exchange.send(success(exchange.id, "first"));
   std::optional<Response> const own = exchange.fleet.answer_on(exchange.caller);
   ASSERT_TRUE(own.has_value());
   EXPECT_EQ(own->body(), "first");
-  Worker* const next = exchange.fleet.holder(exchange.earlier + 2);
+  Worker* const next = exchange.fleet.worker_of(exchange.earlier + 2);
   ASSERT_NE(next, nullptr);
   next->arrivals.back().line->send(success("q9", "first"));
   exchange.id = "q9";
@@ -486,7 +486,7 @@
   exchange.send(success(exchange.id, "first"));
   EXPECT_TRUE(exchange.fleet.until([&] { return read_first<false>(exchange.caller->got).has_value(); }, 600));
   std::shared_ptr<Line> const other = exchange.fleet.call(query("/plain/c", "q9"));
-  exchange.fleet.rest(50);
+  exchange.fleet.run_for(50);
   exchange.line->read_on();
   (void)exchange.fleet.until([&] { return exchange.line->ended || exchange.first->arrivals.size() > 1; }, 500);
   std::string const& got = exchange.line->got;
@@ -543,17 +543,18 @@
 void unnumbered_and_reset(Exchange& exchange) {
   exchange.broken_events = "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\ndata: no number\n\n";
   exchange.send(chunk("data: no number\n\n"));
-  EXPECT_TRUE(exchange.fleet.until([&] { return passed(exchange.caller->got).events == exchange.broken_events; }));
+  EXPECT_TRUE(
+      exchange.fleet.until([&] { return received_stream(exchange.caller->got).events == exchange.broken_events; }));
   exchange.reset();
 }
 /// Sends the next request after an answer on a connection that is kept.
 void next_request(Exchange& exchange) {
   exchange.caller->send(query(std::string("/") + exchange.cell.route + "/b", exchange.id, exchange.body));
-  ASSERT_NE(exchange.fleet.holder(2), nullptr);
+  ASSERT_NE(exchange.fleet.worker_of(2), nullptr);
 }
 void next_after(Exchange& exchange, std::function<void()> const& disturb) {
   disturb();
-  exchange.fleet.rest(20);
+  exchange.fleet.run_for(20);
   next_request(exchange);
 }
 void next_answered_on_kept(Exchange& exchange) {
@@ -578,7 +579,7 @@
   next_after(exchange, [&] {
     std::erase_if(exchange.fleet.list.workers, [](schema::WorkerEntry const& entry) { return entry.id == "w1"; });
     ++exchange.fleet.list_digest;
-    exchange.fleet.hear();
+    exchange.fleet.wait_for_update();
   });
 }
 
--- a/source/tests/relay/forwarding_test.cpp
+++ b/source/tests/relay/forwarding_test.cpp
@@ -79,14 +79,14 @@
   worker.arrivals.back().line->send(success("q1", "good"));
   ASSERT_EQ(status_of(fleet.answer_on(caller)), 200u);
   fleet.publish(config::evacuated_register, 1, "[\"north\"]");
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->balancer().usable("w1"); }));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.server->balancer().usable("w1"); }));
   caller->send(query("/plain/a", "q2", "body"));
   fleet.rest(20);
   caller->close();
   fleet.rest(20);
   fleet.publish(config::evacuated_register, 2, "[]");
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->balancer().usable("w1"); }));
-  EXPECT_TRUE(fleet.until([&] { return fleet.station->tally().outcomes["abandoned"] == 1; }, 1000));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->balancer().usable("w1"); }));
+  EXPECT_TRUE(fleet.until([&] { return fleet.server->counters().outcomes["abandoned"] == 1; }, 1000));
   EXPECT_EQ(worker.arrivals.size(), 1u);
   EXPECT_EQ(worker.lines.size(), 1u);
 }
--- a/source/tests/relay/limits_test.cpp
+++ b/source/tests/relay/limits_test.cpp
@@ -13,7 +13,7 @@
   fleet.routing_config.number = number;
   fleet.publish_routing_config(number);
   return fleet.until([&fleet, number] {
-    return fleet.station->route_table() != nullptr && fleet.station->route_table()->routing_config().number == number;
+    return fleet.server->route_table() != nullptr && fleet.server->route_table()->routing_config().number == number;
   });
 }
 
--- a/source/tests/relay/prompt_isolation_test.cpp
+++ b/source/tests/relay/prompt_isolation_test.cpp
@@ -32,7 +32,7 @@
     fleet.routing_config.lanes[0].shares = {schema::Share{"pool", 1}};
     worker = &fleet.worker("w1", "pool");
     fleet.begin();
-    EXPECT_TRUE(fleet.until([&] { return fleet.station->isolation().keyed() == with_secrets; }));
+    EXPECT_TRUE(fleet.until([&] { return fleet.server->isolation().keyed() == with_secrets; }));
   }
   ~IsolatedPrompt() { std::remove(path.c_str()); }
   void write(std::string const& secret) const { std::ofstream(path) << "{\"current\":\"" << secret << "\"}"; }
@@ -103,14 +103,13 @@
   isolated.fleet.routing_config.lanes[0].tenancy->required = false;
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
-  ASSERT_TRUE(
-      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  ASSERT_TRUE(isolated.fleet.until([&] { return isolated.fleet.server->route_table()->routing_config().number == 2; }));
   std::string const of_b = (isolated.ask(tenant("b") + parts("x:100")),
                             isolated.ask(tenant("b") + parts("x:100")).header("Finchlink-Parts"));
   std::shared_ptr<Line> const caller = isolated.fleet.call(with_trailer(""));
   ASSERT_TRUE(isolated.fleet.arrived(*isolated.worker, ++isolated.asked));
   EXPECT_NE(isolated.worker->arrivals.back().header("Finchlink-Parts"), of_b);
-  EXPECT_EQ(isolated.fleet.station->isolation().tallies().at("b").queries, 2u);
+  EXPECT_EQ(isolated.fleet.server->isolation().tallies().at("b").queries, 2u);
 }
 
 TEST(RelayWalls, IdsOfCallersNeverReachWorkers) {
@@ -199,7 +198,7 @@
   EXPECT_EQ(arrival.request.count("Finchlink_Parts"), 0u);
   EXPECT_EQ(arrival.request.count("finchlink_expect-weights"), 0u);
   EXPECT_EQ(arrival.request.count("Finchlink-Parts"), 1u);
-  EXPECT_EQ(isolated.fleet.station->isolation().tallies().at("a").queries, 1u);
+  EXPECT_EQ(isolated.fleet.server->isolation().tallies().at("a").queries, 1u);
 }
 
 TEST(RelayWalls, IdsDoNotComeBackToCallers) {
@@ -229,8 +228,8 @@
   (void)isolated.ask(prompt);
   std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
   (void)isolated.ask(prompt, "Finchlink-Weights: v2\r\n");
-  EXPECT_EQ(isolated.fleet.station->isolation().other_weights(), 1u);
-  EXPECT_NE(data_plane::print_isolation_metrics(isolated.fleet.station->isolation())
+  EXPECT_EQ(isolated.fleet.server->isolation().other_weights(), 1u);
+  EXPECT_NE(data_plane::print_isolation_metrics(isolated.fleet.server->isolation())
                 .find("relay_wall_other_weights_total 1\n"),
             std::string::npos);
   (void)isolated.ask(prompt, "Finchlink-Weights: v1\r\n");  // it goes back, and is alarmed of again
@@ -247,8 +246,7 @@
   isolated.fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
-  ASSERT_TRUE(
-      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  ASSERT_TRUE(isolated.fleet.until([&] { return isolated.fleet.server->route_table()->routing_config().number == 2; }));
   (void)isolated.ask(tenant("7") + parts("x:100"));
   std::string const of_customer = isolated.ask(tenant("7") + parts("x:100")).header("Finchlink-Parts");
   Arrival const of_rider = isolated.ask(parts("x:100"), "Finchlink-Weights: v1\r\n", "/once/7");
@@ -262,8 +260,7 @@
   isolated.fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
-  ASSERT_TRUE(
-      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  ASSERT_TRUE(isolated.fleet.until([&] { return isolated.fleet.server->route_table()->routing_config().number == 2; }));
   (void)isolated.ask(tenant("a") + parts("p:50,x:100"));
   std::string const of_a = isolated.ask(tenant("a") + parts("p:50,x:100")).header("Finchlink-Parts");
   EXPECT_EQ(isolated.ask(parts("p:50,x:100"), "Finchlink-Weights: v1\r\n", "/once/a").header("Finchlink-Parts"),
@@ -285,7 +282,7 @@
   fleet.worker("w1", "pool");
   fleet.worker("w2", "pool");
   fleet.begin();
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->isolation().keyed(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->isolation().keyed(); }));
   std::size_t seen = 0;
   std::function<std::string(std::string const&, std::string const&, Worker*)> const whole =
       [&](std::string const& name, std::string const& version, Worker* wanted) {
@@ -336,14 +333,14 @@
 TEST(RelayWalls, ACrossingIsCountedAndTold) {
   IsolatedPrompt isolated;
   (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 100\r\n");
-  EXPECT_EQ(isolated.fleet.station->isolation().crossings(), 1u);
+  EXPECT_EQ(isolated.fleet.server->isolation().crossings(), 1u);
   EXPECT_NE(
-      data_plane::print_isolation_metrics(isolated.fleet.station->isolation()).find("relay_wall_crossings_total 1\n"),
+      data_plane::print_isolation_metrics(isolated.fleet.server->isolation()).find("relay_wall_crossings_total 1\n"),
       std::string::npos);
   (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 0\r\n");
   (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 200\r\n");
-  EXPECT_EQ(isolated.fleet.station->isolation().crossings(), 1u) << "its own is no crossing";
-  scheduling::TenantTally const tally = isolated.fleet.station->isolation().tallies().at("a");
+  EXPECT_EQ(isolated.fleet.server->isolation().crossings(), 1u) << "its own is no crossing";
+  scheduling::TenantTally const tally = isolated.fleet.server->isolation().tallies().at("a");
   EXPECT_EQ(tally.queries, 3u);
   EXPECT_EQ(tally.cold, 1u);
   EXPECT_EQ(tally.reused, 300);
@@ -354,12 +351,11 @@
   isolated.fleet.routing_config.lanes[0].tenancy.reset();
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
-  ASSERT_TRUE(
-      isolated.fleet.until([&] { return isolated.fleet.station->route_table()->routing_config().number == 2; }));
+  ASSERT_TRUE(isolated.fleet.until([&] { return isolated.fleet.server->route_table()->routing_config().number == 2; }));
   Arrival const arrival = isolated.ask(parts("x:100,y:100"));
   EXPECT_EQ(arrival.header("Finchlink-Parts"), "x:100,y:100");
   EXPECT_EQ(arrival.header("Finchlink-Expect-Weights"), "");
-  EXPECT_TRUE(isolated.fleet.station->isolation().tallies().empty());
+  EXPECT_TRUE(isolated.fleet.server->isolation().tallies().empty());
 }
 
 TEST(RelayWalls, ACharterThatWantsATenantMeanwhileDecides) {
--- a/source/tests/relay/relay_server_test.cpp
+++ b/source/tests/relay/relay_server_test.cpp
@@ -48,7 +48,7 @@
   EXPECT_GT(std::stod(text_of(answer, "Retry-After")), 0);
   EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q1");
   fleet.publish_routing_config(1);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   EXPECT_EQ(readiness(fleet), 200u);
 }
 
@@ -56,7 +56,7 @@
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
-  fleet.station->routing_config_hold = common::seconds(60);
+  fleet.server->routing_config_wait = common::seconds(60);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   fleet.publish_routing_config(1);
   ASSERT_TRUE(fleet.arrived(worker, 1));
@@ -68,17 +68,17 @@
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
-  ASSERT_EQ(fleet.station->routing_config_hold, common::constants::routing_config_hold);
+  ASSERT_EQ(fleet.server->routing_config_wait, common::constants::routing_config_wait);
   ASSERT_TRUE(fleet.until([&] { return fleet.asks > 0; }));  // a trellis answers, and has none
   common::Moment const sent = common::boot_now();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   std::optional<Response> const answer = fleet.answer_on(caller);
-  EXPECT_GE(common::boot_now() - sent, common::constants::routing_config_hold);  // it was waited for
+  EXPECT_GE(common::boot_now() - sent, common::constants::routing_config_wait);  // it was waited for
   EXPECT_EQ(status_of(answer), 503u);
   EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q1");
   // Final: the charter that comes a moment later doesn't bring it to a worker.
   fleet.publish_routing_config(1);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   fleet.hear();
   EXPECT_TRUE(worker.arrivals.empty());
   caller->send(query("/plain/a", "q2"));  // and the connection is as good as before
@@ -105,7 +105,7 @@
     (void)silent->accept(error);
     EXPECT_FALSE(error) << error.message();  // asked as well, and not waited for
   }
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   EXPECT_EQ(fleet.told.front().held.count("charter"), 0u);
 }
 
@@ -127,8 +127,8 @@
                   .ok());
   fleet.unanswered = 4;
   fleet.begin(false);
-  fleet.station->lost_patience = common::seconds(600);
-  EXPECT_TRUE(fleet.until([&] { return fleet.station->ready(); }, 30000));
+  fleet.server->lost_contact_timeout = common::seconds(600);
+  EXPECT_TRUE(fleet.until([&] { return fleet.server->ready(); }, 30000));
   EXPECT_EQ(held, 1u);
 }
 
@@ -137,11 +137,11 @@
   Worker& worker = fleet.worker("w1");
   fleet.list_age = -1;
   fleet.begin(false);
-  fleet.station->routing_config_hold = common::seconds(60);
+  fleet.server->routing_config_wait = common::seconds(60);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   fleet.publish_routing_config(1);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table() != nullptr; }));
-  EXPECT_FALSE(fleet.station->begun());
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table() != nullptr; }));
+  EXPECT_FALSE(fleet.server->begun());
   fleet.list_age = 0;
   ++fleet.list_digest;
   ASSERT_TRUE(fleet.arrived(worker, 1));
@@ -149,7 +149,7 @@
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
   fleet.list.workers.clear();  // all gone later: refused as ever
   ++fleet.list_digest;
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.server->ready(); }));
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/b", "q2")))), 503u);
 }
 
@@ -161,11 +161,11 @@
   fleet.routing_config.number = 2;
   fleet.routing_config.lanes.erase(fleet.routing_config.lanes.begin());
   fleet.publish_routing_config(2);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table()->routing_config().number == 2; }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table()->routing_config().number == 2; }));
   fleet.routing_config = older;  // a trellis that was out of touch
   fleet.publish_routing_config(1);
   fleet.hear();
-  EXPECT_EQ(fleet.station->route_table()->routing_config().number, 2u);
+  EXPECT_EQ(fleet.server->route_table()->routing_config().number, 2u);
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/a", "q1")))), 404u);
   EXPECT_TRUE(worker.arrivals.empty());
   EXPECT_EQ(fleet.told.back().held.at("charter"), 2u);
@@ -180,7 +180,7 @@
   fleet.confirmed = false;
   fleet.begin(false);
   fleet.hear();
-  EXPECT_EQ(fleet.station->route_table(), nullptr);
+  EXPECT_EQ(fleet.server->route_table(), nullptr);
   std::optional<Response> const refused = fleet.answer_on(fleet.call(query("/plain/a", "q1")));
   EXPECT_EQ(status_of(refused), 503u);
   EXPECT_GT(std::stod(text_of(refused, "Retry-After")), 0);
@@ -194,7 +194,7 @@
   fleet.publish_routing_config(2);
   fleet.publish("evacuated", 2, "[\"north\"]");
   fleet.confirmed = true;
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   std::shared_ptr<Line> const caller = fleet.call(query("/new/a", "q3"));
   ASSERT_TRUE(fleet.arrived(south, 1));
   last(&south).line->send(success("q3", "good"));
@@ -209,7 +209,7 @@
   fleet.publish_routing_config(1);
   fleet.confirmed = false;
   fleet.begin(false);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table() != nullptr; }, 30000));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table() != nullptr; }, 30000));
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
   last(&worker).line->send(success("q1", "good"));
@@ -220,7 +220,7 @@
   EXPECT_EQ(text_of(refused, "Finchlink-Query"), "q2");
   EXPECT_EQ(readiness(fleet), 503u);
   fleet.confirmed = true;
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/new/a", "q3")))), 404u);
 }
 
@@ -231,7 +231,7 @@
   fleet.publish_routing_config(1);
   fleet.confirmed = false;
   fleet.begin(false);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table() != nullptr; }, 30000));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table() != nullptr; }, 30000));
   std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "x"));
   fleet.rest(50);
   EXPECT_TRUE(caller->got.empty());
@@ -261,7 +261,7 @@
                                    })
                   .ok());
   fleet.begin(false);
-  EXPECT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  EXPECT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   EXPECT_GE(asked, 1u);
 }
 
@@ -293,7 +293,7 @@
     }
     fleet.routing_config.number = 2;
     fleet.publish_routing_config(2);
-    ASSERT_TRUE(fleet.until([&] { return fleet.station->route_table()->routing_config().number == 2; }));
+    ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table()->routing_config().number == 2; }));
     Worker& web = fleet.worker("w1", "web");
     Worker& pool = fleet.worker("m1", "pool");
     if (moved) {
@@ -317,7 +317,7 @@
   fleet.list.workers[2].draining = true;
   ++fleet.list_digest;
   ASSERT_TRUE(
-      fleet.until([&] { return !fleet.station->balancer().usable("w1") && !fleet.station->balancer().usable("w3"); }));
+      fleet.until([&] { return !fleet.server->balancer().usable("w1") && !fleet.server->balancer().usable("w3"); }));
   for (std::size_t count = 1; count <= 3; ++count) {
     std::string const id = "q" + std::to_string(count);
     std::shared_ptr<Line> const caller = fleet.call(query("/once/a", id));
@@ -326,7 +326,7 @@
     EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
   }
   fleet.publish("evacuated", 2, "[]");
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->balancer().usable("w1"); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->balancer().usable("w1"); }));
   EXPECT_TRUE(north.arrivals.empty());
   EXPECT_TRUE(leaving.arrivals.empty());
 }
@@ -342,7 +342,7 @@
   fleet.list.workers[0].id = "w1-again";  // the same address, another life
   fleet.list.workers[0].service = "pool";
   ++fleet.list_digest;
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->balancer().serves("w1-again", "pool"); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->balancer().serves("w1-again", "pool"); }));
   EXPECT_TRUE(fleet.until([&] { return worker.lines[0]->ended; }, 1000));
   caller->send(query("/plain/b", "q2"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 503u);
@@ -369,18 +369,18 @@
   };
   fleet.begin();
   ASSERT_TRUE(
-      fleet.until([&] { return fleet.station->balancer().usable("w1") && fleet.station->balancer().usable("w2"); }));
+      fleet.until([&] { return fleet.server->balancer().usable("w1") && fleet.server->balancer().usable("w2"); }));
   std::size_t const whole = asked.size();
   fleet.list.workers.erase(fleet.list.workers.begin());
   gone = "w1";
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->balancer().serves("w1", "web"); }));
-  EXPECT_TRUE(fleet.station->balancer().usable("w2"));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.server->balancer().serves("w1", "web"); }));
+  EXPECT_TRUE(fleet.server->balancer().usable("w2"));
   EXPECT_EQ(std::count(asked.begin() + static_cast<std::ptrdiff_t>(whole), asked.end(), 0u), 0);
   // Another teller's word that does not lead where it says.
   fleet.list.workers.clear();
   wrong = true;
   std::size_t const before = asked.size();
-  ASSERT_TRUE(fleet.until([&] { return !fleet.station->balancer().serves("w2", "web"); }));
+  ASSERT_TRUE(fleet.until([&] { return !fleet.server->balancer().serves("w2", "web"); }));
   EXPECT_GE(std::count(asked.begin() + static_cast<std::ptrdiff_t>(before), asked.end(), 0u), 1);
 }
 
@@ -416,7 +416,7 @@
   fleet.begin();
   fleet.hear();  // in touch with the last one, and asks it alone
   leaving = true;
-  fleet.station->drain();
+  fleet.server->drain();
   ASSERT_TRUE(fleet.until([&] { return held > 0; }));
   fleet.hear();
   EXPECT_EQ(heard, 0u);
@@ -435,7 +435,7 @@
   ASSERT_TRUE(fleet.arrived(worker, 1));
   EXPECT_TRUE(fleet.until([&] { return directory(fleet, "north", "dublin").find("10.0.0.1:1") != std::string::npos; }));
   EXPECT_NE(directory(fleet, "north", "dublin").find(fleet.settings.http_address), std::string::npos);
-  fleet.station->drain();
+  fleet.server->drain();
   EXPECT_EQ(readiness(fleet), 503u);
   EXPECT_EQ(directory(fleet, "north", "dublin").find(fleet.settings.http_address), std::string::npos);
   EXPECT_TRUE(fleet.until([&] { return !fleet.told.back().ready; }));
@@ -451,7 +451,7 @@
   std::optional<Response> const second = fleet.answer_on(late);
   EXPECT_EQ(status_of(second), 200u);
   EXPECT_FALSE(second->keep_alive());
-  EXPECT_TRUE(fleet.station->busy());
+  EXPECT_TRUE(fleet.server->busy());
 }
 
 TEST(RelayServer, TheDirectoryNamesReadyFurrowsNearOnesFirst) {
--- a/source/tests/relay/stream_test.cpp
+++ b/source/tests/relay/stream_test.cpp
@@ -30,16 +30,16 @@
     fleet.begin();
     caller = fleet.call(
         query("/" + route + "/a", "q1", "prompt", "Finchlink-Tokens: 300,80\r\nFinchlink-Parts: ab:200,cd:100\r\n"));
-    first = fleet.holder(1);
+    first = fleet.worker_of(1);
     if (first == nullptr) {
       return;
     }
     last_arrival(first).line->send(stream_head("q1", "X-Worker: first\r\n") + chunk(event(1)));
-    started = fleet.until([this] { return passed(caller->got).events == event(1); });
+    started = fleet.until([this] { return received_stream(caller->got).events == event(1); });
     last_arrival(first).line->send(chunk(event(2)));
-    started = started && fleet.until([this] { return passed(caller->got).events == events(1, 3); });
+    started = started && fleet.until([this] { return received_stream(caller->got).events == events(1, 3); });
   }
-  Passed now() { return passed(caller->got); }
+  ReceivedStream now() { return received_stream(caller->got); }
   Fleet fleet;
   std::shared_ptr<Line> caller;
   Worker* first = nullptr;
@@ -61,7 +61,7 @@
     EXPECT_EQ(stream.now().behind, "");
     stream.caller->got.clear();
     stream.caller->send(query("/" + route + "/b", "q2"));
-    Worker* const next = stream.fleet.holder(2);
+    Worker* const next = stream.fleet.worker_of(2);
     ASSERT_NE(next, nullptr);
     last_arrival(next).line->send(stream_head("q2") + chunk(events(1, 4)) + last_chunk);
     ASSERT_TRUE(stream.fleet.until([&] { return stream.now().whole; }));
@@ -74,7 +74,7 @@
   ASSERT_TRUE(stream.started);
   std::string const third = event(3);
   last_arrival(stream.first).line->send(chunk(third.substr(0, 9)));
-  stream.fleet.rest(40);
+  stream.fleet.run_for(40);
   EXPECT_EQ(stream.now().events, events(1, 3));
   last_arrival(stream.first).line->send(chunk(third.substr(9)) + last_chunk);
   ASSERT_TRUE(stream.fleet.until([&] { return stream.now().whole; }));
@@ -87,7 +87,7 @@
     ASSERT_TRUE(stream.started);
     last_arrival(stream.first).line->send(chunk(event(3).substr(0, 12)));  // half an event, then a reset
     last_arrival(stream.first).line->reset();
-    Worker* const second = stream.fleet.holder(2);
+    Worker* const second = stream.fleet.worker_of(2);
     ASSERT_NE(second, nullptr);
     EXPECT_NE(second, stream.first);
     EXPECT_EQ(last_arrival(second).header("Last-Event-ID"), "2");
@@ -113,17 +113,17 @@
   }
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/tale/a", "q1", "", "Last-Event-ID: 7\r\n"));
-  Worker* const first = fleet.holder(1);
+  Worker* const first = fleet.worker_of(1);
   ASSERT_NE(first, nullptr);
   EXPECT_EQ(last_arrival(first).header("Last-Event-ID"), "7");
   last_arrival(first).line->close();  // before any event: the caller's own Last-Event-ID still holds
-  Worker* const second = fleet.holder(2);
+  Worker* const second = fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   EXPECT_EQ(last_arrival(second).header("Last-Event-ID"), "7");
   EXPECT_EQ(last_arrival(second).request.count("Last-Event-ID"), 1u);
   last_arrival(second).line->send(stream_head("q1") + chunk(events(8, 10)) + last_chunk);
-  ASSERT_TRUE(fleet.until([&] { return passed(caller->got).whole; }));
-  EXPECT_EQ(passed(caller->got).events, events(8, 10));
+  ASSERT_TRUE(fleet.until([&] { return received_stream(caller->got).whole; }));
+  EXPECT_EQ(received_stream(caller->got).events, events(8, 10));
 }
 
 TEST(RelayStream, ABrokenStreamThatMayNotBeResumedEndsVisibly) {
@@ -140,7 +140,7 @@
     EXPECT_FALSE(stream.now().whole);
     EXPECT_EQ(stream.now().events, events(1, 3));
     EXPECT_EQ(stream.now().behind, "");
-    EXPECT_EQ(stream.fleet.order.size(), 1u);
+    EXPECT_EQ(stream.fleet.arrival_order.size(), 1u);
   }
 }
 
@@ -154,15 +154,15 @@
     }
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/tale/a", "q1"));
-    Worker* const first = fleet.holder(1);
+    Worker* const first = fleet.worker_of(1);
     ASSERT_NE(first, nullptr);
     last_arrival(first).line->send(stream_head("q1") + chunk(event(1)));
-    ASSERT_TRUE(fleet.until([&] { return passed(caller->got).events == event(1); }));
+    ASSERT_TRUE(fleet.until([&] { return received_stream(caller->got).events == event(1); }));
     last_arrival(first).line->close();
     ASSERT_TRUE(fleet.until([&] { return caller->ended; })) << missing;
-    EXPECT_FALSE(passed(caller->got).whole);
-    EXPECT_EQ(passed(caller->got).events, event(1));
-    EXPECT_EQ(fleet.order.size(), 1u);
+    EXPECT_FALSE(received_stream(caller->got).whole);
+    EXPECT_EQ(received_stream(caller->got).events, event(1));
+    EXPECT_EQ(fleet.arrival_order.size(), 1u);
   }
 }
 
@@ -175,7 +175,7 @@
     StartedStream stream("tale", 2);
     ASSERT_TRUE(stream.started);
     last_arrival(stream.first).line->reset();
-    Worker* const second = stream.fleet.holder(2);
+    Worker* const second = stream.fleet.worker_of(2);
     ASSERT_NE(second, nullptr);
     last_arrival(second).line->send(bad_answer);
     ASSERT_TRUE(stream.fleet.until(
@@ -191,10 +191,10 @@
   StartedStream stream("tale", 3);
   ASSERT_TRUE(stream.started);
   last_arrival(stream.first).line->reset();
-  Worker* const second = stream.fleet.holder(2);
+  Worker* const second = stream.fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   last_arrival(second).line->send(not_run("q1", "503 Busy"));
-  Worker* const third = stream.fleet.holder(3);
+  Worker* const third = stream.fleet.worker_of(3);
   ASSERT_NE(third, nullptr);
   EXPECT_EQ(last_arrival(third).header("Last-Event-ID"), "2");
   last_arrival(third).line->send(stream_head("q1") + chunk(event(3)) + last_chunk);
@@ -207,12 +207,12 @@
     StartedStream stream("tale", another ? 3 : 2);
     ASSERT_TRUE(stream.started);
     last_arrival(stream.first).line->reset();
-    Worker* const second = stream.fleet.holder(2);
+    Worker* const second = stream.fleet.worker_of(2);
     ASSERT_NE(second, nullptr);
     EXPECT_EQ(last_arrival(second).header("Last-Event-ID"), "2");
     last_arrival(second).line->send(stream_head("q1") + chunk(events(4, 6)) + last_chunk);
     if (another) {
-      Worker* const third = stream.fleet.holder(3);
+      Worker* const third = stream.fleet.worker_of(3);
       ASSERT_NE(third, nullptr);
       EXPECT_EQ(last_arrival(third).header("Last-Event-ID"), "2");
       last_arrival(third).line->send(stream_head("q1") + chunk(events(3, 6)) + last_chunk);
@@ -232,12 +232,12 @@
     StartedStream stream(route, 2);
     ASSERT_TRUE(stream.started);
     if (route == "talk") {
-      stream.fleet.rest(900);  // three times the set point of pauses between events
+      stream.fleet.run_for(900);  // three times the set point of pauses between events
       EXPECT_FALSE(last_arrival(stream.first).line->ended);
       EXPECT_FALSE(stream.caller->ended);
       last_arrival(stream.first).line->send(chunk(event(3)) + last_chunk);
     } else {
-      Worker* const second = stream.fleet.holder(2);
+      Worker* const second = stream.fleet.worker_of(2);
       ASSERT_NE(second, nullptr);
       EXPECT_EQ(last_arrival(second).header("Last-Event-ID"), "2");
       last_arrival(second).line->send(stream_head("q1") + chunk(event(3)) + last_chunk);
@@ -252,17 +252,17 @@
                                         std::string("HTTP/1.1 500 Internal\r\nContent-Length: 0\r\n\r\n")}) {
     StartedStream stream("tale", 2);
     ASSERT_TRUE(stream.started);
-    Worker* const second = stream.fleet.holder(2);
+    Worker* const second = stream.fleet.worker_of(2);
     ASSERT_NE(second, nullptr);
     EXPECT_FALSE(last_arrival(stream.first).line->ended) << bad_answer;  // only set aside
     last_arrival(second).line->send(bad_answer);
-    stream.fleet.rest(20);
+    stream.fleet.run_for(20);
     EXPECT_FALSE(stream.caller->ended) << bad_answer;
     last_arrival(stream.first).line->send(chunk(events(3, 5)) + last_chunk);
     ASSERT_TRUE(stream.fleet.until([&] { return stream.now().whole; })) << bad_answer;
     EXPECT_EQ(stream.now().events, events(1, 5)) << bad_answer;
     EXPECT_EQ(stream.now().behind, "") << bad_answer;
-    EXPECT_EQ(stream.fleet.order.size(), 2u) << bad_answer;
+    EXPECT_EQ(stream.fleet.arrival_order.size(), 2u) << bad_answer;
   }
 }
 
@@ -270,7 +270,7 @@
   StartedStream stream("tale", 2);
   ASSERT_TRUE(stream.started);
   last_arrival(stream.first).line->send(chunk(event(3).substr(0, 9)));  // half an event before the stall
-  Worker* const second = stream.fleet.holder(2);
+  Worker* const second = stream.fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   EXPECT_EQ(last_arrival(second).header("Last-Event-ID"), "2");
   last_arrival(stream.first).line->send(chunk(event(3).substr(9)) + chunk(event(4)) + last_chunk);
@@ -282,7 +282,7 @@
 TEST(RelayStream, OnceAnotherResumesTheStalledWorkerIsDropped) {
   StartedStream stream("tale", 2);
   ASSERT_TRUE(stream.started);
-  Worker* const second = stream.fleet.holder(2);
+  Worker* const second = stream.fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   last_arrival(second).line->send(stream_head("q1") + chunk(event(3)));
   ASSERT_TRUE(stream.fleet.until([&] { return last_arrival(stream.first).line->ended; }));
@@ -295,7 +295,7 @@
   for (bool const removed : {true, false}) {
     StartedStream stream("tale", 2);
     ASSERT_TRUE(stream.started);
-    Worker* const second = stream.fleet.holder(2);
+    Worker* const second = stream.fleet.worker_of(2);
     ASSERT_NE(second, nullptr);
     if (removed) {
       std::erase_if(stream.fleet.routing_config.lanes, [](schema::Lane const& route) { return route.name == "tale"; });
@@ -304,11 +304,11 @@
     }
     stream.fleet.publish_routing_config(2);
     ASSERT_TRUE(stream.fleet.until([&] {
-      return stream.fleet.station->route_table()->find("h.example", "/tale/a") == nullptr ||
-             !stream.fleet.station->route_table()->find("h.example", "/tale/a")->resumable;
+      return stream.fleet.server->route_table()->find("h.example", "/tale/a") == nullptr ||
+             !stream.fleet.server->route_table()->find("h.example", "/tale/a")->resumable;
     }));
     last_arrival(second).line->send(not_run("q1", "503 Busy"));
-    stream.fleet.rest(20);
+    stream.fleet.run_for(20);
     EXPECT_FALSE(stream.caller->ended) << removed;
     last_arrival(stream.first).line->send(chunk(event(3)) + last_chunk);
     ASSERT_TRUE(stream.fleet.until([&] { return stream.now().whole; })) << removed;
@@ -319,7 +319,7 @@
 TEST(RelayStream, AConnectionResetWhileSetAsideEndsTheStreamVisibly) {
   StartedStream stream("tale", 2);
   ASSERT_TRUE(stream.started);
-  Worker* const second = stream.fleet.holder(2);
+  Worker* const second = stream.fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   last_arrival(stream.first).line->reset();
   last_arrival(second).line->send(not_run("q1", "503 Busy"));
@@ -337,25 +337,25 @@
       fleet.worker("m2", "pool");
       fleet.begin();
       std::shared_ptr<Line> const caller = fleet.call(query("/" + route + "/a", "q1"));
-      Worker* const first = fleet.holder(1);
+      Worker* const first = fleet.worker_of(1);
       ASSERT_NE(first, nullptr);
       if (with_head) {
         last_arrival(first).line->send(stream_head("q1"));
-        fleet.rest(20);
+        fleet.run_for(20);
         EXPECT_TRUE(caller->got.empty());  // nothing to pass on yet
       }
       last_arrival(first).line->close();
       if (route == "talk") {
         EXPECT_EQ(status_of(fleet.answer_on(caller)), 502u);
-        EXPECT_EQ(fleet.order.size(), 1u);
+        EXPECT_EQ(fleet.arrival_order.size(), 1u);
         continue;
       }
-      Worker* const second = fleet.holder(2);
+      Worker* const second = fleet.worker_of(2);
       ASSERT_NE(second, nullptr);
       EXPECT_EQ(last_arrival(second).header("Last-Event-ID"), "");
       last_arrival(second).line->send(stream_head("q1") + chunk(events(1, 3)) + last_chunk);
-      ASSERT_TRUE(fleet.until([&] { return passed(caller->got).whole; }));
-      EXPECT_EQ(passed(caller->got).events, events(1, 3));
+      ASSERT_TRUE(fleet.until([&] { return received_stream(caller->got).whole; }));
+      EXPECT_EQ(received_stream(caller->got).events, events(1, 3));
     }
   }
 }
@@ -365,13 +365,13 @@
   fleet.worker("m1", "pool");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/talk/a", "q1", "", "Finchlink-Left: 300\r\n"));
-  Worker* const first = fleet.holder(1);
+  Worker* const first = fleet.worker_of(1);
   ASSERT_NE(first, nullptr);
   last_arrival(first).line->send(stream_head("q1") + chunk(event(1)));
   ASSERT_TRUE(fleet.until([&] { return caller->ended; }, 2000));
-  EXPECT_EQ(passed(caller->got).events, event(1));
-  EXPECT_FALSE(passed(caller->got).whole);
-  EXPECT_EQ(passed(caller->got).behind, "");
+  EXPECT_EQ(received_stream(caller->got).events, event(1));
+  EXPECT_FALSE(received_stream(caller->got).whole);
+  EXPECT_EQ(received_stream(caller->got).behind, "");
 }
 
 TEST(RelayStream, WhenTheCallerGoesTheStreamEnds) {
@@ -379,8 +379,8 @@
   ASSERT_TRUE(stream.started);
   stream.caller->close();
   EXPECT_TRUE(stream.fleet.until([&] { return last_arrival(stream.first).line->ended; }, 1000));
-  stream.fleet.rest(50);
-  EXPECT_EQ(stream.fleet.order.size(), 1u);  // not resumed: its caller has left
+  stream.fleet.run_for(50);
+  EXPECT_EQ(stream.fleet.arrival_order.size(), 1u);  // not resumed: its caller has left
 }
 
 }  // namespace
--- a/source/tests/relay/whole_test.cpp
+++ b/source/tests/relay/whole_test.cpp
@@ -63,7 +63,7 @@
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call("POST /once/a HTTP/1.1\r\nHost: h.example\r\n" + with_id("q1") +
                                                   "Transfer-Encoding: chunked\r\n\r\n" + chunk("first "));
-  fleet.rest(30);
+  fleet.run_for(30);
   EXPECT_TRUE(worker.arrivals.empty());
   caller->send(chunk("second") + "0\r\n\r\n");
   ASSERT_TRUE(fleet.arrived(worker, 1));
@@ -122,10 +122,10 @@
       fleet.worker("w2");
       fleet.begin();
       std::shared_ptr<Line> const caller = fleet.call(query(route + "a", "q1", "x"));
-      Worker* const first = fleet.holder(1);
+      Worker* const first = fleet.worker_of(1);
       ASSERT_NE(first, nullptr);
       last_arrival(first).line->send(not_run("q1", status));
-      Worker* const second = fleet.holder(2);
+      Worker* const second = fleet.worker_of(2);
       ASSERT_NE(second, nullptr) << status;
       EXPECT_NE(second, first);
       last_arrival(second).line->send(success("q1", "good"));
@@ -133,7 +133,7 @@
       // Both workers refuse: the caller gets a 503 with Retry-After.
       std::shared_ptr<Line> const other = fleet.call(query(route + "b", "q2"));
       for (std::size_t count = 3; count <= 4; ++count) {
-        Worker* const chosen = fleet.holder(count);
+        Worker* const chosen = fleet.worker_of(count);
         if (chosen == nullptr) {
           break;  // one worker is still ejected
         }
@@ -167,11 +167,11 @@
   fleet.worker("w2");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
-  Worker* const misdirected = fleet.holder(1);
+  Worker* const misdirected = fleet.worker_of(1);
   ASSERT_NE(misdirected, nullptr);
   last_arrival(misdirected).line->send("HTTP/1.1 421 Misdirected Request\r\nContent-Length: 0\r\n\r\n");
   for (std::size_t count = 2; count < 8; ++count) {
-    Worker* const chosen = fleet.holder(count);
+    Worker* const chosen = fleet.worker_of(count);
     ASSERT_NE(chosen, nullptr);
     EXPECT_NE(chosen, misdirected);
     last_arrival(chosen).line->send(success("q" + std::to_string(count - 1), "good"));
@@ -212,10 +212,10 @@
     fleet.worker("w2");
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "x"));
-    Worker* const first = fleet.holder(1);
+    Worker* const first = fleet.worker_of(1);
     ASSERT_NE(first, nullptr);
     end_with(last_arrival(first).line, bad_answer);
-    Worker* const second = fleet.holder(2);
+    Worker* const second = fleet.worker_of(2);
     ASSERT_NE(second, nullptr) << bad_answer.text;
     EXPECT_NE(second, first);
     EXPECT_TRUE(caller->got.empty());
@@ -234,14 +234,14 @@
     fleet.worker("w2");
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "x"));
-    Worker* const first = fleet.holder(1);
+    Worker* const first = fleet.worker_of(1);
     ASSERT_NE(first, nullptr);
     end_with(last_arrival(first).line, bad_answer);
     std::optional<Response> const answer = fleet.answer_on(caller);
     EXPECT_EQ(status_of(answer), 502u) << bad_answer.text;  // the worker did not promise that the query has not run
     EXPECT_EQ(header_of(answer, "Finchlink-Seal"), "");
-    fleet.rest(30);
-    EXPECT_EQ(fleet.order.size(), 1u) << bad_answer.text;
+    fleet.run_for(30);
+    EXPECT_EQ(fleet.arrival_order.size(), 1u) << bad_answer.text;
   }
 }
 
@@ -255,7 +255,7 @@
   for (int round = 1; round <= 3; ++round) {
     std::string const id = "q" + std::to_string(round);
     std::shared_ptr<Line> const caller = fleet.call(query("/once/a", id));
-    Worker* const chosen = fleet.holder(static_cast<std::size_t>(round));
+    Worker* const chosen = fleet.worker_of(static_cast<std::size_t>(round));
     ASSERT_NE(chosen, nullptr);
     EXPECT_EQ(fleet.name_of(chosen), "w2");
     last_arrival(chosen).line->send(success(id, "good"));
@@ -271,7 +271,7 @@
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
   for (std::size_t count = 1; count <= 2; ++count) {
-    Worker* const chosen = fleet.holder(count);
+    Worker* const chosen = fleet.worker_of(count);
     ASSERT_NE(chosen, nullptr);
     last_arrival(chosen).line->send(failure);
   }
@@ -283,11 +283,11 @@
   single.worker("w2");
   single.begin();
   std::shared_ptr<Line> const other = single.call(query("/once/a", "q1"));
-  Worker* const chosen = single.holder(1);
+  Worker* const chosen = single.worker_of(1);
   ASSERT_NE(chosen, nullptr);
   last_arrival(chosen).line->send(failure);
   EXPECT_EQ(status_of(single.answer_on(other)), 500u);
-  EXPECT_EQ(single.order.size(), 1u);
+  EXPECT_EQ(single.arrival_order.size(), 1u);
 }
 
 TEST(RelayWhole, AWorkersClientErrorIsPassedOn) {
@@ -295,7 +295,7 @@
   fleet.worker("w1");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
-  Worker* const chosen = fleet.holder(1);
+  Worker* const chosen = fleet.worker_of(1);
   ASSERT_NE(chosen, nullptr);
   last_arrival(chosen).line->send("HTTP/1.1 404 Not Found\r\n" + with_id("q1") + "Content-Length: 4\r\n\r\nnone");
   std::optional<Response> const answer = fleet.answer_on(caller);
@@ -310,23 +310,23 @@
     fleet.worker("w2");
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
-    Worker* const first = fleet.holder(1);
+    Worker* const first = fleet.worker_of(1);
     ASSERT_NE(first, nullptr);
     std::shared_ptr<Line> const line = last_arrival(first).line;
     line->send(success("q1", "good") + (when == 0 ? success("q1", "surplus") : ""));
     EXPECT_EQ(body_of(fleet.answer_on(caller)), "good");
     if (when == 1) {  // while the connection is idle
       line->send(success("q1", "surplus"));
-      fleet.rest(20);
+      fleet.run_for(20);
     }
     caller->send(query("/plain/b", "q2"));
-    Worker* chosen = fleet.holder(2);
+    Worker* chosen = fleet.worker_of(2);
     ASSERT_NE(chosen, nullptr);
     if (when < 2) {
       EXPECT_NE(last_arrival(chosen).line, line) << when;
     } else if (last_arrival(chosen).line == line) {  // where the next answer is expected
       line->send(success("q1", "surplus"));
-      chosen = fleet.holder(3);
+      chosen = fleet.worker_of(3);
       ASSERT_NE(chosen, nullptr);
     }
     last_arrival(chosen).line->send(success("q2", "next"));
@@ -362,21 +362,21 @@
     fleet.worker("w2");
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
-    Worker* const first = fleet.holder(1);
+    Worker* const first = fleet.worker_of(1);
     ASSERT_NE(first, nullptr);
     std::shared_ptr<Line> const line = last_arrival(first).line;
     line->send(success("q1", "good"));
     EXPECT_EQ(body_of(fleet.answer_on(caller)), "good");
     if (close_is_seen) {
       line->close();
-      fleet.rest(20);
+      fleet.run_for(20);
     }
     caller->send(query("/plain/b", "q2"));
-    Worker* chosen = fleet.holder(2);
+    Worker* chosen = fleet.worker_of(2);
     ASSERT_NE(chosen, nullptr);
     if (!close_is_seen && last_arrival(chosen).line == line) {
       line->reset();
-      chosen = fleet.holder(3);
+      chosen = fleet.worker_of(3);
       ASSERT_NE(chosen, nullptr);
     }
     EXPECT_NE(last_arrival(chosen).line, line);
@@ -406,9 +406,9 @@
   fleet.worker("w2");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
-  Worker* const first = fleet.holder(1);
+  Worker* const first = fleet.worker_of(1);
   ASSERT_NE(first, nullptr);
-  Worker* const second = fleet.holder(2);
+  Worker* const second = fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   EXPECT_NE(second, first);
   EXPECT_TRUE(fleet.until([&] { return last_arrival(first).line->ended; }));
@@ -428,11 +428,11 @@
     }
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query(missing == 2 ? "/once/a" : "/plain/a", "q1"));
-    Worker* const first = fleet.holder(1);
+    Worker* const first = fleet.worker_of(1);
     ASSERT_NE(first, nullptr);
-    fleet.rest(700);  // more than twice the set point
+    fleet.run_for(700);  // more than twice the set point
     EXPECT_FALSE(last_arrival(first).line->ended) << missing;
-    EXPECT_EQ(fleet.order.size(), 1u) << missing;
+    EXPECT_EQ(fleet.arrival_order.size(), 1u) << missing;
     last_arrival(first).line->send(success("q1", "late"));
     EXPECT_EQ(body_of(fleet.answer_on(caller)), "late") << missing;
   }
@@ -449,12 +449,12 @@
   fleet.worker("w2");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(long_query("q1"));
-  Worker* const first = fleet.holder(1);
+  Worker* const first = fleet.worker_of(1);
   ASSERT_NE(first, nullptr);
   EXPECT_TRUE(fleet.until([&] { return first->lines.size() >= 2; }));  // the probe at the first stall bound
-  fleet.rest(200);                                                     // and past the second bound
+  fleet.run_for(200);                                                  // and past the second bound
   EXPECT_FALSE(first->lines.front()->ended);
-  EXPECT_EQ(fleet.order.size(), 1u);
+  EXPECT_EQ(fleet.arrival_order.size(), 1u);
   first->lines.front()->send(success("q1", "late"));
   EXPECT_EQ(body_of(fleet.answer_on(caller)), "late");
 }
@@ -465,10 +465,10 @@
   fleet.worker("w2");
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(long_query("q1"));
-  Worker* const first = fleet.holder(1);
+  Worker* const first = fleet.worker_of(1);
   ASSERT_NE(first, nullptr);
   first->stop();
-  Worker* const second = fleet.holder(2);
+  Worker* const second = fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
   EXPECT_NE(second, first);
   last_arrival(second).line->send(success("q1", "good"));
@@ -487,16 +487,16 @@
   while (count < 6) {
     ++count;
     caller->send(query("/plain/a", "q" + std::to_string(count)));
-    Worker* const chosen = fleet.holder(count);
+    Worker* const chosen = fleet.worker_of(count);
     ASSERT_NE(chosen, nullptr);
     last_arrival(chosen).line->send(success("q" + std::to_string(count), "good"));
     EXPECT_EQ(body_of(fleet.answer_on(caller)), "good");
   }
   std::shared_ptr<Line> const one = fleet.call(query("/plain/a", "one"));
   std::shared_ptr<Line> const two = fleet.call(query("/plain/a", "two"));
-  ASSERT_NE(fleet.holder(count + 3), nullptr);  // one of them was retried
-  fleet.rest(500);
-  EXPECT_EQ(fleet.order.size(), count + 3);  // the other was not
+  ASSERT_NE(fleet.worker_of(count + 3), nullptr);  // one of them was retried
+  fleet.run_for(500);
+  EXPECT_EQ(fleet.arrival_order.size(), count + 3);  // the other was not
   EXPECT_TRUE(one->got.empty());
   EXPECT_TRUE(two->got.empty());
   std::size_t open = 0;
@@ -549,7 +549,7 @@
   ASSERT_TRUE(fleet.arrived(worker, 1));
   caller->close();
   EXPECT_TRUE(fleet.until([&] { return last_arrival(&worker).line->ended; }, 1000));
-  EXPECT_TRUE(fleet.until([&] { return fleet.station->tally().outcomes["abandoned"] == 1; }, 1000));
+  EXPECT_TRUE(fleet.until([&] { return fleet.server->counters().outcomes["abandoned"] == 1; }, 1000));
   // The worker is not ejected for it.
   std::shared_ptr<Line> const next = fleet.call(query("/once/a", "q2"));
   ASSERT_TRUE(fleet.arrived(worker, 2, 150));
--- a/source/tests/relay/withheld_routing_config_test.cpp
+++ b/source/tests/relay/withheld_routing_config_test.cpp
@@ -58,7 +58,7 @@
   controller.silent_at = 2;
   fleet.settings.seeds = {controller.address};
   fleet.begin(false);
-  ASSERT_TRUE(fleet.until([&] { return fleet.station->ready(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
   EXPECT_GE(controller.pieces, fleet.updates.at("charter").content.size() / 200 + 1);  // and the lost one once more
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
@@ -68,7 +68,7 @@
   std::uint64_t const before = controller.pieces;
   fleet.publish_routing_config(2);
   ASSERT_TRUE(fleet.until([&] { return controller.pieces > before; }));
-  EXPECT_TRUE(fleet.station->ready());
+  EXPECT_TRUE(fleet.server->ready());
   ASSERT_TRUE(fleet.until([&] { return controller.asks > 0 && controller.sender.kept() == 2; }));
 }
 
--- a/source/tests/scheduling/load_balancer_test.cpp
+++ b/source/tests/scheduling/load_balancer_test.cpp
@@ -110,7 +110,7 @@
   proxy_count.told({"b", "a", "c"}, start);
   EXPECT_EQ(proxy_count.proxies(start), (std::vector<std::string>{"a", "b", "c"}));
   proxy_count.told({"a"}, start + 10);
-  common::Moment const over = start + 10 + constants::proxy_count_memory;
+  common::Moment const over = start + 10 + constants::proxy_count_retention;
   EXPECT_EQ(proxy_count.proxies(over - 1), (std::vector<std::string>{"a", "b", "c"}));
   EXPECT_EQ(proxy_count.proxies(over), (std::vector<std::string>{"a"}));
   // A member that is back counts once, and its time starts again when it leaves again.
@@ -118,7 +118,7 @@
   EXPECT_EQ(proxy_count.proxies(over - 1), (std::vector<std::string>{"a", "b", "c"}));
   proxy_count.told({"a"}, over - 4);
   EXPECT_EQ(proxy_count.proxies(over), (std::vector<std::string>{"a", "b"}));
-  proxy_count.told({"a"}, over - 4 + constants::proxy_count_memory);
+  proxy_count.told({"a"}, over - 4 + constants::proxy_count_retention);
   EXPECT_EQ(proxy_count.proxies(over - 4),
             (std::vector<std::string>{"a"}));  // removed, not only left out of the answer
 }
@@ -278,7 +278,7 @@
       taken += place(balancer, request_for(), start).empty() ? 0 : 1;
     }
     EXPECT_EQ(static_cast<double>(taken) > 4 * 1.5 + 5, !guard_on);
-    EXPECT_FALSE(place(balancer, request_for(), start + constants::cold_suspect + 1).empty());
+    EXPECT_FALSE(place(balancer, request_for(), start + constants::restored_zone_cold_span + 1).empty());
   }
 }
 
@@ -389,9 +389,10 @@
   ASSERT_TRUE(std::holds_alternative<Assignment>(first));
   balancer.ended(std::get<Assignment>(first), false, Outcome::refused, start);
   EXPECT_EQ(place(balancer, request_for(), start), "");
-  std::variant<Assignment, NoAssignment> const second = balancer.choose(request_for(), start + constants::refused_rest);
+  std::variant<Assignment, NoAssignment> const second =
+      balancer.choose(request_for(), start + constants::refusal_cooldown);
   ASSERT_TRUE(std::holds_alternative<Assignment>(second));
-  balancer.ended(std::get<Assignment>(second), false, Outcome::misdirected, start + constants::refused_rest);
+  balancer.ended(std::get<Assignment>(second), false, Outcome::misdirected, start + constants::refusal_cooldown);
   EXPECT_EQ(place(balancer, request_for(), start + common::seconds(2)), "");  // another has its address
 }
 
--- a/source/tests/scheduling/outlier_detector_test.cpp
+++ b/source/tests/scheduling/outlier_detector_test.cpp
@@ -53,8 +53,8 @@
   OutlierDetector detector;
   OutlierDetector::Handle const worker = detector.add_worker(info("a"));
   EXPECT_TRUE(detector.record_evidence(worker, DispatchEnded{1, Outcome::refused}, start).empty());
-  EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::refused_rest);
-  EXPECT_TRUE(available(detector, worker, start + constants::refused_rest));
+  EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::refusal_cooldown);
+  EXPECT_TRUE(available(detector, worker, start + constants::refusal_cooldown));
   EXPECT_TRUE(reports_cache_loss(detector.record_evidence(worker, DispatchEnded{2, Outcome::misdirected}, start)));
   EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::worker_rest_most);
   EXPECT_TRUE(available(detector, worker, start + constants::worker_rest_most));
@@ -92,7 +92,7 @@
     EXPECT_EQ(detector.zone_suspected(workers[2], start + 1), guarded);
     EXPECT_FALSE(detector.zone_suspected(workers[3], start + 1));  // it sent bytes
     EXPECT_FALSE(detector.zone_suspected(other, start + 1));
-    EXPECT_FALSE(detector.zone_suspected(workers[2], start + constants::dark_memory));
+    EXPECT_FALSE(detector.zone_suspected(workers[2], start + constants::unreachable_zone_memory));
     (void)detector.record_evidence(workers[2], DispatchEnded{3, Outcome::success}, start + 1);
     EXPECT_FALSE(detector.zone_suspected(workers[0], start + 1));  // a success in the zone ends the suspicion
   }
--- a/source/tests/scheduling/query_state_machine_test.cpp
+++ b/source/tests/scheduling/query_state_machine_test.cpp
@@ -59,7 +59,7 @@
   QueryTerms terms;
   terms.max_dispatches = 1;
   QueryStateMachine query = state_machine(terms);
-  for (int refusals = 0; refusals < common::constants::refusals_most; ++refusals) {
+  for (int refusals = 0; refusals < common::constants::max_refusals; ++refusals) {
     (void)query.advance(Placed{"a"}, 0);
     (void)query.advance(Connected{}, 0);
     EXPECT_TRUE(only<Place>(query.advance(WorkerRefused{}, 0))) << refusals;
@@ -180,7 +180,7 @@
     }
     std::vector<QueryAction> actions;
     if (index == 2) {  // the worker that should resume it refuses, and no dispatch is left
-      for (int dispatch = 1; dispatch < terms.max_dispatches + constants::refusals_most; ++dispatch) {
+      for (int dispatch = 1; dispatch < terms.max_dispatches + constants::max_refusals; ++dispatch) {
         (void)query.advance(Placed{"b"}, 0);
         (void)query.advance(Connected{}, 0);
         EXPECT_FALSE(query.settled());
--- a/source/tests/scheduling/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -124,7 +124,7 @@
         stream("w" + std::to_string(index), false, common::milliseconds(60), common::milliseconds(30), 5), 5, 0.03);
   }
   ASSERT_TRUE(observer.take(2, common::seconds(2), report));
-  EXPECT_LE(report.samples.size(), common::constants::samples_told);
+  EXPECT_LE(report.samples.size(), common::constants::max_reported_samples);
   EXPECT_EQ(report.figures.size(), 1u);
 }
 
--- a/source/tests/scheduling/stall_detector_test.cpp
+++ b/source/tests/scheduling/stall_detector_test.cpp
@@ -39,7 +39,7 @@
   (void)detector.begin({800, 0.05, 300, true}, sent);
   StallAction const action = detector.timer_fired(first_bound - common::milliseconds(100), first_bound);
   ASSERT_TRUE(std::holds_alternative<WaitUntil>(action));
-  EXPECT_EQ(std::get<WaitUntil>(action).due, first_bound + constants::alive_step);
+  EXPECT_EQ(std::get<WaitUntil>(action).due, first_bound + constants::worker_alive_step);
   EXPECT_TRUE(is_give_up(detector.timer_fired(sent + common::milliseconds(950), sent + common::milliseconds(960))));
 }
 
@@ -54,15 +54,15 @@
       break;
     }
     ASSERT_TRUE(std::holds_alternative<ProbeWorker>(action));
-    EXPECT_EQ(std::get<ProbeWorker>(action).due, now + constants::relay_connect_near);
+    EXPECT_EQ(std::get<ProbeWorker>(action).due, now + constants::relay_connect_deadline_in_region);
     ++probes;
     StallAction const alive = detector.probe_finished(true, now + common::milliseconds(1));
     ASSERT_TRUE(std::holds_alternative<WaitUntil>(alive));
     now = std::get<WaitUntil>(alive).due;
   }
   // A request that is stuck while its worker accepts connections is given up in the end.
-  EXPECT_EQ(probes, constants::silence_bounds_most - 1);
-  EXPECT_GE(now - sent, constants::silence_bounds_most * common::milliseconds(480));
+  EXPECT_EQ(probes, constants::max_stall_bounds - 1);
+  EXPECT_GE(now - sent, constants::max_stall_bounds * common::milliseconds(480));
 }
 
 TEST(StallDetector, ALostWorkerIsGivenUpAtOnce) {
