--- a/source/data_plane/relay/adopted_checks.cpp
+++ b/source/data_plane/relay/adopted_checks.cpp
@@ -9,22 +9,24 @@
 
 void check_routing_config(schema::NamedValue const& chosen, config::RoutingConfigReading const& reading) {
   common::check(Invariant::chosen_content_readable, reading.good(), [&] {
-    return "charter revision " + std::to_string(chosen.revision) + ": " + common::describe(reading.faults);
+    return "routing configuration revision " + std::to_string(chosen.revision) + ": " +
+           common::describe(reading.faults);
   });
 }
 
 void check_evacuations(schema::NamedValue const& chosen) {
   absl::StatusOr<common::Tree> const tree = common::read_tree(chosen.content);
   bool const is_list = tree.ok() && cJSON_IsArray(tree->get()) != 0;
-  common::check(Invariant::chosen_content_readable, is_list,
-                [&] { return "evacuations revision " + std::to_string(chosen.revision) + " are no list"; });
+  common::check(Invariant::chosen_content_readable, is_list, [&] {
+    return "drained zones revision " + std::to_string(chosen.revision) + ": the value is not a list";
+  });
 }
 
 void check_routes(std::uint64_t revision, scheduling::RouteTable const& route_table) {
   schema::Lane const* const unreachable = route_table.unreachable();
   common::check(Invariant::routes_complete, unreachable == nullptr, [&] {
-    return "charter revision " + std::to_string(revision) + ": " + unreachable->host + " " + unreachable->prefix +
-           " does not lead to " + unreachable->name;
+    return "routing configuration revision " + std::to_string(revision) + ": " + unreachable->host + " " +
+           unreachable->prefix + " does not lead to route " + unreachable->name;
   });
 }
 
--- a/source/data_plane/relay/adopted_checks.hpp
+++ b/source/data_plane/relay/adopted_checks.hpp
@@ -6,12 +6,14 @@
 
 namespace finchlink::data_plane {
 
-/// Checks of what a majority chose when a furrow adopts it (invariants
-/// chosen_content_readable and routes_complete). The rules that a trellis took a
-/// charter by are those that it is read by here.
+// Invariant checks of chosen values when a proxy applies them (chosen_content_readable, routes_complete).
+
+/// Checks that a chosen routing configuration is valid: controllers accepted it by the same rules that it is read by
+/// here.
 void check_routing_config(schema::NamedValue const& chosen, config::RoutingConfigReading const& reading);
+/// Checks that the chosen value of the drained zones is a list.
 void check_evacuations(schema::NamedValue const& chosen);
-/// Each route of the charter is found by its own host and prefix.
+/// Checks that each route is found by its own host and prefix.
 void check_routes(std::uint64_t revision, scheduling::RouteTable const& route_table);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/prompt_isolation.cpp
+++ b/source/data_plane/relay/prompt_isolation.cpp
@@ -38,7 +38,7 @@
 }
 
 std::array<std::uint64_t, 2> draw_nonce() {
-  // From the system each time: a generator's next numbers could be worked out.
+  // From the system each time: the next numbers of a generator could be predicted.
   std::random_device device;
   std::array<std::uint64_t, 2> numbers{};
   for (std::uint64_t& number : numbers) {
@@ -57,7 +57,7 @@
   return scheduling::read_secrets(content.str());
 }
 
-void RelayServer::follow_secrets(common::Yield yield) {
+void RelayServer::watch_secrets(common::Yield yield) {
   std::pair<std::filesystem::file_time_type, std::uintmax_t> seen;
   bool first = true;
   while (true) {
--- a/source/data_plane/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -13,9 +13,9 @@
 namespace constants = common::constants;
 using boost::system::error_code;
 
-Relay::Relay(RelayServer& station, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
+Relay::Relay(RelayServer& server, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
              std::shared_ptr<scheduling::RouteTable const> route_table, common::Yield yield)
-    : server_(station),
+    : server_(server),
       query_(query),
       route_table_(std::move(route_table)),
       route_(route),
@@ -23,19 +23,19 @@
       read_ahead_(ahead),
       yield_(yield),
       head_request_(query.header.method() == http::verb::head),
-      id_(view(query.header[station.dialect().query])),
+      id_(view(query.header[server.dialect().query])),
       deadline_(query.arrived + common::milliseconds(static_cast<std::int64_t>(route.deadline_ms))),
       state_machine_(terms(route), [this](common::Moment) { return retry_allowed(true); }),
-      stall_detector_(station.mechanisms().stall) {
-  std::string_view const left = view(query.header[station.dialect().left]);
+      stall_detector_(server.mechanisms().stall) {
+  std::string_view const left = view(query.header[server.dialect().left]);
   if (!left.empty()) {
     deadline_ =
         std::min(deadline_, query.arrived + common::milliseconds(static_cast<std::int64_t>(
                                                 std::min<std::uint64_t>(leading_number(left, 86400000), 86400000))));
   }
-  std::uint64_t const behind = leading_number(view(query.header[station.dialect().last_event]), no_number);
-  numbering_ = EventNumbering(behind == no_number ? std::nullopt : std::optional<std::uint64_t>(behind));
-  std::string_view const tokens = view(query.header[station.dialect().tokens]);
+  std::uint64_t const last_event = leading_number(view(query.header[server.dialect().last_event]), no_number);
+  numbering_ = EventNumbering(last_event == no_number ? std::nullopt : std::optional<std::uint64_t>(last_event));
+  std::string_view const tokens = view(query.header[server.dialect().tokens]);
   placement_request_.tokens = static_cast<double>(leading_number(tokens, 0));
   std::size_t const comma = tokens.find(',');
   placement_request_.outputs =
@@ -44,17 +44,17 @@
 }
 
 bool Relay::run() {
-  if (!tenant_error_.empty()) {  // a charter since the header was read says otherwise
-    answer("400 Bad Request", tenant_error_, false);
+  if (!tenant_error_.empty()) {  // the routing configuration changed since the header was read
+    respond("400 Bad Request", tenant_error_, false);
     return keep_caller_;
   }
   guard_->relay = this;
   alarm_ = std::make_shared<Alarm>(server_.context(), [guard = guard_] {
     if (guard->relay != nullptr) {
-      guard->relay->rang();
+      guard->relay->on_alarm();
     }
   });
-  if (read_from_caller()) {  // it may have left while its request waited for its turn
+  if (read_from_caller()) {  // it may have disconnected before its request was served
     watch_caller();
   }
   perform(state_machine_.begin());
@@ -111,7 +111,7 @@
   }
 }
 
-void Relay::follow() {
+void Relay::refresh_route() {
   if (server_.route_table() == route_table_ || server_.route_table() == nullptr) {
     return;
   }
@@ -138,7 +138,7 @@
   }
   if (set_aside_ != nullptr &&
       (decided.decision != scheduling::ServingDecision::serve || !decided.repeatable || !decided.resumable)) {
-    deferred_decision_ = decided;  // it may run nowhere else any more, but finish where it runs
+    deferred_decision_ = decided;  // it may run nowhere else now, but may finish where it runs
     resume_set_aside_ = true;
     return;
   }
--- a/source/data_plane/relay/relay.hpp
+++ b/source/data_plane/relay/relay.hpp
@@ -19,55 +19,56 @@
 
 namespace http = boost::beast::http;
 
-/// A request as it was read from its caller, whole.
+/// A complete request as read from its caller.
 struct Query {
   http::request_header<> header;
-  std::shared_ptr<std::string const> body;  ///< shared with a write that may still be under way
-  bool had_length = false;
-  bool keep = true;
+  std::shared_ptr<std::string const> body;  ///< shared with a write to a worker that may still be pending
+  bool had_length = false;                  ///< the request had a Content-Length or was chunked
+  bool keep_alive = true;                   ///< the caller allows the connection to be reused
   common::Moment arrived = 0;
 };
 
-/// Bytes of a caller's connection that were read before their request's turn.
+/// Bytes of a caller's connection that were read before their request is served.
 struct ReadAhead {
   boost::beast::flat_buffer buffer;
-  common::Moment since = 0;  ///< when its first byte came; 0: not while another request was served
+  common::Moment since = 0;  ///< when its first byte came; 0: none came while another request was served
 };
 
-/// One query on its way to workers and back (section 13.8). It lives on its caller's coroutine, which is on the
-/// relay's one thread; whatever outlives it (timers, the watch on the caller) reaches it through a guard.
-/// Its members are defined by job:
-/// - relay.cpp: begin to end, and what the chart decides
-/// - caller_monitor.cpp: a caller that leaves, the deadline
-/// - stall.cpp: a worker that says nothing
-/// - attempt.cpp: a place, a connection, retries, and the return to a worker that was set aside
-/// - request_head.cpp: the head that goes to a worker
-/// - worker_answer.cpp: a worker's answer, refused, whole or no answer at all
-/// - event_stream.cpp: an answer that is a stream of events
-/// - caller_answer.cpp: what is written to the caller
-/// - tenant_prompt.cpp: whose prompt it is (section 14)
+/// Forwards one query to workers and the response back to its caller (section 13.8). It runs on its caller's
+/// coroutine, on the relay's one thread; callbacks that may outlive it (timers, the watch on the caller) reach it
+/// through a `Guard`. Its members are defined by task:
+/// - relay.cpp: start and end, actions of the query state machine
+/// - caller_monitor.cpp: callers that disconnect, the deadline
+/// - stall.cpp: stalled workers
+/// - attempt.cpp: placement, connections, retries, and the return to a worker that was set aside
+/// - request_head.cpp: the request head that is sent to a worker
+/// - worker_answer.cpp: a worker's response: a refusal, a whole body, or none
+/// - event_stream.cpp: a response that is a stream of events
+/// - caller_answer.cpp: responses to the caller
+/// - tenant_prompt.cpp: the prompt's tenant (section 14)
 class Relay {
  public:
-  Relay(RelayServer& station, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
+  Relay(RelayServer& server, Query& query, schema::Lane const& route, Socket& caller, ReadAhead& ahead,
         std::shared_ptr<scheduling::RouteTable const> route_table, common::Yield yield);
-  /// False: the caller's connection is of no more use.
+  /// Serves the query to its end. False: the caller's connection can't be reused.
   bool run();
 
  private:
+  /// Lets callbacks find out whether their relay still exists; `relay` is null once it has ended.
   struct Guard {
     Relay* relay = nullptr;
   };
   using Parser = http::response_parser<http::buffer_body>;
-  /// A request on its way to a worker, which may answer before it has read all of it.
+  /// A request that is being sent to a worker, which may respond before it has read all of it.
   struct Sending {
     std::string head;
     std::shared_ptr<std::string const> body;
-    std::unique_ptr<Socket> socket;  ///< closed, where the exchange ended first: the write may still go on to it
+    std::unique_ptr<Socket> socket;  ///< set and closed if the exchange ended first: the write may still be pending
     bool done = false;
     bool failed = false;
     [[nodiscard]] bool whole() const { return done && !failed; }
   };
-  /// A worker's answer as far as it was read; of one set aside, its connection, too.
+  /// A worker's response as far as it was read; also its connection, if it was set aside.
   struct Reading {
     std::shared_ptr<Sending> sending;
     boost::beast::flat_buffer buffer;
@@ -75,8 +76,8 @@
     EventCutter cutter;
     scheduling::StreamObservation sighting;
     common::Moment sent = 0;
-    bool first = true;
-    bool resumed = false;
+    bool first = true;     ///< no event was read yet
+    bool resumed = false;  ///< the stream continues one that another worker began
     scheduling::Assignment assignment;
     scheduling::IsolatedPrompt isolated;
     std::unique_ptr<Socket> socket;
@@ -85,135 +86,145 @@
 
   static scheduling::QueryTerms terms(schema::Lane const& route);
   [[nodiscard]] bool repeatable() const { return state_machine_.may_repeat(); }
-  /// Whose prompt it is, by the newest word on its lane (section 14.1).
-  void enter_isolation();
-  /// What the worker tells of versions and reuse (section 14.3).
-  void hear_isolation(WorkerHeader const& got, bool ran);
-  /// What the worker keeps of the prompt from now on; ids used once it won't need.
-  [[nodiscard]] std::vector<scheduling::PromptPart> kept_parts() const;
-  bool may_spend(bool spend);
-  /// Section 13.3: which stage took how long, where an answer missed its set point.
-  void tell_late(std::string const& how) const;
+  /// Determines the prompt's tenant and home regions by the route in force (section 14.1).
+  void resolve_tenant();
+  /// Applies what the worker's response says of weights and cached tokens (section 14.3). `ran`: it ran the request.
+  void apply_isolation_response(WorkerHeader const& got, bool ran);
+  /// The parts that the worker caches from now on; none for ids that are used only once.
+  [[nodiscard]] std::vector<scheduling::PromptPart> cached_parts() const;
+  /// Whether the retry quota has a token; takes it if `consume`.
+  bool retry_allowed(bool consume);
+  /// Logs how long each stage took if the first output missed its set point (section 13.3).
+  void log_if_late(std::string const& how) const;
   void watch_caller();
-  /// Reads ahead what the caller sent of its next requests, since its end shows behind that; false: nothing more to
-  /// watch for, as it left or sent too much ahead.
-  bool look_at_caller();
-  void cut();
-  void rang();
+  /// Reads the caller's next requests ahead, since its disconnect is seen only behind them; false: no further watch,
+  /// as it left or sent too much ahead.
+  bool read_from_caller();
+  /// Closes the worker's connection and cancels a wait for placement.
+  void abort_attempt();
+  /// The alarm expired: a deadline, a connect timeout or a stall.
+  void on_alarm();
   void act(scheduling::WaitUntil const& wait);
   void act(scheduling::ProbeWorker const& probe);
-  /// Silence: another worker is asked if the request may be repeated, a right is there, and another has a place; else
-  /// this one may take its time.
+  /// The worker has stalled: another one is tried if the request may be repeated, a retry token is left and another
+  /// worker has a place; otherwise the stalled one may go on.
   void act(scheduling::GiveUp const&);
   void perform(scheduling::StallAction const& action);
-  [[nodiscard]] bool may_ask_another(common::Moment now);
+  [[nodiscard]] bool may_try_another(common::Moment now);
   void drop_probe();
   void feed(scheduling::QueryMessage const& message) { perform(state_machine_.advance(message, common::boot_now())); }
   void perform(std::vector<scheduling::QueryAction> const& actions);
-  void act(scheduling::Place const&) { place_next_ = true; }
+  void act(scheduling::Place const&) { dispatch_next_ = true; }
   void act(scheduling::ForwardToRegion const&) { feed(scheduling::NoCapacity{}); }
   void act(scheduling::RedirectHome const&) { refuse(); }
   void act(scheduling::SendEvent const&) {}
-  void act(scheduling::SendResponse const&) { (void)write_whole(); }
+  void act(scheduling::SendResponse const&) { (void)write_response(); }
   void act(scheduling::RejectQuery const& reason);
   void act(scheduling::FailUncertain const& apologise);
   void act(scheduling::EndWithError const& broken);
-  void act(scheduling::CancelDispatch const&) { keep_ = false; }
-  /// Final, at once, with the time to come back at: nothing ran (section 9.8).
-  void refuse() { answer("503 Service Unavailable", "no_place", true); }
-  void answer(std::string const& status, std::string const& reason, bool come_back);
-  [[nodiscard]] std::string closing_line();
+  void act(scheduling::CancelDispatch const&) { keep_caller_ = false; }
+  /// Final and immediate, with a Retry-After: nothing ran (section 9.8).
+  void refuse() { respond("503 Service Unavailable", "no_place", true); }
+  /// Writes a response of the relay's own; `retry_later` adds a Retry-After.
+  void respond(std::string const& status, std::string const& reason, bool retry_later);
+  /// Decides whether the caller's connection is kept; the header line that says otherwise, or nothing.
+  [[nodiscard]] std::string connection_header();
   bool write(std::string const& text);
-  bool write_whole();
-  /// Section 9.7: the newest charter decides, up to when bytes go out.
-  void follow();
-  /// A place, waited for as long as a lane's set point bears.
-  bool find_place();
+  bool write_response();
+  /// Applies the newest routing configuration to this query; it counts until bytes are sent (section 9.7).
+  void refresh_route();
+  /// Chooses a worker, and waits for a place up to a fraction of the route's set point; false: none was found.
+  bool wait_for_placement();
   void dispatch();
-  /// A dispatch is over, or was set aside: the chart hears how.
-  void after_talk();
-  /// While a worker is set aside, what would end the query leads back to it.
-  void feed_or_return(scheduling::QueryMessage const& message);
-  /// No other one goes on with the stream: the silent one may take its time.
-  void go_back();
-  [[nodiscard]] bool still_named() const;
+  /// A dispatch has ended or was set aside: reports the result to the state machine.
+  void finish_dispatch();
+  /// While a worker is set aside, a message that would end the query resumes that worker instead.
+  void feed_or_resume(scheduling::QueryMessage const& message);
+  /// No other worker continues the stream: goes on with the stalled one.
+  void resume_set_aside();
+  /// Whether the route in force still leads to the assigned worker.
+  [[nodiscard]] bool worker_still_routed() const;
   void keep_worker(common::Span longest);
-  /// Closes the worker's connection; it lives on until a write under way has heard of that.
+  /// Closes the worker's connection; the socket lives on until a pending write has failed.
   void drop_worker();
-  /// A connection. A kept one may turn out stale just as bytes go out, so what
-  /// may not be repeated always has a fresh one (section 13.8).
-  bool reach();
+  /// Takes an idle connection to the worker or opens one. An idle one may turn out closed just as bytes are sent, so
+  /// a request that may not be repeated always gets a new one (section 13.8).
+  bool connect_worker();
+  /// The request head for the worker.
   [[nodiscard]] std::string head() const;
-  /// The wait for the worker's next bytes begins anew.
-  void expect_bytes(double set_point_ms, common::Moment now);
-  /// The set point of pauses between events.
-  [[nodiscard]] double pause_set_point_ms() const;
-  /// The next bytes of the answer; false: cut, silent or no answer at all.
+  /// Restarts the wait for the worker's next bytes.
+  void arm_stall_detector(double set_point_ms, common::Moment now);
+  /// The set point of gaps between events.
+  [[nodiscard]] double event_gap_set_point_ms() const;
+  /// Reads the next bytes of the response; false: cut, stalled or no response at all.
   bool read_some(boost::beast::flat_buffer& buffer, Parser& parser, std::string& bytes);
-  scheduling::Outcome talk();
-  /// Writes head and body while the answer is read already.
+  /// Sends the request to the connected worker and handles its response.
+  scheduling::Outcome exchange();
+  /// Starts to write head and body; the response is read meanwhile.
   void begin_sending();
-  /// Reads up to the head of the final answer; false: there was none.
+  /// Reads up to the head of the final response; false: there was none.
   bool read_head(Reading& reading);
-  /// The worker promises that it has not run this request, and no other one.
+  /// The response promises that the worker has not run this request; one that names another request doesn't count.
   [[nodiscard]] bool is_refusal(WorkerHeader const& got) const;
-  /// An answer without a length is whole where its connection ended in order.
-  [[nodiscard]] bool ended_whole(Parser const& parser) const;
-  void hear_load(std::string_view text);
-  /// Kept only when the answer ended where it said and nothing came behind it.
-  void after_answer(boost::beast::flat_buffer const& buffer, Parser const& parser);
-  void finish_reading(boost::beast::flat_buffer& buffer, Parser& parser);
-  /// The worker's head for the caller, without what concerns its connection.
-  [[nodiscard]] std::string answer_head(Parser const& parser) const;
-  scheduling::Outcome talk_whole(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status);
-  scheduling::Outcome talk_events(Reading& reading);
+  /// A response without a length is complete only if its connection was closed in order.
+  [[nodiscard]] bool ended_cleanly(Parser const& parser) const;
+  void apply_reported_load(std::string_view text);
+  /// Keeps the connection only if the response ended where it should and no bytes follow it.
+  void keep_worker_if_reusable(boost::beast::flat_buffer const& buffer, Parser const& parser);
+  /// Discards the rest of a response of known length, so that the connection can be kept.
+  void read_to_end(boost::beast::flat_buffer& buffer, Parser& parser);
+  /// The worker's response head for the caller, without the hop-by-hop headers.
+  [[nodiscard]] std::string response_head(Parser const& parser) const;
+  scheduling::Outcome relay_whole_response(boost::beast::flat_buffer& buffer, Parser& parser, unsigned int status);
+  scheduling::Outcome relay_event_stream(Reading& reading);
   scheduling::Outcome read_events(Reading& reading);
-  RelayServer& station_;
+  RelayServer& server_;
   Query& query_;
   std::shared_ptr<scheduling::RouteTable const> route_table_;
   schema::Lane route_;
   Socket& caller_;
-  ReadAhead& ahead_;
+  ReadAhead& read_ahead_;
   common::Yield yield_;
-  bool const bare_;  ///< it is a HEAD: no answer to it has a body
+  bool const head_request_;  ///< it is a HEAD: no response to it has a body
   std::shared_ptr<Guard> const guard_ = std::make_shared<Guard>();
   std::string id_;
   common::Moment deadline_;
   scheduling::QueryStateMachine state_machine_;
-  scheduling::PlacementRequest wanted_;
+  scheduling::PlacementRequest placement_request_;
   scheduling::Assignment assignment_;
-  std::optional<scheduling::Prompt> prompt_;  ///< where its lane has tenants
-  scheduling::IsolatedPrompt isolated_;       ///< as it went to the last worker
-  std::string tenant_fault_;
-  std::vector<std::string> homes_;
+  std::optional<scheduling::Prompt> prompt_;    ///< set if its route has tenants
+  scheduling::IsolatedPrompt isolated_prompt_;  ///< as sent to the last worker
+  std::string tenant_error_;                    ///< why the request is refused; empty: its tenant is valid
+  std::vector<std::string> home_regions_;
   std::string service_;
   std::shared_ptr<Alarm> alarm_;
   std::unique_ptr<Socket> worker_;
-  std::shared_ptr<Reading> reading_;                    ///< of the dispatch under way
-  std::shared_ptr<Reading> aside_;                      ///< given up for its silence; goes on if no other does
-  std::optional<scheduling::ConfigReevaluated> later_;  ///< told to the chart once it is back there
-  boost::asio::steady_timer* seat_ = nullptr;
-  std::optional<scheduling::QueryMessage> after_;
-  std::string whole_;
-  std::string whole_body_;
+  std::shared_ptr<Reading> reading_;    ///< of the current dispatch
+  std::shared_ptr<Reading> set_aside_;  ///< of a stalled worker; resumed if no other one continues
+  std::optional<scheduling::ConfigReevaluated>
+      deferred_decision_;                                 ///< for the state machine, once that worker is resumed
+  boost::asio::steady_timer* placement_timer_ = nullptr;  ///< while it waits for a place
+  std::optional<scheduling::QueryMessage> next_message_;  ///< how the dispatch ended, for the state machine
+  std::string response_head_;
+  std::string response_body_;
   EventNumbering numbering_;  ///< of the events that the caller has
-  scheduling::StallDetector silence_;
-  std::shared_ptr<Socket> probe_;  ///< connects to a worker that says nothing, to tell a busy one from a lost one
+  scheduling::StallDetector stall_detector_;
+  std::shared_ptr<Socket> probe_;  ///< connects to a stalled worker, to tell a busy one from an unreachable one
   int connects_ = 0;
-  common::Moment first_at_ = 0;
-  std::string trail_;  ///< workers it was placed on: when, predicted
+  common::Moment first_output_at_ = 0;
+  std::string placement_log_;  ///< workers it was placed on: when, predicted time
   bool setting_aside_ = false;
-  bool back_ = false;      ///< to the one set aside
-  bool slow_ = false;      ///< given up for its slowness
-  bool reserved_ = false;  ///< the right to its next dispatch is taken already
+  bool resume_set_aside_ = false;  ///< the worker that was set aside is to be resumed
+  bool gave_up_slow_ = false;      ///< the worker was given up although other queries hear from it
+  bool retry_reserved_ = false;    ///< the retry token for the next dispatch is taken already
   bool connecting_ = false;
-  bool first_seen_ = false;
-  bool began_ = false;  ///< the head went to the caller
+  bool first_output_seen_ = false;
+  bool head_written_ = false;  ///< the response head was sent to the caller
   bool writing_ = false;
-  bool gone_ = false;
-  bool keep_ = false;
-  bool place_next_ = false;
-  bool withdrawn_route_ = false;
+  bool caller_gone_ = false;
+  bool keep_caller_ = false;
+  bool dispatch_next_ = false;
+  bool route_withdrawn_ = false;
 };
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -30,9 +30,9 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-void start_small(asio::io_context& context, std::function<void(common::Yield)> body) {
+void spawn_small_stack(asio::io_context& context, std::function<void(common::Yield)> body) {
   asio::spawn(
-      context, std::allocator_arg, boost::context::fixedsize_stack(constants::relay_stack),
+      context, std::allocator_arg, boost::context::fixedsize_stack(constants::relay_stack_bytes),
       [body = std::move(body)](common::Yield yield) { body(yield); },
       [](std::exception_ptr error) {
         if (error) {
@@ -49,7 +49,7 @@
 }
 
 void Alarm::stop() {
-  over_ = true;
+  stopped_ = true;
   timer_.cancel();
 }
 
@@ -57,19 +57,19 @@
   armed_for_ = due_;
   timer_.expires_after(common::duration(std::max<common::Span>(due_ - common::boot_now(), 0)));
   timer_.async_wait([self = shared_from_this()](error_code const& error) {
-    if (error || self->over_) {
+    if (error || self->stopped_) {
       return;
     }
     self->armed_for_ = 0;
     if (common::boot_now() < self->due_) {
       self->arm();
     } else {
-      self->ring_();
+      self->callback_();
     }
   });
 }
 
-std::string Tally::print() const {
+std::string RelayCounters::print() const {
   std::stringstream text;
   text << "# TYPE relay_queries_total counter\n";
   for (std::pair<std::string const, std::uint64_t> const& entry : outcomes) {
@@ -93,7 +93,7 @@
       controllers_(settings.seeds) {}
 
 absl::Status RelayServer::begin() {
-  begun_at_ = common::boot_now();
+  started_at_ = common::boot_now();
   absl::StatusOr<scheduling::Mechanisms> const mechanisms = scheduling::mechanisms_without(settings_.without);
   if (!mechanisms.ok()) {
     return mechanisms.status();
@@ -106,16 +106,16 @@
   for (std::string const& address : {settings_.ready_address, settings_.directory_address}) {
     if (status.ok() && !address.empty()) {
       status = listen(
-          address, [this](std::shared_ptr<Socket> const& socket, common::Yield yield) { serve_small(socket, yield); });
+          address, [this](std::shared_ptr<Socket> const& socket, common::Yield yield) { serve_status(socket, yield); });
     }
   }
   if (!status.ok()) {
     return status;
   }
-  start_small(context_, [this](common::Yield yield) { ask_for_updates(yield); });
-  start_small(context_, [this](common::Yield yield) { read_own_list(yield); });
+  spawn_small_stack(context_, [this](common::Yield yield) { poll_updates(yield); });
+  spawn_small_stack(context_, [this](common::Yield yield) { poll_platform_list(yield); });
   if (!settings_.secrets_file.empty()) {
-    start_small(context_, [this](common::Yield yield) { follow_secrets(yield); });
+    spawn_small_stack(context_, [this](common::Yield yield) { watch_secrets(yield); });
   }
   return absl::OkStatus();
 }
@@ -127,29 +127,29 @@
     return endpoint.status();
   }
   *endpoint = common::own_endpoint(*endpoint);
-  std::shared_ptr<Acceptor> const held = std::make_shared<Acceptor>(Acceptor{asio::ip::tcp::acceptor(context_)});
+  std::shared_ptr<Acceptor> const listener = std::make_shared<Acceptor>(Acceptor{asio::ip::tcp::acceptor(context_)});
   error_code error;
-  held->acceptor.open(endpoint->protocol(), error);
+  listener->acceptor.open(endpoint->protocol(), error);
   if (!error) {
-    held->acceptor.set_option(asio::socket_base::reuse_address(true), error);
+    listener->acceptor.set_option(asio::socket_base::reuse_address(true), error);
   }
   if (!error) {
-    held->acceptor.bind(*endpoint, error);
+    listener->acceptor.bind(*endpoint, error);
   }
   if (!error) {
-    held->acceptor.listen(1024, error);
+    listener->acceptor.listen(1024, error);
   }
   if (error) {
     return absl::UnavailableError("relay: " + address + ": " + error.message());
   }
-  acceptors_.push_back(held);
-  start_small(context_, [this, held, session](common::Yield yield) {
-    while (held->acceptor.is_open()) {
+  acceptors_.push_back(listener);
+  spawn_small_stack(context_, [this, listener, session](common::Yield yield) {
+    while (listener->acceptor.is_open()) {
       std::shared_ptr<Socket> const socket = std::make_shared<Socket>(context_);
       error_code failure;
-      held->acceptor.async_accept(*socket, yield[failure]);
+      listener->acceptor.async_accept(*socket, yield[failure]);
       if (failure) {
-        if (!held->acceptor.is_open() || failure == asio::error::operation_aborted) {
+        if (!listener->acceptor.is_open() || failure == asio::error::operation_aborted) {
           return;
         }
         common::pause(context_, common::milliseconds(20), yield);
@@ -157,7 +157,7 @@
       }
       error_code ignored;
       socket->set_option(asio::ip::tcp::no_delay(true), ignored);
-      start_small(context_, [socket, session](common::Yield inner) {
+      spawn_small_stack(context_, [socket, session](common::Yield inner) {
         session(socket, inner);
         error_code closing;
         socket->close(closing);
@@ -168,21 +168,21 @@
 }
 
 scheduling::RetryQuota& RelayServer::retry_quota(std::string const& service) {
-  scheduling::RetryQuota& retry_quota = retry_quota_[service];
+  scheduling::RetryQuota& retry_quota = retry_quotas_[service];
   retry_quota.set_limits(
       settings_.bounds.retry_ratio, settings_.bounds.retry_slack,
       static_cast<double>(std::max<std::size_t>(1, proxy_count_.proxies(common::boot_now()).size())));
   return retry_quota;
 }
 
-std::unique_ptr<Socket> RelayServer::kept(std::string const& worker) {
-  std::map<std::string, std::deque<Kept>>::iterator const found = kept_.find(worker);
-  if (found == kept_.end()) {
+std::unique_ptr<Socket> RelayServer::take_idle_connection(std::string const& worker) {
+  std::map<std::string, std::deque<IdleConnection>>::iterator const found = idle_connections_.find(worker);
+  if (found == idle_connections_.end()) {
     return nullptr;
   }
   common::Moment const now = common::boot_now();
   while (!found->second.empty()) {
-    Kept entry = std::move(found->second.back());
+    IdleConnection entry = std::move(found->second.back());
     found->second.pop_back();
     if (now >= entry.until) {
       continue;
@@ -190,31 +190,33 @@
     char byte = 0;
     ssize_t const count = recv(entry.socket->native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
-      return std::move(entry.socket);  // neither closed nor bytes that nobody asked for
+      return std::move(entry.socket);  // neither closed nor holding unsolicited bytes
     }
   }
   return nullptr;
 }
 
-void RelayServer::keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest) {
-  std::deque<Kept>& idle = kept_[worker];
+void RelayServer::keep_idle_connection(std::string const& worker, std::unique_ptr<Socket> socket,
+                                       common::Span longest) {
+  std::deque<IdleConnection>& idle = idle_connections_[worker];
   common::Moment const now = common::boot_now();
-  while (!idle.empty() && (idle.size() >= constants::worker_idle_most || now >= idle.front().until)) {
+  while (!idle.empty() && (idle.size() >= constants::max_idle_per_worker || now >= idle.front().until)) {
     idle.pop_front();
   }
-  idle.push_back(Kept{std::move(socket), now + std::min(longest, constants::worker_idle_timeout)});
+  idle.push_back(IdleConnection{std::move(socket), now + std::min(longest, constants::worker_idle_timeout)});
 }
 
 void RelayServer::drain() {
   draining_ = true;
-  leaving_since_ = common::boot_now();
-  start_small(context_, [this](common::Yield yield) {
-    schema::NewsAsk const asked = ask({});
-    // A copy: news that come meanwhile replace the list that is walked here.
-    std::vector<std::string> const told = controllers_;
-    for (std::size_t index = 0; index < std::min(constants::max_parallel_update_requests, told.size()); ++index) {
+  draining_since_ = common::boot_now();
+  spawn_small_stack(context_, [this](common::Yield yield) {
+    schema::NewsAsk const asked = make_update_request({});
+    // A copy: updates that arrive meanwhile replace the list that is iterated here.
+    std::vector<std::string> const controllers = controllers_;
+    for (std::size_t index = 0; index < std::min(constants::max_parallel_update_requests, controllers.size());
+         ++index) {
       if (caller_
-              .call(told[index], asked,
+              .call(controllers[index], asked,
                     common::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms)), yield)
               .ok()) {
         break;
@@ -226,14 +228,14 @@
 bool RelayServer::busy() const {
   common::Moment const now = common::boot_now();
   common::Span const grace = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.grace_ms));
-  if (now - leaving_since_ < std::min(constants::leave_linger, grace / 2)) {
+  if (now - draining_since_ < std::min(constants::drain_linger, grace / 2)) {
     return true;
   }
-  for (std::shared_ptr<Acceptor> const& held : acceptors_) {
+  for (std::shared_ptr<Acceptor> const& listener : acceptors_) {
     error_code ignored;
-    held->acceptor.close(ignored);
+    listener->acceptor.close(ignored);
   }
-  return open_ > 0 && now - leaving_since_ < grace - constants::leave_reserve;
+  return open_queries_ > 0 && now - draining_since_ < grace - constants::drain_close_reserve;
 }
 
 schema::Member RelayServer::self() const {
@@ -247,84 +249,85 @@
   return member;
 }
 
-schema::NewsAsk RelayServer::ask(std::vector<schema::FurrowReport> reports) const {
+schema::NewsAsk RelayServer::make_update_request(std::vector<schema::FurrowReport> reports) const {
   return schema::NewsAsk{self(), 0, list_.digest(), members_.digest(), std::move(reports)};
 }
 
-void RelayServer::ask_for_updates(common::Yield yield) {
-  std::size_t turn = common::random_number() % std::max<std::size_t>(1, controllers_.size());
+void RelayServer::poll_updates(common::Yield yield) {
+  std::size_t next_index = common::random_number() % std::max<std::size_t>(1, controllers_.size());
   while (true) {
     common::Moment const asked = common::boot_now();
     bool const was_ready = ready();
-    schema::NewsAsk const query = ask(reports(asked));
+    schema::NewsAsk const query = make_update_request(reports_to_send(asked));
     std::string from;
-    common::Span const patience = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms));
-    if (lost_) {
-      // Some may be down, and say nothing: a few are asked, the first who is sure
-      // counts. More would each send the whole charter to a furrow without one.
+    common::Span const timeout = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.ask_deadline_ms));
+    if (lost_contact_) {
+      // Some may be down and not respond: a few are asked at once, and the first confirmed response counts. More would
+      // each send the whole routing configuration to a proxy without one.
       std::vector<std::pair<std::string, schema::Message>> calls;
       for (std::size_t index = 0; index < std::min(constants::max_parallel_update_requests, controllers_.size());
            ++index) {
-        calls.emplace_back(controllers_[(turn + index) % controllers_.size()], query);
+        calls.emplace_back(controllers_[(next_index + index) % controllers_.size()], query);
       }
-      turn += 1;
+      next_index += 1;
       common::Gather::run(
-          context_, caller_, calls, std::min(patience, lost_contact_timeout),
+          context_, caller_, calls, std::min(timeout, lost_contact_timeout),
           [&](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
             schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
             if (update == nullptr) {
               return false;
             }
-            take(contents_.completed(*update, calls[index].first), asked);
+            apply_updates(contents_.completed(*update, calls[index].first), asked);
             if (!update->confirmed) {
-              know_more_controllers(update->peers);
+              add_controllers(update->peers);
               return false;
             }
             from = calls[index].first;
-            heard_from(*update);
+            record_contact(*update);
             return true;
           },
           yield, constants::ask_retry);
     } else {
-      std::string const address = controllers_[turn % controllers_.size()];
-      absl::StatusOr<schema::Message> const answer = caller_.call(address, query, patience, yield);
+      std::string const address = controllers_[next_index % controllers_.size()];
+      absl::StatusOr<schema::Message> const answer = caller_.call(address, query, timeout, yield);
       schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
       if (update != nullptr) {
-        take(contents_.completed(*update, address), asked);
+        apply_updates(contents_.completed(*update, address), asked);
       }
       if (update != nullptr && update->confirmed) {
         from = address;
-        heard_from(*update);
+        record_contact(*update);
       } else if (update != nullptr) {
-        know_more_controllers(update->peers);
+        add_controllers(update->peers);
       }
     }
-    lost_ = from.empty();
+    lost_contact_ = from.empty();
     common::Span const spent = common::boot_now() - asked;
-    if (lost_) {
-      turn += 1;
+    if (lost_contact_) {
+      next_index += 1;
       if (spent < constants::ask_retry) {
         common::pause(context_, constants::ask_retry, yield);
       }
       continue;
     }
-    turn = static_cast<std::size_t>(std::find(controllers_.begin(), controllers_.end(), from) - controllers_.begin());
+    next_index =
+        static_cast<std::size_t>(std::find(controllers_.begin(), controllers_.end(), from) - controllers_.begin());
     if (ready() == was_ready && spent < constants::min_update_request_interval) {
       common::pause(context_, constants::min_update_request_interval - spent, yield);
     }
   }
 }
 
-void RelayServer::heard_from(schema::NewsAnswer const& update) {
-  heard_ = true;
-  heard_at_ = common::boot_now();
-  know_controllers(update.peers);
+void RelayServer::record_contact(schema::NewsAnswer const& update) {
+  contacted_ = true;
+  last_contact_at_ = common::boot_now();
+  replace_controllers(update.peers);
 }
 
-void RelayServer::know_controllers(std::vector<std::string> const& told) {
+void RelayServer::replace_controllers(std::vector<std::string> const& received) {
   std::vector<std::string> known;
   for (std::vector<std::string> const* const addresses :
-       std::initializer_list<std::vector<std::string> const*>{&told, &settings_.seeds}) {
+       std::initializer_list<std::vector<std::string> const*>{&received, &settings_.seeds}) {
     for (std::string const& address : *addresses) {
       if (!address.empty() && std::find(known.begin(), known.end(), address) == known.end()) {
         known.push_back(address);
@@ -334,50 +337,51 @@
   controllers_ = std::move(known);
 }
 
-void RelayServer::know_more_controllers(std::vector<std::string> const& told) {
-  for (std::string const& address : told) {
+void RelayServer::add_controllers(std::vector<std::string> const& received) {
+  for (std::string const& address : received) {
     if (!address.empty() && std::find(controllers_.begin(), controllers_.end(), address) == controllers_.end()) {
       controllers_.push_back(address);
     }
   }
 }
 
-void RelayServer::renew(schema::Settings const& settings) {
-  // In touch, the order as told stays; out of touch the new seeds come first.
-  std::vector<std::string> known = lost_ ? settings.seeds : controllers_;
+void RelayServer::update_settings(schema::Settings const& settings) {
+  // In contact, the order received from a controller stays; without contact the new seeds come first.
+  std::vector<std::string> known = lost_contact_ ? settings.seeds : controllers_;
   known.insert(known.end(), controllers_.begin(), controllers_.end());
   settings_ = settings;
-  know_controllers(known);
+  replace_controllers(known);
 }
 
-void RelayServer::read_own_list(common::Yield yield) {
+void RelayServer::poll_platform_list(common::Yield yield) {
   while (true) {
-    common::pause(context_, constants::own_list_after / 4, yield);
+    common::pause(context_, constants::own_list_read_after / 4, yield);
     common::Moment const now = common::boot_now();
     if (list_reader_ == nullptr || route_table_ == nullptr ||
-        now - std::max(list_.as_of(), heard_at_) < constants::own_list_after) {
+        now - std::max(list_.as_of(), last_contact_at_) < constants::own_list_read_after) {
       continue;
     }
-    // No trellis tells of workers: one look of its own, spread over the furrows.
+    // No controller reports workers: the proxy reads the list itself, at a random time to spread the load of all
+    // proxies.
     common::pause(
         context_,
-        static_cast<common::Span>(common::random_number() % static_cast<std::uint64_t>(constants::own_list_after)),
+        static_cast<common::Span>(common::random_number() % static_cast<std::uint64_t>(constants::own_list_read_after)),
         yield);
     common::Moment const asked = common::boot_now();
-    if (asked - std::max(list_.as_of(), heard_at_) < constants::own_list_after) {
+    if (asked - std::max(list_.as_of(), last_contact_at_) < constants::own_list_read_after) {
       continue;
     }
     absl::StatusOr<schema::PlatformList> const list = list_reader_(settings_.platform_address, yield);
     if (list.ok()) {
       list_.put(*list, asked);
-      take_list();
-      settle();
+      refresh_cold_workers();
+      update_balancer();
     }
   }
 }
 
-void RelayServer::take(schema::NewsAnswer const& answer, common::Moment asked) {
-  report_ms_ = answer.report_ms;
+void RelayServer::apply_updates(schema::NewsAnswer const& answer, common::Moment asked) {
+  report_interval_ms_ = answer.report_ms;
   while (!reports_.empty() && reports_.front().slice <= answer.reports_taken) {
     reports_.pop_front();
   }
@@ -385,15 +389,15 @@
   for (schema::NamedValue const& update : freshness_.take(answer, asked, common::boot_now())) {
     changed = true;
     if (update.name == config::routing_config_register) {
-      take_routing_config(update);
+      apply_routing_config(update);
       common::note(common::Event::RevisionAdopted, "charter revision " + std::to_string(update.revision));
     } else if (update.name == config::evacuated_register) {
       check_evacuations(update);
       std::vector<std::string> const zones = config::evacuated_zones(update.content);
-      evacuated_ = decltype(evacuated_)(zones.begin(), zones.end());
+      drained_zones_ = decltype(drained_zones_)(zones.begin(), zones.end());
       common::note(common::Event::RevisionAdopted, "evacuated " + update.content);
     } else if (update.name.rfind(consensus::split_prefix, 0) == 0) {
-      take_split(update);
+      apply_split(update);
     }
   }
   if (members_.take(answer)) {
@@ -405,28 +409,28 @@
     changed = true;
   }
   if (list_.take(membership::list_update(answer), answer.list_age, asked)) {
-    take_list();
+    refresh_cold_workers();
     changed = true;
   }
   if (changed) {
-    settle();
+    update_balancer();
   }
 }
 
-void RelayServer::take_routing_config(schema::NamedValue const& update) {
+void RelayServer::apply_routing_config(schema::NamedValue const& update) {
   config::RoutingConfigReading reading = notation_.read(update.content);
   check_routing_config(update, reading);
   if (!reading.good()) {
-    return;  // the one before stays
+    return;  // the previous one stays in force
   }
   route_table_ = std::make_shared<scheduling::RouteTable const>(std::move(reading.routing_config));
   check_routes(update.revision, *route_table_);
 }
 
-void RelayServer::take_split(schema::NamedValue const& update) {
+void RelayServer::apply_split(schema::NamedValue const& update) {
   absl::StatusOr<schema::Split> split = scheduling::read_split(update.content);
   if (!split.ok()) {
-    return;  // the one before stays: it is whole
+    return;  // the previous one stays in force: it is complete
   }
   splits_[update.name.substr(std::strlen(consensus::split_prefix))] = std::move(*split);
   std::set<std::string> frozen;
@@ -452,27 +456,27 @@
   return phase == split->second.phases.end() ? "both" : phase->second;
 }
 
-std::vector<schema::FurrowReport> RelayServer::reports(common::Moment now) {
-  if (report_ms_ == 0) {
+std::vector<schema::FurrowReport> RelayServer::reports_to_send(common::Moment now) {
+  if (report_interval_ms_ == 0) {
     reports_.clear();
     return {};
   }
   schema::FurrowReport report;
-  if (now - reported_at_ >= common::milliseconds(static_cast<std::int64_t>(report_ms_)) &&
+  if (now - reported_at_ >= common::milliseconds(static_cast<std::int64_t>(report_interval_ms_)) &&
       observer_.take(report_slice_ + 1, now - reported_at_, report)) {
     ++report_slice_;
     reported_at_ = now;
     reports_.push_back(std::move(report));
-    if (reports_.size() > constants::reports_most) {
-      reports_.pop_front();  // figures only; what is lost is not made up
+    if (reports_.size() > constants::max_pending_reports) {
+      reports_.pop_front();  // statistics only; lost ones are not replaced
     }
   }
   return {reports_.begin(), reports_.end()};
 }
 
-void RelayServer::saw(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
-                      scheduling::PlacementRequest const& wanted) {
-  if (report_ms_ == 0) {
+void RelayServer::record_observation(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
+                                     scheduling::PlacementRequest const& wanted) {
+  if (report_interval_ms_ == 0) {
     return;
   }
   common::Moment const now = common::boot_now();
@@ -492,7 +496,7 @@
                           schema::ScalerAims().experts_share);
 }
 
-void RelayServer::take_list() {
+void RelayServer::refresh_cold_workers() {
   std::map<std::string, common::Moment> cold;
   for (schema::WorkerEntry const& entry : list_.list().workers) {
     if (entry.cold_ms > 0) {
@@ -502,7 +506,7 @@
   cold_until_.swap(cold);
 }
 
-void RelayServer::settle() {
+void RelayServer::update_balancer() {
   if (route_table_ == nullptr) {
     return;
   }
@@ -524,7 +528,7 @@
     spec.model = service->model;
     spec.phase = spec.model ? phase_of(entry, spec.region) : "";
     spec.draining = entry.draining;
-    spec.evacuated = evacuated_.count(entry.zone) > 0;
+    spec.evacuated = drained_zones_.count(entry.zone) > 0;
     spec.capacity = std::max<std::uint64_t>(1, entry.capacity);
     spec.connections = service->connections;
     spec.cold_rate = service->cold_rate;
@@ -547,7 +551,7 @@
   }
   balancer_.update(specs, terms, common::boot_now());
   isolation_.keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
-  std::erase_if(kept_, [&listed](std::pair<std::string const, std::deque<Kept>> const& entry) {
+  std::erase_if(idle_connections_, [&listed](std::pair<std::string const, std::deque<IdleConnection>> const& entry) {
     return listed.count(entry.first) == 0;
   });
 }
@@ -556,37 +560,37 @@
   std::vector<std::string> same_zone;
   std::vector<std::string> same_region;
   std::vector<std::string> others;
-  bool self_there = false;
+  bool self_listed = false;
   for (schema::Member const& member : members_.members()) {
     bool const own = member.name == settings_.name;
-    self_there = self_there || own;
+    self_listed = self_listed || own;
     if ((own && !ready()) || (!own && !member.ready)) {
       continue;
     }
     std::map<std::string, std::string>::const_iterator const found = settings_.regions.find(member.hall);
-    bool const here = found != settings_.regions.end() && found->second == region;
-    (member.hall == hall ? same_zone : here ? same_region : others).push_back(member.address);
+    bool const in_region = found != settings_.regions.end() && found->second == region;
+    (member.hall == hall ? same_zone : in_region ? same_region : others).push_back(member.address);
   }
-  if (!self_there && ready()) {
+  if (!self_listed && ready()) {
     (settings_.hall == hall       ? same_zone
      : settings_.region == region ? same_region
                                   : others)
         .push_back(settings_.http_address);
   }
   std::vector<std::string> addresses = same_zone;
-  if (addresses.size() < constants::directory_least) {
+  if (addresses.size() < constants::min_directory_entries) {
     addresses.insert(addresses.end(), same_region.begin(), same_region.end());
   }
   if (addresses.empty()) {
     addresses = others;
   }
-  if (addresses.size() > constants::directory_most) {
-    addresses.resize(constants::directory_most);
+  if (addresses.size() > constants::max_directory_entries) {
+    addresses.resize(constants::max_directory_entries);
   }
   return dialect_.print_directory(addresses, static_cast<double>(settings_.bounds.directory_ttl_ms) / 1000);
 }
 
-void RelayServer::serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield) {
+void RelayServer::serve_status(std::shared_ptr<Socket> const& socket, common::Yield yield) {
   boost::beast::flat_buffer buffer;
   std::shared_ptr<Alarm> const alarm = std::make_shared<Alarm>(context_, [socket] {
     error_code ignored;
@@ -610,17 +614,17 @@
       body = ready() ? "{\"ready\":true}" : "{\"ready\":false}";
     } else if (path == dialect_.directory_path) {
       std::map<std::string, std::string> query;
-      std::stringstream words(target.size() > path.size() ? target.substr(path.size() + 1) : "");
-      std::string word;
-      while (std::getline(words, word, '&')) {
-        std::size_t const equals = word.find('=');
-        query[word.substr(0, equals)] = equals == std::string::npos ? "" : word.substr(equals + 1);
+      std::stringstream parameters(target.size() > path.size() ? target.substr(path.size() + 1) : "");
+      std::string parameter;
+      while (std::getline(parameters, parameter, '&')) {
+        std::size_t const equals = parameter.find('=');
+        query[parameter.substr(0, equals)] = equals == std::string::npos ? "" : parameter.substr(equals + 1);
       }
       status = "200 OK";
       body = directory(query["zone"], query["region"]);
     } else if (path == "/-/metrics") {
       status = "200 OK";
-      body = tally_.print() + print_isolation_metrics(isolation_) + common::invariant_metrics();
+      body = counters_.print() + print_isolation_metrics(isolation_) + common::invariant_metrics();
     } else if (path == "/-/tenants") {
       status = "200 OK";
       body = print_tenants(isolation_);
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -33,89 +33,101 @@
 namespace finchlink::data_plane {
 
 using Socket = boost::asio::ip::tcp::socket;
+/// Reads the platform's list of workers from its address.
 using ListReader = std::function<absl::StatusOr<schema::PlatformList>(std::string const& address, common::Yield)>;
 
-/// Starts a coroutine on the relay's one thread, with a small stack: machines
-/// that relay have a fraction of a core and pay for memory (section 13.2).
-void start_small(boost::asio::io_context& context, std::function<void(common::Yield)> body);
+/// Starts a coroutine on the relay's one thread, with a small stack: machines that relay have a fraction of a core and
+/// pay for memory (section 13.2).
+void spawn_small_stack(boost::asio::io_context& context, std::function<void(common::Yield)> body);
 
-/// One timer for many waits that seldom run out: it is armed anew only when it
-/// rings early (section 13.2).
+/// One timer for many waits that seldom expire: setting it to a later time costs nothing, as it is armed again only
+/// when it expires too early (section 13.2).
 class Alarm : public std::enable_shared_from_this<Alarm> {
  public:
-  Alarm(boost::asio::io_context& context, std::function<void()> ring) : timer_(context), ring_(std::move(ring)) {}
+  Alarm(boost::asio::io_context& context, std::function<void()> callback)
+      : timer_(context), callback_(std::move(callback)) {}
   void set(common::Moment due);
   void stop();
 
  private:
   void arm();
   boost::asio::steady_timer timer_;
-  std::function<void()> ring_;
+  std::function<void()> callback_;
   common::Moment due_ = 0;
-  common::Moment armed_for_ = 0;
-  bool over_ = false;
+  common::Moment armed_for_ = 0;  ///< when the timer expires; 0: it isn't armed
+  bool stopped_ = false;
 };
 
-/// What a relay counts; printed in the text form that scrapers read.
-struct Tally {
+/// Counters of a relay, printed in the text format of metrics scrapers.
+struct RelayCounters {
   std::map<std::string, std::uint64_t> outcomes;
   std::uint64_t retries = 0;
   std::uint64_t resumed = 0;
   std::uint64_t connects = 0;
-  std::uint64_t probes = 0;  ///< connections opened to tell a busy worker from a lost one
+  std::uint64_t probes = 0;  ///< connections opened to tell a busy worker from an unreachable one
   std::uint64_t dispatches = 0;
   [[nodiscard]] std::string print() const;
 };
 
-/// The state of one relaying furrow, on one thread: the newest charter that it
-/// knows, its workers, colleagues and kept connections.
+/// The state of a proxy that relays HTTP, on one thread: the newest routing configuration that it knows, its workers,
+/// the other proxies and idle connections.
 class RelayServer {
  public:
   RelayServer(boost::asio::io_context& context, schema::Settings const& settings, Dialect dialect,
               config::Notation notation, ListReader list_reader, std::uint64_t identity);
 
+  /// Listens and starts its coroutines; an error names the setting or address that failed.
   [[nodiscard]] absl::Status begin();
+  /// Stops being ready and tells a controller so; queries are still served.
   void drain();
+  /// Whether a draining relay still has to run: callers may still come, or queries are open.
   [[nodiscard]] bool busy() const;
-  /// New bounds and seeds, taken while it runs.
-  void renew(schema::Settings const& settings);
+  /// Applies new bounds and seeds while it runs.
+  void update_settings(schema::Settings const& settings);
 
   [[nodiscard]] boost::asio::io_context& context() { return context_; }
   [[nodiscard]] schema::Settings const& settings() const { return settings_; }
   [[nodiscard]] Dialect const& dialect() const { return dialect_; }
+  /// The routes in force; null: none yet.
   [[nodiscard]] std::shared_ptr<scheduling::RouteTable const> const& route_table() const { return route_table_; }
   [[nodiscard]] scheduling::LoadBalancer& balancer() { return balancer_; }
   [[nodiscard]] scheduling::Mechanisms const& mechanisms() const { return mechanisms_; }
+  /// The service's retry quota, bounded by the settings and proxies of this moment.
   [[nodiscard]] scheduling::RetryQuota& retry_quota(std::string const& service);
-  [[nodiscard]] Tally& tally() { return tally_; }
+  [[nodiscard]] RelayCounters& counters() { return counters_; }
   [[nodiscard]] scheduling::PromptIsolation& isolation() { return isolation_; }
   [[nodiscard]] bool draining() const { return draining_; }
-  [[nodiscard]] common::Moment begun_at() const { return begun_at_; }
-  /// It has had a charter and a list of workers, even an empty one, since it started.
-  [[nodiscard]] bool begun() const { return route_table_ != nullptr && list_.as_of() > 0; }
-  /// A majority stood behind the charter of late, so a route that it lacks may be refused for good (section 13.15).
+  [[nodiscard]] common::Moment started_at() const { return started_at_; }
+  /// It has received a routing configuration and a list of workers, even an empty one, since it started.
+  [[nodiscard]] bool initialized() const { return route_table_ != nullptr && list_.as_of() > 0; }
+  /// A majority confirmed the routing configuration recently, so a route that it lacks may be refused for good
+  /// (section 13.15).
   [[nodiscard]] bool routing_config_confirmed() const {
     return freshness_.confirmed_within(common::constants::routing_config_confirmed_bound, common::boot_now());
   }
-  [[nodiscard]] bool ready() const { return route_table_ != nullptr && heard_ && !draining_ && balancer_.size() > 0; }
+  [[nodiscard]] bool ready() const {
+    return route_table_ != nullptr && contacted_ && !draining_ && balancer_.size() > 0;
+  }
 
-  /// A kept connection to the worker that seems whole, or none.
-  [[nodiscard]] std::unique_ptr<Socket> kept(std::string const& worker);
-  void keep(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest);
+  /// An idle connection to the worker that seems usable, or null.
+  [[nodiscard]] std::unique_ptr<Socket> take_idle_connection(std::string const& worker);
+  void keep_idle_connection(std::string const& worker, std::unique_ptr<Socket> socket, common::Span longest);
 
-  /// A stream ended whole; what it shows goes into the next report.
-  void saw(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
-           scheduling::PlacementRequest const& wanted);
+  /// A stream ended whole; what was observed goes into the next report to the scaler.
+  void record_observation(scheduling::StreamObservation sighting, scheduling::Assignment const& assignment,
+                          scheduling::PlacementRequest const& wanted);
 
-  /// How long a query waits for the first charter.
+  /// How long a query waits for the first routing configuration.
   common::Span routing_config_wait = common::constants::routing_config_wait;
+  /// Deadline of an update request while contact is lost.
   common::Span lost_contact_timeout = common::constants::lost_contact_timeout;
-  void opened() { ++open_; }
-  void closed() { --open_; }
+  void query_opened() { ++open_queries_; }
+  void query_closed() { --open_queries_; }
+  /// The directory document for callers in a zone and region: addresses of ready proxies, near ones first.
   [[nodiscard]] std::string directory(std::string const& hall, std::string const& region);
 
  private:
-  struct Kept {
+  struct IdleConnection {
     std::unique_ptr<Socket> socket;
     common::Moment until = 0;
   };
@@ -124,28 +136,31 @@
   };
   [[nodiscard]] absl::Status listen(std::string const& address,
                                     std::function<void(std::shared_ptr<Socket>, common::Yield)> session);
-  void serve_small(std::shared_ptr<Socket> const& socket, common::Yield yield);
-  void ask_for_updates(common::Yield yield);
-  void heard_from(schema::NewsAnswer const& update);
-  /// Trellises to ask, near ones first as told; seeds stay in for the day that
+  /// Serves readiness, directory, metrics and tenants on one connection.
+  void serve_status(std::shared_ptr<Socket> const& socket, common::Yield yield);
+  void poll_updates(common::Yield yield);
+  void record_contact(schema::NewsAnswer const& update);
+  /// The controllers to request updates from, in the order received, near ones first; seeds always stay in, in case
   /// all others are gone.
-  void know_controllers(std::vector<std::string> const& told);
-  /// Trellises that one without a majority names are asked as well, behind those known: all seeds may be cut off
-  /// from the majority (section 13.15).
-  void know_more_controllers(std::vector<std::string> const& told);
-  void read_own_list(common::Yield yield);
-  void follow_secrets(common::Yield yield);
-  void take(schema::NewsAnswer const& answer, common::Moment asked);
-  /// Another list is held.
-  void take_list();
-  [[nodiscard]] schema::NewsAsk ask(std::vector<schema::FurrowReport> reports) const;
-  void settle();
+  void replace_controllers(std::vector<std::string> const& received);
+  /// Appends the controllers that one without a majority names: all seeds may be cut off from the majority
+  /// (section 13.15).
+  void add_controllers(std::vector<std::string> const& received);
+  void poll_platform_list(common::Yield yield);
+  void watch_secrets(common::Yield yield);
+  void apply_updates(schema::NewsAnswer const& answer, common::Moment asked);
+  /// Notes until when workers are cold, after the list has changed.
+  void refresh_cold_workers();
+  [[nodiscard]] schema::NewsAsk make_update_request(std::vector<schema::FurrowReport> reports) const;
+  /// Passes workers, routes and proxies in force to the load balancer.
+  void update_balancer();
   [[nodiscard]] schema::Member self() const;
-  void take_routing_config(schema::NamedValue const& update);
-  void take_split(schema::NamedValue const& update);
+  void apply_routing_config(schema::NamedValue const& update);
+  void apply_split(schema::NamedValue const& update);
+  /// The phase that the worker serves by the list or the pool's split; empty: no split.
   [[nodiscard]] std::string phase_of(schema::WorkerEntry const& entry, std::string const& region) const;
-  /// The reports that go with an ask now.
-  [[nodiscard]] std::vector<schema::FurrowReport> reports(common::Moment now);
+  /// The reports that are sent with the next update request.
+  [[nodiscard]] std::vector<schema::FurrowReport> reports_to_send(common::Moment now);
   void tell_leaving();
 
   boost::asio::io_context& context_;
@@ -158,35 +173,35 @@
   ContentFetcher contents_;
   membership::FreshnessLease freshness_;
   std::shared_ptr<scheduling::RouteTable const> route_table_;
-  std::set<std::string> evacuated_;
+  std::set<std::string> drained_zones_;
   membership::ListReplica list_;
   membership::MemberReplica members_;
-  common::Moment begun_at_ = 0;
+  common::Moment started_at_ = 0;
   scheduling::ProxyCount proxy_count_;
   std::map<std::string, common::Moment> cold_until_;
   std::vector<std::string> controllers_;
-  common::Moment heard_at_ = 0;
-  bool heard_ = false;
-  bool lost_ = true;  ///< no trellis answered the last ask
+  common::Moment last_contact_at_ = 0;  ///< when a controller last sent a confirmed update
+  bool contacted_ = false;              ///< one did since the start
+  bool lost_contact_ = true;            ///< no controller confirmed the last update request
   scheduling::Mechanisms mechanisms_;
   scheduling::LoadBalancer balancer_;
   scheduling::Observer observer_;
   std::map<std::string, schema::Split> splits_;  ///< by pool
-  std::deque<schema::FurrowReport> reports_;     ///< not taken by a trellis yet
-  std::uint64_t report_ms_ = 0;                  ///< how often they are wanted; 0: not
+  std::deque<schema::FurrowReport> reports_;     ///< not acknowledged by a controller yet
+  std::uint64_t report_interval_ms_ = 0;         ///< how often reports are requested; 0: not at all
   std::uint64_t report_slice_ = 0;
   common::Moment reported_at_ = 0;
   scheduling::PromptIsolation isolation_;
-  std::map<std::string, scheduling::RetryQuota> retry_quota_;
-  std::map<std::string, std::deque<Kept>> kept_;
+  std::map<std::string, scheduling::RetryQuota> retry_quotas_;          ///< by service
+  std::map<std::string, std::deque<IdleConnection>> idle_connections_;  ///< by worker, the oldest first
   std::vector<std::shared_ptr<Acceptor>> acceptors_;
-  std::uint64_t open_ = 0;
+  std::uint64_t open_queries_ = 0;
   bool draining_ = false;
-  common::Moment leaving_since_ = 0;
-  Tally tally_;
+  common::Moment draining_since_ = 0;
+  RelayCounters counters_;
 };
 
-/// Serves one caller's connection (relay.cpp).
-void serve_caller(RelayServer& station, std::shared_ptr<Socket> const& socket, common::Yield yield);
+/// Serves one caller's connection until it ends.
+void serve_caller(RelayServer& server, std::shared_ptr<Socket> const& socket, common::Yield yield);
 
 }  // namespace finchlink::data_plane
--- a/source/tests/relay/adopted_checks_test.cpp
+++ b/source/tests/relay/adopted_checks_test.cpp
@@ -23,26 +23,26 @@
   return scheduling::RouteTable(std::move(routing_config));
 }
 
-TEST(AdoptedChecks, RoutesThatAllLeadSomewhereViolateNothing) {
+TEST(AdoptedChecks, RoutesThatAreAllReachableViolateNothing) {
   check_routes(1, route_table_of({route("a", "Host.example", "/"), route("b", "host.example", "/v1/"),
                                   route("c", "other.example:8080", "/")}));
 }
 
-TEST(AdoptedChecks, ARouteThatIsHiddenByAnotherIsSeen) {
+TEST(AdoptedChecks, ARouteThatIsHiddenByAnotherIsReported) {
   ExpectedViolations const expected({Invariant::routes_complete});
   check_routes(1, route_table_of({route("a", "host.example", "/"), route("b", "HOST.example", "/")}));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
-TEST(AdoptedChecks, ARouteWhosePrefixDoesNotEndInASlashIsSeen) {
+TEST(AdoptedChecks, ARouteWhosePrefixDoesNotEndInASlashIsReported) {
   ExpectedViolations const expected({Invariant::routes_complete});
   check_routes(1, route_table_of({route("a", "host.example", "/"), route("b", "host.example", "/v1")}));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
-/// What the rules of a charter take and the table of routes can't serve: such a
-/// charter is acknowledged, and the invariant tells.
-TEST(AdoptedChecks, HostsThatDifferInCaseAreTakenAndSeen) {
+/// Validation accepts two hosts that differ only in case, but the route table can't serve both: such a configuration is
+/// acknowledged, and the invariant reports it.
+TEST(AdoptedChecks, HostsThatDifferInCaseAreAcceptedAndReported) {
   schema::Charter routing_config;
   routing_config.number = 1;
   routing_config.services.push_back(schema::Service{});
@@ -58,7 +58,7 @@
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
-TEST(AdoptedChecks, ACharterThatIsFoundInvalidIsSeen) {
+TEST(AdoptedChecks, AnInvalidRoutingConfigIsReported) {
   config::Notation const notation = config::own_notation();
   schema::NamedValue chosen{"charter", 4, "{\"number\":3,\"lanes\":[],\"services\":[]}", 0};
   check_routing_config(chosen, notation.read(chosen.content));
@@ -68,7 +68,7 @@
   EXPECT_EQ(expected.count(Invariant::chosen_content_readable), 1u);
 }
 
-TEST(AdoptedChecks, EvacuationsThatAreNoListAreSeen) {
+TEST(AdoptedChecks, DrainedZonesThatAreNoListAreReported) {
   check_evacuations(schema::NamedValue{"evacuated", 1, "[\"hall\"]", 0});
   ExpectedViolations const expected({Invariant::chosen_content_readable});
   check_evacuations(schema::NamedValue{"evacuated", 2, "{}", 0});
--- a/source/tests/relay/fleet.hpp
+++ b/source/tests/relay/fleet.hpp
@@ -27,6 +27,7 @@
 #include "schema/setup.hpp"
 #include "tests/own_address.hpp"
 
+/// Scripted controllers, workers and callers around a relay in the test's process.
 namespace finchlink::relay_test {
 
 namespace asio = boost::asio;
@@ -34,8 +35,8 @@
 using Socket = asio::ip::tcp::socket;
 using boost::system::error_code;
 
-/// A socket whose other end is scripted by the test: all bytes that came, and
-/// whether the end came, orderly or by a reset.
+/// A connection whose own end is scripted by the test: all bytes received, and whether the other end closed it, in
+/// order or by a reset.
 class Line : public std::enable_shared_from_this<Line> {
  public:
   explicit Line(Socket socket) : socket_(std::move(socket)) {}
@@ -44,13 +45,13 @@
     read();
   }
   void send(std::string const& text) { asio::write(socket_, asio::buffer(text), ignored_); }
-  /// Sends more than the system's buffers hold while the world runs on.
+  /// Sends more than the system's buffers hold while the event loop runs on.
   void send_long(std::string const& text) {
     std::shared_ptr<std::string const> const held = std::make_shared<std::string const>(text);
     asio::async_write(socket_, asio::buffer(*held),
                       [self = shared_from_this(), held](error_code const&, std::size_t) {});
   }
-  /// Reads nothing once more than this many bytes wait; `read_on` lifts it.
+  /// Stops reading once this many bytes are buffered; `read_on` continues.
   void pause_reading_at(std::size_t bytes) { pause_at_ = bytes; }
   void read_on() {
     pause_at_ = std::numeric_limits<std::size_t>::max();
@@ -97,7 +98,7 @@
   error_code ignored_;
 };
 
-/// The first whole message in a text.
+/// The first complete message in a text.
 template <bool request>
 struct Read {
   http::message<request, http::string_body> message;
@@ -125,7 +126,7 @@
   }
   return Read<request>{parser.release(), used};
 }
-/// A body of known length isn't there yet: spares reading long ones anew with each piece.
+/// A body of known length is incomplete: avoids parsing long ones again with each chunk that arrives.
 inline bool lacks_body(std::string const& text) {
   std::size_t const head_end = text.find("\r\n\r\n");
   std::size_t const length = text.find("Content-Length: ");
@@ -135,13 +136,14 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-/// A query as it reached a scripted worker.
+/// A query as received by a scripted worker.
 struct Arrival {
   std::shared_ptr<Line> line;
   Request request;
   [[nodiscard]] std::string header(std::string const& name) const { return std::string(request[name]); }
 };
 
+/// A scripted worker: accepts connections and collects queries; the test sends the responses.
 class Worker {
  public:
   Worker(asio::io_context& context, std::string const& ip)
@@ -151,8 +153,8 @@
   [[nodiscard]] std::string address() const {
     return acceptor_.local_endpoint().address().to_string() + ":" + std::to_string(acceptor_.local_endpoint().port());
   }
-  /// Takes whole queries off the lines; how many there were.
-  std::size_t look() {
+  /// Takes complete queries off the connections; returns how many there were.
+  std::size_t collect_arrivals() {
     std::size_t const before = arrivals.size();
     for (std::shared_ptr<Line> const& line : lines) {
       while (!lacks_body(line->got)) {
@@ -167,7 +169,7 @@
     return arrivals.size() - before;
   }
   void stop() { acceptor_.close(); }
-  /// New lines read nothing once more than this many bytes wait.
+  /// New connections stop reading once this many bytes are buffered.
   std::size_t pause_reading_at = std::numeric_limits<std::size_t>::max();
   std::vector<std::shared_ptr<Line>> lines;
   std::vector<Arrival> arrivals;
@@ -188,7 +190,7 @@
   asio::ip::tcp::acceptor acceptor_;
 };
 
-/// What workers and callers say.
+// Messages of workers and callers.
 inline std::string with_id(std::string const& id) {
   return "Finchlink-Query: " + id + "\r\n";
 }
@@ -217,15 +219,15 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// A stream as far as a caller has it.
-struct Passed {
+/// An event stream as far as a caller has received it.
+struct ReceivedStream {
   std::string head;
   std::string events;
-  bool whole = false;  ///< the last chunk came
-  std::string behind;  ///< anything after it, or that is no chunk
+  bool whole = false;  ///< the last chunk was received
+  std::string behind;  ///< anything after it, or that isn't a chunk
 };
-inline Passed passed(std::string const& text) {
-  Passed result;
+inline ReceivedStream received_stream(std::string const& text) {
+  ReceivedStream result;
   std::size_t at = text.find("\r\n\r\n");
   if (at == std::string::npos) {
     return result;
@@ -249,8 +251,8 @@
   return result;
 }
 
-/// A relay in this process between scripted peers: a trellis that answers asks
-/// for news, workers, callers. One thread, nothing is waited for but events.
+/// A relay in this process between scripted peers: a controller that answers update requests, workers, callers. One
+/// thread; nothing but events is waited for.
 class Fleet {
  public:
   Fleet() : context(std::make_unique<asio::io_context>(1)), ip(own_ip()) {
@@ -275,7 +277,7 @@
     context->stop();
     workers.clear();
     callers.clear();
-    station.reset();
+    server.reset();
     context.reset();
   }
 
@@ -326,7 +328,7 @@
     ++list_digest;
   }
 
-  /// The news as they are from now on; revision 0: none.
+  /// Sets a value that the controller sends from now on; revision 0: none.
   void publish(std::string const& name, std::uint64_t revision, std::string const& content) {
     updates[name] = schema::NamedValue{name, revision, content};
   }
@@ -335,7 +337,7 @@
     publish(config::routing_config_register, revision, common::print_tree(tree.get()));
   }
 
-  /// Starts the relay and waits until it has heard the news.
+  /// Starts the relay and waits until it has applied the updates.
   void begin(bool with_routing_config = true) {
     if (with_routing_config) {
       publish_routing_config(1);
@@ -344,30 +346,30 @@
                     *context, controller_address, 64,
                     [this](schema::Message const& message, common::Yield yield) { return answer(message, yield); })
                     .ok());
-    station = std::make_unique<data_plane::RelayServer>(*context, settings, data_plane::own_dialect(),
-                                                        config::own_notation(), nullptr, 7);
-    EXPECT_TRUE(station->begin().ok());
+    server = std::make_unique<data_plane::RelayServer>(*context, settings, data_plane::own_dialect(),
+                                                       config::own_notation(), nullptr, 7);
+    EXPECT_TRUE(server->begin().ok());
     if (with_routing_config) {
       EXPECT_TRUE(until(
-          [this] { return station->route_table() != nullptr && station->balancer().size() == list.workers.size(); }));
+          [this] { return server->route_table() != nullptr && server->balancer().size() == list.workers.size(); }));
     }
   }
-  /// Waits until the relay has asked and been answered once more.
-  void hear() {
-    std::uint64_t const before = asks;
-    EXPECT_TRUE(until([this, before] { return asks >= before + 2; }));
+  /// Waits until the relay has requested and received updates once more.
+  void wait_for_update() {
+    std::uint64_t const before = requests;
+    EXPECT_TRUE(until([this, before] { return requests >= before + 2; }));
   }
 
-  /// Runs the world until it is so; false: not within the bound.
-  bool until(std::function<bool()> const& so, int bound_ms = 5000) {
+  /// Runs the event loop until the condition holds; false: not within the bound.
+  bool until(std::function<bool()> const& holds, int bound_ms = 5000) {
     common::Moment const end = common::boot_now() + common::milliseconds(bound_ms);
     while (true) {
       for (std::pair<std::string const, std::unique_ptr<Worker>>& entry : workers) {
-        for (std::size_t count = entry.second->look(); count > 0; --count) {
-          order.push_back(entry.second.get());
+        for (std::size_t count = entry.second->collect_arrivals(); count > 0; --count) {
+          arrival_order.push_back(entry.second.get());
         }
       }
-      if (so()) {
+      if (holds()) {
         return true;
       }
       if (common::boot_now() >= end) {
@@ -376,8 +378,8 @@
       context->run_one_for(std::chrono::milliseconds(20));
     }
   }
-  /// Runs the world for a short time in which something must not happen.
-  void rest(int span_ms) {
+  /// Runs the event loop for a short time in which something must not happen.
+  void run_for(int span_ms) {
     (void)until([] { return false; }, span_ms);
   }
 
@@ -391,7 +393,7 @@
     callers.back()->send(text);
     return callers.back();
   }
-  /// The first whole answer on a line, taken off it.
+  /// The first complete response on a connection, taken off it.
   std::optional<Response> answer_on(std::shared_ptr<Line> const& line, int bound_ms = 5000) {
     std::optional<Read<false>> found;
     (void)until(
@@ -409,9 +411,9 @@
   bool arrived(Worker& at, std::size_t count, int bound_ms = 5000) {
     return until([&] { return at.arrivals.size() >= count; }, bound_ms);
   }
-  /// The worker that the count-th query of all reached, waited for.
-  Worker* holder(std::size_t count = 1, int bound_ms = 5000) {
-    return until([&] { return order.size() >= count; }, bound_ms) ? order[count - 1] : nullptr;
+  /// Waits for the count-th query of all; the worker that it reached, or null.
+  Worker* worker_of(std::size_t count = 1, int bound_ms = 5000) {
+    return until([&] { return arrival_order.size() >= count; }, bound_ms) ? arrival_order[count - 1] : nullptr;
   }
   [[nodiscard]] std::string name_of(Worker const* worker) const {
     for (std::pair<std::string const, std::unique_ptr<Worker>> const& entry : workers) {
@@ -429,19 +431,19 @@
   schema::Charter routing_config;
   schema::PlatformList list;
   std::uint64_t list_digest = 1;
-  common::Span list_age = 0;  ///< below 0: no trellis has read the list yet
+  common::Span list_age = 0;  ///< below 0: no controller has read the list yet
   std::vector<schema::Member> members;
   std::uint64_t members_digest = 1;
   std::map<std::string, schema::NamedValue> updates;
-  bool silent = false;         ///< the trellis says nothing
-  std::size_t unanswered = 0;  // asks that the trellis ends unanswered first
+  bool silent = false;         ///< the controller sends nothing
+  std::size_t unanswered = 0;  ///< update requests that the controller leaves unanswered first
   bool confirmed = true;
-  std::function<void(schema::NewsAsk const&, schema::NewsAnswer&)> script;  ///< changes what the trellis answers
-  std::uint64_t asks = 0;
-  std::vector<schema::Member> told;  ///< what the relay said of itself
-  std::unique_ptr<data_plane::RelayServer> station;
+  std::function<void(schema::NewsAsk const&, schema::NewsAnswer&)> script;  ///< changes the controller's responses
+  std::uint64_t requests = 0;
+  std::vector<schema::Member> reported_members;  ///< what the relay reported of itself
+  std::unique_ptr<data_plane::RelayServer> server;
   std::map<std::string, std::unique_ptr<Worker>> workers;
-  std::vector<Worker*> order;  ///< whom each query reached, one after the other
+  std::vector<Worker*> arrival_order;  ///< the worker that each query reached, in order
   std::vector<std::shared_ptr<Line>> callers;
 
  private:
@@ -450,8 +452,8 @@
     if (ask == nullptr || silent || (unanswered > 0 && unanswered-- > 0)) {
       return std::nullopt;
     }
-    ++asks;
-    told.push_back(ask->member);
+    ++requests;
+    reported_members.push_back(ask->member);
     schema::NewsAnswer reply;
     reply.confirmed = confirmed;
     for (std::pair<std::string const, schema::NamedValue> const& entry : updates) {
--- a/source/tests/relay/forwarding_test.cpp
+++ b/source/tests/relay/forwarding_test.cpp
@@ -10,14 +10,14 @@
   return answer.has_value() ? answer->result_int() : 0;
 }
 
-/// A lane on which a request without a worker waits for seconds.
-schema::Lane patient(schema::Lane route) {
+/// A route on which a request without a worker waits for seconds.
+schema::Lane with_long_wait(schema::Lane route) {
   route.set_point_ms = 20000;
   return route;
 }
 
-/// What names model, size and parts of a prompt is the client's, also in a
-/// second try (section 13.8).
+/// The client's headers for model, size and parts of a prompt are forwarded unchanged, also in a second attempt
+/// (section 13.8).
 TEST(Forwarding, FieldsOfThePromptReachTheWorkerUnchanged) {
   Fleet fleet;
   fleet.worker("w1");
@@ -32,7 +32,7 @@
   }
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body", fields));
   for (std::size_t attempt = 1; attempt <= 2; ++attempt) {
-    Worker* const worker = fleet.holder(attempt);
+    Worker* const worker = fleet.worker_of(attempt);
     ASSERT_NE(worker, nullptr);
     Arrival const& arrival = worker->arrivals.back();
     for (std::pair<std::string const, std::string> const& field : sent) {
@@ -44,10 +44,10 @@
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
 }
 
-/// The time that a first try took is not handed on again.
-TEST(Forwarding, ASecondTryIsHandedTheTimeThatIsLeft) {
+/// The time that a first attempt took is subtracted from the time sent to the second worker.
+TEST(Forwarding, ASecondAttemptGetsTheRemainingTime) {
   constexpr int whole_ms = 2000;
-  constexpr int first_try_ms = 50;
+  constexpr int first_attempt_ms = 50;
   Fleet fleet;
   fleet.worker("w1");
   fleet.worker("w2");
@@ -55,22 +55,22 @@
   std::string const left = data_plane::own_dialect().left;
   std::shared_ptr<Line> const caller =
       fleet.call(query("/plain/a", "q1", "", left + ": " + std::to_string(whole_ms) + "\r\n"));
-  Worker* const first = fleet.holder(1);
+  Worker* const first = fleet.worker_of(1);
   ASSERT_NE(first, nullptr);
   EXPECT_LE(std::stoi(first->arrivals.back().header(left)), whole_ms);
-  fleet.rest(first_try_ms);
+  fleet.run_for(first_attempt_ms);
   first->arrivals.back().line->send(not_run("q1", "503 Service Unavailable"));
-  Worker* const second = fleet.holder(2);
+  Worker* const second = fleet.worker_of(2);
   ASSERT_NE(second, nullptr);
-  EXPECT_LE(std::stoi(second->arrivals.back().header(left)), whole_ms - first_try_ms);
+  EXPECT_LE(std::stoi(second->arrivals.back().header(left)), whole_ms - first_attempt_ms);
 }
 
-/// Its worker has a kept connection, so that nothing else would hold the
-/// request back once there is a place again.
-TEST(Forwarding, WhoLeftWhileWaitingForAPlaceIsNotSentOn) {
+/// A caller that disconnected while its query waited for a place must not reach a worker. The worker has an idle
+/// connection, so that nothing else would delay the request once there is a place again.
+TEST(Forwarding, AQueryWhoseCallerLeftWhileWaitingForAPlaceIsNotSent) {
   Fleet fleet;
   for (schema::Lane& route : fleet.routing_config.lanes) {
-    route = patient(route);
+    route = with_long_wait(route);
   }
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -81,9 +81,9 @@
   fleet.publish(config::evacuated_register, 1, "[\"north\"]");
   ASSERT_TRUE(fleet.until([&] { return !fleet.server->balancer().usable("w1"); }));
   caller->send(query("/plain/a", "q2", "body"));
-  fleet.rest(20);
+  fleet.run_for(20);
   caller->close();
-  fleet.rest(20);
+  fleet.run_for(20);
   fleet.publish(config::evacuated_register, 2, "[]");
   ASSERT_TRUE(fleet.until([&] { return fleet.server->balancer().usable("w1"); }));
   EXPECT_TRUE(fleet.until([&] { return fleet.server->counters().outcomes["abandoned"] == 1; }, 1000));
@@ -91,13 +91,13 @@
   EXPECT_EQ(worker.lines.size(), 1u);
 }
 
-/// Nothing has run and nothing will: the caller is told so when its route's
-/// time is up, not when the wait for a place would end.
-TEST(Forwarding, AtTheRoutesDeadlineACallerIsAnswered) {
+/// The caller gets its final response at its route's deadline, not when the longer wait for a place would end: nothing
+/// has run and nothing will.
+TEST(Forwarding, ACallerIsAnsweredAtItsRoutesDeadline) {
   constexpr std::uint64_t deadline_ms = 300;
   Fleet fleet;
   for (schema::Lane& route : fleet.routing_config.lanes) {
-    route = patient(route);
+    route = with_long_wait(route);
     route.deadline_ms = deadline_ms;
   }
   fleet.begin();
--- a/source/tests/relay/limits_test.cpp
+++ b/source/tests/relay/limits_test.cpp
@@ -8,7 +8,7 @@
 constexpr std::uint64_t small_body = 1000;
 constexpr std::uint64_t large_body = 100000;
 
-/// Publishes the charter again under a number, and waits until it is in force.
+/// Publishes the routing configuration again under a number, and waits until it is in force.
 bool put_in_force(Fleet& fleet, std::uint64_t number) {
   fleet.routing_config.number = number;
   fleet.publish_routing_config(number);
@@ -21,9 +21,8 @@
   return answer.has_value() ? answer->result_int() : 0;
 }
 
-/// A connection that has rested since before a change of the limits keeps to
-/// the new ones (section 13.8).
-TEST(Limits, AConnectionThatRestedOverAChangeKeepsToTheLimitsInForce) {
+/// The limits in force apply to a connection that was idle when they changed (section 13.8).
+TEST(Limits, AConnectionThatWasIdleDuringAChangeUsesTheLimitsInForce) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.routing_config.limits.body_bytes = small_body;
@@ -40,13 +39,13 @@
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
 }
 
-/// The same for one that was opened before any charter was known.
-TEST(Limits, AConnectionOpenedBeforeTheFirstCharterKeepsToItsLimits) {
+/// The same for one that was opened before any routing configuration was known.
+TEST(Limits, AConnectionOpenedBeforeTheFirstRoutingConfigUsesItsLimits) {
   Fleet fleet;
   fleet.worker("w1");
   fleet.begin(false);
   std::shared_ptr<Line> const caller = fleet.call("");
-  fleet.rest(20);  // the relay waits for the first byte
+  fleet.run_for(20);  // the relay waits for the first byte
   fleet.routing_config.limits.body_bytes = small_body;
   ASSERT_TRUE(put_in_force(fleet, 1));
   caller->send(query("/plain/a", "q1", std::string(small_body * 2, 'x')));
--- a/source/tests/relay/prompt_isolation_test.cpp
+++ b/source/tests/relay/prompt_isolation_test.cpp
@@ -15,13 +15,13 @@
   return "Finchlink-Tokens: 300,4\r\nFinchlink-Model: m\r\nFinchlink-Parts: " + text + "\r\n";
 }
 
-/// A relay whose lane "plain" has tenants, with a secrets file.
-struct IsolatedPrompt {
+/// A relay whose route "plain" has tenants, with a secrets file.
+struct IsolatedFleet {
   Fleet fleet;
   std::string path;
   Worker* worker = nullptr;
   std::size_t asked = 0;
-  explicit IsolatedPrompt(bool with_secrets = true) {
+  explicit IsolatedFleet(bool with_secrets = true) {
     path = testing::TempDir() + "finchlink-secrets-" + std::to_string(getpid());
     write(std::string(32, 'a'));
     fleet.settings.secrets_file = with_secrets ? path : "";
@@ -34,9 +34,9 @@
     fleet.begin();
     EXPECT_TRUE(fleet.until([&] { return fleet.server->isolation().keyed() == with_secrets; }));
   }
-  ~IsolatedPrompt() { std::remove(path.c_str()); }
+  ~IsolatedFleet() { std::remove(path.c_str()); }
   void write(std::string const& secret) const { std::ofstream(path) << "{\"current\":\"" << secret << "\"}"; }
-  /// Sends a query, answers it, and gives what reached the worker.
+  /// Sends a query, responds to it, and returns what reached the worker.
   Arrival ask(std::string const& more, std::string const& said = "Finchlink-Weights: v1\r\n",
               std::string const& path_asked = "/plain/a") {
     std::string const id = "q" + std::to_string(++asked);
@@ -53,8 +53,8 @@
   }
 };
 
-TEST(RelayWalls, WithoutATenantItIsRefusedBeforeItsBodyIsRead) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, WithoutATenantItIsRefusedBeforeItsBodyIsRead) {
+  IsolatedFleet isolated;
   for (std::string const& more : {std::string(), tenant("a") + tenant("b"), tenant(""), tenant("a b")}) {
     std::shared_ptr<Line> const caller =
         isolated.fleet.call("POST /plain/a HTTP/1.1\r\nHost: h.example\r\nFinchlink-Query: q\r\n" + more +
@@ -63,16 +63,16 @@
     ASSERT_TRUE(answer.has_value()) << more;
     EXPECT_EQ(answer->result_int(), 400u) << more;
     EXPECT_EQ((*answer)["Finchlink-Query"], "q");
-    EXPECT_TRUE(isolated.fleet.until([&] { return caller->ended; }, 2000)) << "nothing more is read from it";
+    EXPECT_TRUE(isolated.fleet.until([&] { return caller->ended; }, 2000)) << "the connection must be closed";
   }
-  isolated.fleet.rest(50);
+  isolated.fleet.run_for(50);
   EXPECT_TRUE(isolated.worker->arrivals.empty());
 }
 
-TEST(RelayWalls, ABodyThatComesAnywayDoesNotCostTheAnswer) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, ABodyThatIsSentAnywayDoesNotLoseTheResponse) {
+  IsolatedFleet isolated;
   std::shared_ptr<Line> const caller = isolated.fleet.call(query("/plain/a", "q", std::string(30000, 'x')));
-  isolated.fleet.rest(100);
+  isolated.fleet.run_for(100);
   std::optional<Response> const answer = isolated.fleet.answer_on(caller, 2000);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 400u);
@@ -85,8 +85,8 @@
          "Finchlink-Parts: y:100\r\nFinchlink-Model: n\r\n\r\n";
 }
 
-TEST(RelayWalls, ATrailerNamesNoSecondTenant) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, ATrailerNamesNoSecondTenant) {
+  IsolatedFleet isolated;
   std::string const keyed = (isolated.ask(tenant("a") + parts("x:100")),
                              isolated.ask(tenant("a") + parts("x:100")).header("Finchlink-Parts"));
   std::shared_ptr<Line> const caller = isolated.fleet.call(with_trailer(tenant("a")));
@@ -97,9 +97,9 @@
   EXPECT_EQ(arrival.header("Finchlink-Parts"), keyed);
 }
 
-TEST(RelayWalls, ATrailerNamesNoTenantWhereNoneIsNeeded) {
-  // Whoever stands before us sets the header, not what comes behind a body.
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, ATrailerNamesNoTenantWhereNoneIsRequired) {
+  // The header is set by a gateway before the relay; a trailer isn't.
+  IsolatedFleet isolated;
   isolated.fleet.routing_config.lanes[0].tenancy->required = false;
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
@@ -112,8 +112,8 @@
   EXPECT_EQ(isolated.fleet.server->isolation().tallies().at("b").queries, 2u);
 }
 
-TEST(RelayWalls, IdsOfCallersNeverReachWorkers) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, IdsOfCallersNeverReachWorkers) {
+  IsolatedFleet isolated;
   std::string const prompt = parts("p:100,x:100,y:100") + "Finchlink-Parts: z:5\r\nFinchlink-Expect-Weights: v9\r\n";
   Arrival const cold = isolated.ask(tenant("a") + prompt);
   EXPECT_EQ(cold.header("Finchlink-Expect-Weights"), "");
@@ -142,25 +142,25 @@
   }
 }
 
-TEST(RelayWalls, AnotherSecretIsAnotherWall) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, AnotherSecretChangesAllPartIds) {
+  IsolatedFleet isolated;
   std::string const prompt = tenant("a") + parts("x:100");
   (void)isolated.ask(prompt);
   std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
   isolated.write(std::string(40, 'b'));
   std::string after = before;
   for (int round = 0; round < 40 && after == before; ++round) {
-    isolated.fleet.rest(100);
+    isolated.fleet.run_for(100);
     after = isolated.ask(prompt).header("Finchlink-Parts");
   }
   EXPECT_NE(after, before);
-  isolated.write("short");  // changes nothing
-  isolated.fleet.rest(1500);
+  isolated.write("short");  // invalid: changes nothing
+  isolated.fleet.run_for(1500);
   EXPECT_EQ(isolated.ask(prompt).header("Finchlink-Parts"), after);
 }
 
-TEST(RelayWalls, WithoutASecretAllIsCold) {
-  IsolatedPrompt isolated(false);
+TEST(RelayPromptIsolation, WithoutASecretNothingIsCached) {
+  IsolatedFleet isolated(false);
   std::string const prompt = tenant("a") + parts("p:50,x:100");
   (void)isolated.ask(prompt);
   Arrival const one = isolated.ask(prompt);
@@ -169,8 +169,8 @@
   EXPECT_EQ(one.header("Finchlink-Parts").find("p:"), std::string::npos);
 }
 
-TEST(RelayWalls, OtherWeightsAreHeardOf) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, ChangedWeightsOfAWorkerAreNoticed) {
+  IsolatedFleet isolated;
   std::string const prompt = tenant("a") + parts("x:100");
   (void)isolated.ask(prompt);
   std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
@@ -183,15 +183,15 @@
   std::optional<Response> const answer = isolated.fleet.answer_on(caller);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 503u) << "no other worker was there, and nothing ran";
-  isolated.fleet.rest(250);
+  isolated.fleet.run_for(250);
   Arrival const after = isolated.ask(prompt, "Finchlink-Weights: v2\r\n");
   EXPECT_EQ(after.header("Finchlink-Expect-Weights"), "v2");
   EXPECT_NE(after.header("Finchlink-Parts"), before);
 }
 
-TEST(RelayWalls, OtherSpellingsOfOurNamesDoNotReachWorkers) {
-  // Some servers take "_" for "-" in a field's name.
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, OtherSpellingsOfTheRelaysHeadersDoNotReachWorkers) {
+  // Some servers treat "_" as "-" in a header's name.
+  IsolatedFleet isolated;
   Arrival const arrival =
       isolated.ask("CUSTOMER:   a  \r\n" + parts("x:100") +
                    "Finchlink_Parts: y:100\r\nfinchlink_expect-weights: v9\r\nFINCHLINK-PARTS: z:5\r\n");
@@ -201,8 +201,8 @@
   EXPECT_EQ(isolated.fleet.server->isolation().tallies().at("a").queries, 1u);
 }
 
-TEST(RelayWalls, IdsDoNotComeBackToCallers) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, PartIdsAreNotReturnedToCallers) {
+  IsolatedFleet isolated;
   (void)isolated.ask(tenant("a") + parts("x:100"));
   std::shared_ptr<Line> const caller = isolated.fleet.call(query("/plain/a", "echo", "", tenant("a") + parts("x:100")));
   ASSERT_TRUE(isolated.fleet.arrived(*isolated.worker, ++isolated.asked));
@@ -215,15 +215,15 @@
   EXPECT_EQ(answer->count("Finchlink-Parts"), 0u);
 }
 
-TEST(RelayWalls, TwoModelsAreAModelOfTheirOwn) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, TwoModelHeadersCountAsAModelOfTheirOwn) {
+  IsolatedFleet isolated;
   (void)isolated.ask(tenant("a") + parts("x:100"));
   std::string const one = isolated.ask(tenant("a") + parts("x:100")).header("Finchlink-Parts");
   EXPECT_NE(isolated.ask(tenant("a") + parts("x:100") + "Finchlink-Model: n\r\n").header("Finchlink-Parts"), one);
 }
 
-TEST(RelayWalls, AWorkerThatRanForOtherWeightsIsTold) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, AWorkerThatRanWithOtherWeightsIsReported) {
+  IsolatedFleet isolated;
   std::string const prompt = tenant("a") + parts("x:100");
   (void)isolated.ask(prompt);
   std::string const before = isolated.ask(prompt).header("Finchlink-Parts");
@@ -232,14 +232,14 @@
   EXPECT_NE(data_plane::print_isolation_metrics(isolated.fleet.server->isolation())
                 .find("relay_wall_other_weights_total 1\n"),
             std::string::npos);
-  (void)isolated.ask(prompt, "Finchlink-Weights: v1\r\n");  // it goes back, and is alarmed of again
+  (void)isolated.ask(prompt, "Finchlink-Weights: v1\r\n");  // it returns to the old weights, and is reported again
   Arrival const cold = isolated.ask(prompt, "Finchlink-Weights: v1\r\n");
-  EXPECT_NE(cold.header("Finchlink-Parts"), before) << "what is kept under v1's ids is not known";
+  EXPECT_NE(cold.header("Finchlink-Parts"), before) << "what is cached under v1's ids is unknown";
   EXPECT_EQ(cold.header("Finchlink-Expect-Weights"), "");
 }
 
-TEST(RelayWalls, CustomerSevenAndRiderSevenAreTwo) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, TheSameTenantNameOnTwoRoutesIsTwoTenants) {
+  IsolatedFleet isolated;
   schema::Tenancy by_path;
   by_path.path_segment = 2;
   isolated.fleet.routing_config.lanes[1].tenancy = by_path;
@@ -254,9 +254,9 @@
   EXPECT_NE(of_rider.header("Finchlink-Parts"), of_customer);
 }
 
-TEST(RelayWalls, ALaneWithoutTenantsSendsWhatItsCallersSay) {
-  // Its ids are its callers' own; 128 bits of a keyed hash they can't make.
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, ARouteWithoutTenantsForwardsItsCallersIds) {
+  // Its ids are chosen by its callers, who can't produce the 128 bits of a keyed hash.
+  IsolatedFleet isolated;
   isolated.fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
@@ -271,7 +271,7 @@
   }
 }
 
-TEST(RelayWalls, ACutStreamIsTakenUpBehindTheSameWall) {
+TEST(RelayPromptIsolation, ACutStreamIsResumedUnderTheSamePartIds) {
   Fleet fleet;
   std::string const path = testing::TempDir() + "finchlink-secrets-resumed-" + std::to_string(getpid());
   std::ofstream(path) << "{\"current\":\"" << std::string(32, 'a') << "\"}";
@@ -286,18 +286,18 @@
   std::size_t seen = 0;
   std::function<std::string(std::string const&, std::string const&, Worker*)> const whole =
       [&](std::string const& name, std::string const& version, Worker* wanted) {
-        // Until the wanted worker had one: placement is free to choose.
+        // Until the wanted worker got one: placement may choose any.
         for (int round = 0; round < 20; ++round) {
           std::string const id = "warm" + std::to_string(++seen);
           std::shared_ptr<Line> const caller =
               fleet.call(query("/tale/a", id, "", tenant(name) + parts("x" + id + ":100")));
-          Worker* const at = fleet.holder(seen);
+          Worker* const at = fleet.worker_of(seen);
           if (at == nullptr) {
             return std::string();
           }
           Arrival const& arrival = at->arrivals.back();
           arrival.line->send(stream_head(id, "Finchlink-Weights: " + version + "\r\n") + chunk(event(1)) + "0\r\n\r\n");
-          (void)fleet.until([&] { return passed(caller->got).whole; });
+          (void)fleet.until([&] { return received_stream(caller->got).whole; });
           if (at == wanted) {
             return arrival.header("Finchlink-Parts");
           }
@@ -307,18 +307,18 @@
   ASSERT_NE(whole("warm", "v1", fleet.workers["w1"].get()), "");
   ASSERT_NE(whole("warm", "v1", fleet.workers["w2"].get()), "");
   std::shared_ptr<Line> const caller = fleet.call(query("/tale/a", "cut", "", tenant("a") + parts("x:100,y:50")));
-  Worker* const first = fleet.holder(++seen);
+  Worker* const first = fleet.worker_of(++seen);
   ASSERT_NE(first, nullptr);
   std::string const ids = first->arrivals.back().header("Finchlink-Parts");
   first->arrivals.back().line->send(stream_head("cut", "Finchlink-Weights: v1\r\n") + chunk(event(1)));
-  ASSERT_TRUE(fleet.until([&] { return !passed(caller->got).events.empty(); }));
+  ASSERT_TRUE(fleet.until([&] { return !received_stream(caller->got).events.empty(); }));
   first->arrivals.back().line->reset();
-  Worker* const second = fleet.holder(++seen);
+  Worker* const second = fleet.worker_of(++seen);
   ASSERT_NE(second, nullptr);
   ASSERT_NE(second, first);
   EXPECT_EQ(second->arrivals.back().header("Finchlink-Parts"), ids) << "its own, and nobody else's";
   EXPECT_EQ(second->arrivals.back().header("Finchlink-Expect-Weights"), "v1");
-  // That one has other weights by now: nothing ran, and no third may be asked under v1's ids.
+  // That worker has other weights by now: nothing ran, and no third one may be asked under v1's ids.
   second->arrivals.back().line->send("HTTP/1.1 421 Misdirected Request\r\n" + with_id("cut") +
                                      "Finchlink-Refused: 1\r\nFinchlink-Weights: v2\r\nContent-Length: 0\r\n\r\n");
   (void)fleet.until([&] { return caller->ended; }, 3000);
@@ -330,8 +330,8 @@
   std::remove(path.c_str());
 }
 
-TEST(RelayWalls, ACrossingIsCountedAndTold) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, AnIsolationViolationIsCountedAndReported) {
+  IsolatedFleet isolated;
   (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 100\r\n");
   EXPECT_EQ(isolated.fleet.server->isolation().crossings(), 1u);
   EXPECT_NE(
@@ -339,15 +339,15 @@
       std::string::npos);
   (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 0\r\n");
   (void)isolated.ask(tenant("a") + parts("x:100,y:100"), "Finchlink-Weights: v1\r\nFinchlink-Reused: 200\r\n");
-  EXPECT_EQ(isolated.fleet.server->isolation().crossings(), 1u) << "its own is no crossing";
+  EXPECT_EQ(isolated.fleet.server->isolation().crossings(), 1u) << "its own cache is no violation";
   scheduling::TenantTally const tally = isolated.fleet.server->isolation().tallies().at("a");
   EXPECT_EQ(tally.queries, 3u);
   EXPECT_EQ(tally.cold, 1u);
   EXPECT_EQ(tally.reused, 300);
 }
 
-TEST(RelayWalls, LanesWithoutTenantsAreAsBefore) {
-  IsolatedPrompt isolated;
+TEST(RelayPromptIsolation, RoutesWithoutTenantsAreUnchanged) {
+  IsolatedFleet isolated;
   isolated.fleet.routing_config.lanes[0].tenancy.reset();
   isolated.fleet.routing_config.number = 2;
   isolated.fleet.publish_routing_config(2);
@@ -358,13 +358,13 @@
   EXPECT_TRUE(isolated.fleet.server->isolation().tallies().empty());
 }
 
-TEST(RelayWalls, ACharterThatWantsATenantMeanwhileDecides) {
+TEST(RelayPromptIsolation, ARoutingConfigThatRequiresATenantMeanwhileApplies) {
   Fleet fleet;
   fleet.routing_config.lanes[0].set_point_ms = 20000;  // it may wait for a place
   fleet.routing_config.lanes[0].deadline_ms = 10000;
   fleet.begin();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "x"));
-  fleet.rest(50);
+  fleet.run_for(50);
   schema::Tenancy tenancy;
   tenancy.header = "Customer";
   fleet.routing_config.lanes[0].tenancy = tenancy;
@@ -375,7 +375,7 @@
   EXPECT_EQ(answer->result_int(), 400u);
 }
 
-TEST(RelayWalls, ATenantsHomesBind) {
+TEST(RelayPromptIsolation, ATenantIsServedOnlyInItsHomeRegions) {
   Fleet fleet;
   schema::Tenancy tenancy;
   tenancy.header = "Customer";
--- a/source/tests/relay/relay_server_test.cpp
+++ b/source/tests/relay/relay_server_test.cpp
@@ -38,7 +38,7 @@
   return entry;
 }
 
-TEST(RelayServer, WithoutACharterNothingIsPromisedButToComeBack) {
+TEST(RelayServer, WithoutARoutingConfigQueriesAreRefusedWithARetryAfter) {
   Fleet fleet;
   fleet.worker("w1");
   fleet.begin(false);
@@ -52,7 +52,7 @@
   EXPECT_EQ(readiness(fleet), 200u);
 }
 
-TEST(RelayServer, AQueryWaitsAMomentForTheFirstCharter) {
+TEST(RelayServer, AQueryWaitsForTheFirstRoutingConfig) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
@@ -64,29 +64,29 @@
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
 }
 
-TEST(RelayServer, WithoutACharterItWaitsNoLongerThanItsHold) {
+TEST(RelayServer, WithoutARoutingConfigAQueryWaitsNoLongerThanTheBound) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin(false);
   ASSERT_EQ(fleet.server->routing_config_wait, common::constants::routing_config_wait);
-  ASSERT_TRUE(fleet.until([&] { return fleet.asks > 0; }));  // a trellis answers, and has none
+  ASSERT_TRUE(fleet.until([&] { return fleet.requests > 0; }));  // a controller responds and has none
   common::Moment const sent = common::boot_now();
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   std::optional<Response> const answer = fleet.answer_on(caller);
-  EXPECT_GE(common::boot_now() - sent, common::constants::routing_config_wait);  // it was waited for
+  EXPECT_GE(common::boot_now() - sent, common::constants::routing_config_wait);  // the query waited
   EXPECT_EQ(status_of(answer), 503u);
   EXPECT_EQ(text_of(answer, "Finchlink-Query"), "q1");
-  // Final: the charter that comes a moment later doesn't bring it to a worker.
+  // Final: a routing configuration that arrives just after doesn't send the query to a worker.
   fleet.publish_routing_config(1);
   ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
-  fleet.hear();
+  fleet.wait_for_update();
   EXPECT_TRUE(worker.arrivals.empty());
-  caller->send(query("/plain/a", "q2"));  // and the connection is as good as before
+  caller->send(query("/plain/a", "q2"));  // and the connection is still usable
   EXPECT_TRUE(fleet.arrived(worker, 1));
 }
 
-TEST(RelayServer, TheFirstCharterDoesNotWaitForASilentTrellis) {
-  // Two of three seeds are there and say nothing, the third tells: all are asked at once.
+TEST(RelayServer, TheFirstRoutingConfigDoesNotWaitForAnUnresponsiveController) {
+  // Two of three seeds accept connections and never respond, the third does: all are asked at once.
   Fleet fleet;
   fleet.worker("w1");
   asio::ip::tcp::acceptor one(*fleet.context, asio::ip::tcp::endpoint(asio::ip::make_address(fleet.ip), 0));
@@ -98,18 +98,18 @@
   fleet.settings.bounds.ask_deadline_ms = 60000;
   fleet.publish_routing_config(1);
   fleet.begin(false);
-  ASSERT_TRUE(fleet.until([&] { return fleet.asks > 0; }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.requests > 0; }));
   for (asio::ip::tcp::acceptor* const silent : {&one, &two}) {
     error_code error;
     silent->non_blocking(true);
     (void)silent->accept(error);
-    EXPECT_FALSE(error) << error.message();  // asked as well, and not waited for
+    EXPECT_FALSE(error) << error.message();  // asked as well, but not waited for
   }
   ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
-  EXPECT_EQ(fleet.told.front().held.count("charter"), 0u);
+  EXPECT_EQ(fleet.reported_members.front().held.count("charter"), 0u);
 }
 
-TEST(RelayServer, ATrellisThatComesUpIsAskedWhileAnotherHoldsItsAnswer) {
+TEST(RelayServer, AControllerThatComesUpIsAskedWhileAnotherWithholdsItsAnswer) {
   common::Bell never;
   std::size_t held = 0;
   Fleet fleet;
@@ -132,7 +132,7 @@
   EXPECT_EQ(held, 1u);
 }
 
-TEST(RelayServer, AQueryWaitsAMomentForTheFirstListAndOnlyForThis) {
+TEST(RelayServer, AQueryWaitsForTheFirstListOnly) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.list_age = -1;
@@ -141,19 +141,19 @@
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   fleet.publish_routing_config(1);
   ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table() != nullptr; }));
-  EXPECT_FALSE(fleet.server->begun());
+  EXPECT_FALSE(fleet.server->initialized());
   fleet.list_age = 0;
   ++fleet.list_digest;
   ASSERT_TRUE(fleet.arrived(worker, 1));
   worker.arrivals.back().line->send(success("q1", "in time"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
-  fleet.list.workers.clear();  // all gone later: refused as ever
+  fleet.list.workers.clear();  // all workers gone later: refused at once
   ++fleet.list_digest;
   ASSERT_TRUE(fleet.until([&] { return !fleet.server->ready(); }));
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/b", "q2")))), 503u);
 }
 
-TEST(RelayServer, AnOlderCharterIsNeverAdopted) {
+TEST(RelayServer, AnOlderRoutingConfigIsNeverApplied) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -162,33 +162,34 @@
   fleet.routing_config.lanes.erase(fleet.routing_config.lanes.begin());
   fleet.publish_routing_config(2);
   ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table()->routing_config().number == 2; }));
-  fleet.routing_config = older;  // a trellis that was out of touch
+  fleet.routing_config = older;  // a controller that was cut off
   fleet.publish_routing_config(1);
-  fleet.hear();
+  fleet.wait_for_update();
   EXPECT_EQ(fleet.server->route_table()->routing_config().number, 2u);
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/plain/a", "q1")))), 404u);
   EXPECT_TRUE(worker.arrivals.empty());
-  EXPECT_EQ(fleet.told.back().held.at("charter"), 2u);
+  EXPECT_EQ(fleet.reported_members.back().held.at("charter"), 2u);
 }
 
-TEST(RelayServer, OneThatHasJustStartedServesNobodyByTheWordOfATrellisThatIsCutOff) {
+TEST(RelayServer, AfterAStartUnconfirmedUpdatesOfAControllerThatIsCutOffAreNotServed) {
   Fleet fleet;
   Worker& north = fleet.worker("w1", "web", "north");
   Worker& south = fleet.worker("w2", "web", "south");
   fleet.publish_routing_config(1);
-  fleet.publish("evacuated", 1, "[]");  // the others have emptied the north since
+  fleet.publish("evacuated", 1, "[]");  // the other controllers have drained zone north since
   fleet.confirmed = false;
   fleet.begin(false);
-  fleet.hear();
+  fleet.wait_for_update();
   EXPECT_EQ(fleet.server->route_table(), nullptr);
   std::optional<Response> const refused = fleet.answer_on(fleet.call(query("/plain/a", "q1")));
   EXPECT_EQ(status_of(refused), 503u);
   EXPECT_GT(std::stod(text_of(refused, "Retry-After")), 0);
-  EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/new/a", "q2")))), 503u);  // not 404: who knows
+  EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/new/a", "q2")))),
+            503u);  // not 404: a newer configuration may have the route
   EXPECT_EQ(readiness(fleet), 503u);
   EXPECT_TRUE(north.arrivals.empty());
   EXPECT_TRUE(south.arrivals.empty());
-  EXPECT_EQ(fleet.told.back().held.count("charter"), 0u);  // whoever vouches tells it all
+  EXPECT_EQ(fleet.reported_members.back().held.count("charter"), 0u);  // a controller that confirms sends everything
   fleet.routing_config.number = 2;
   fleet.routing_config.lanes[0] = Fleet::route("new", true, false, false, "web");
   fleet.publish_routing_config(2);
@@ -203,7 +204,7 @@
   EXPECT_TRUE(north.arrivals.empty());
 }
 
-TEST(RelayServer, WithoutAMajorityForLongOneThatHasJustStartedServesWhatItCanAndRefusesNothingForGood) {
+TEST(RelayServer, WithoutAMajorityForLongAfterAStartItServesKnownRoutesAndRefusesNothingForGood) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.publish_routing_config(1);
@@ -224,7 +225,7 @@
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(query("/new/a", "q3")))), 404u);
 }
 
-TEST(RelayServer, ALaneThatAnUnvouchedCharterDropsIsRefusedWithATime) {
+TEST(RelayServer, ARouteThatAnUnconfirmedRoutingConfigDropsIsRefusedWithARetryAfter) {
   Fleet fleet;
   fleet.routing_config.lanes[1].set_point_ms = 60000;  // a query may wait for a place
   fleet.routing_config.lanes[1].deadline_ms = 30000;
@@ -233,18 +234,18 @@
   fleet.begin(false);
   ASSERT_TRUE(fleet.until([&] { return fleet.server->route_table() != nullptr; }, 30000));
   std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "x"));
-  fleet.rest(50);
+  fleet.run_for(50);
   EXPECT_TRUE(caller->got.empty());
   fleet.routing_config.lanes.erase(fleet.routing_config.lanes.begin() + 1);
   fleet.routing_config.number = 2;
   fleet.publish_routing_config(2);
   std::optional<Response> const refused = fleet.answer_on(caller);
-  EXPECT_EQ(status_of(refused), 503u);  // a third one may have it again
+  EXPECT_EQ(status_of(refused), 503u);  // a third configuration may have it again
   EXPECT_GT(std::stod(text_of(refused, "Retry-After")), 0);
 }
 
-TEST(RelayServer, SeedsThatAreAllCutOffNameTheOthers) {
-  // Seven trellises, the three seeds on the small side of a cut: they know the others, who vouch.
+TEST(RelayServer, SeedsThatAreAllCutOffNameTheOtherControllers) {
+  // Seven controllers, with the three seeds in the minority partition: they name the others, which confirm.
   Fleet fleet;
   fleet.worker("w1");
   fleet.publish_routing_config(1);
@@ -265,26 +266,26 @@
   EXPECT_GE(asked, 1u);
 }
 
-TEST(RelayServer, OutOfTouchItServesOnWithTheNewestItKnows) {
+TEST(RelayServer, WithoutContactItServesOnWithTheNewestKnownConfig) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
   fleet.silent = true;
-  fleet.rest(400);
+  fleet.run_for(400);
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
   last(&worker).line->send(success("q1", "good"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
 }
 
-TEST(RelayServer, ALaneRemovedWhileAQueryWaitsIsNotServed) {
+TEST(RelayServer, ARouteRemovedWhileAQueryWaitsIsNotServed) {
   for (bool const moved : {false, true}) {
     Fleet fleet;
     fleet.routing_config.lanes[1].set_point_ms = 20000;  // it may wait for a place
     fleet.routing_config.lanes[1].deadline_ms = 10000;
     fleet.begin();
     std::shared_ptr<Line> const caller = fleet.call(query("/once/a", "q1", "x"));
-    fleet.rest(50);
+    fleet.run_for(50);
     EXPECT_TRUE(caller->got.empty());
     if (moved) {  // to another service, which has a worker
       fleet.routing_config.lanes[1].shares = {schema::Share{"pool", 1}};
@@ -307,7 +308,7 @@
   }
 }
 
-TEST(RelayServer, AnEvacuatedHallAndADrainingWorkerGetNothing) {
+TEST(RelayServer, ADrainedZoneAndADrainingWorkerGetNothing) {
   Fleet fleet;
   Worker& north = fleet.worker("w1", "web", "north");
   Worker& south = fleet.worker("w2", "web", "south");
@@ -331,7 +332,7 @@
   EXPECT_TRUE(leaving.arrivals.empty());
 }
 
-TEST(RelayServer, AWorkerThatLeftTheListIsNotAskedOnAKeptConnection) {
+TEST(RelayServer, AWorkerThatLeftTheListIsNotUsedOnAnIdleConnection) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -339,7 +340,7 @@
   ASSERT_TRUE(fleet.arrived(worker, 1));
   last(&worker).line->send(success("q1", "good"));
   EXPECT_EQ(status_of(fleet.answer_on(caller)), 200u);
-  fleet.list.workers[0].id = "w1-again";  // the same address, another life
+  fleet.list.workers[0].id = "w1-again";  // the same address, another worker
   fleet.list.workers[0].service = "pool";
   ++fleet.list_digest;
   ASSERT_TRUE(fleet.until([&] { return fleet.server->balancer().serves("w1-again", "pool"); }));
@@ -349,7 +350,7 @@
   EXPECT_EQ(worker.arrivals.size(), 1u);
 }
 
-TEST(RelayServer, WhatLeadsOnFromItsListIsTakenAndWhatLeadsElsewhereIsAskedForWhole) {
+TEST(RelayServer, ListChangesThatMatchTheDigestAreAppliedAndOthersAreFetchedWhole) {
   Fleet fleet;
   (void)fleet.worker("w1", "web", "north");
   (void)fleet.worker("w2", "web", "south");
@@ -376,7 +377,7 @@
   ASSERT_TRUE(fleet.until([&] { return !fleet.server->balancer().serves("w1", "web"); }));
   EXPECT_TRUE(fleet.server->balancer().usable("w2"));
   EXPECT_EQ(std::count(asked.begin() + static_cast<std::ptrdiff_t>(whole), asked.end(), 0u), 0);
-  // Another teller's word that does not lead where it says.
+  // Changes of another controller that don't lead to the digest that it names.
   fleet.list.workers.clear();
   wrong = true;
   std::size_t const before = asked.size();
@@ -384,15 +385,15 @@
   EXPECT_GE(std::count(asked.begin() + static_cast<std::ptrdiff_t>(before), asked.end(), 0u), 1);
 }
 
-TEST(RelayServer, LeavingIsToldThoughNewsReplaceItsTrellisesMeanwhile) {
-  // The first trellis holds that word while news from the last make the list of
-  // trellises anew; the second then still hears it (incident 0012).
+TEST(RelayServer, DrainingIsReportedThoughUpdatesReplaceItsControllersMeanwhile) {
+  // The first controller withholds its response to that report while updates from the last one replace the list of
+  // controllers; the second must still get the report (incident 0012).
   Fleet fleet;
   fleet.worker("w1");
   bool leaving = false;
   bool released = false;
   std::size_t held = 0;
-  std::size_t heard = 0;
+  std::size_t reports = 0;
   common::Bell release;
   std::string const holding = fleet.next_address();
   std::string const second = fleet.next_address();
@@ -408,24 +409,24 @@
                   .ok());
   ASSERT_TRUE(common::serve_frames(*fleet.context, second, 8,
                                    [&](schema::Message const&, common::Yield) -> std::optional<schema::Message> {
-                                     heard += leaving ? 1 : 0;
+                                     reports += leaving ? 1 : 0;
                                      return std::nullopt;
                                    })
                   .ok());
   fleet.settings.bounds.ask_deadline_ms = 600000;
   fleet.begin();
-  fleet.hear();  // in touch with the last one, and asks it alone
+  fleet.wait_for_update();  // in contact with the last one, and asks it alone
   leaving = true;
   fleet.server->drain();
   ASSERT_TRUE(fleet.until([&] { return held > 0; }));
-  fleet.hear();
-  EXPECT_EQ(heard, 0u);
+  fleet.wait_for_update();
+  EXPECT_EQ(reports, 0u);
   released = true;
   release.ring();
-  EXPECT_TRUE(fleet.until([&] { return heard > 0; }));
+  EXPECT_TRUE(fleet.until([&] { return reports > 0; }));
 }
 
-TEST(RelayServer, DrainingItServesOnAndSaysSo) {
+TEST(RelayServer, WhileDrainingItServesOnAndReportsIt) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.members = {member("furrow-self", "north", fleet.settings.http_address), member("other", "north", "10.0.0.1:1")};
@@ -438,13 +439,13 @@
   fleet.server->drain();
   EXPECT_EQ(readiness(fleet), 503u);
   EXPECT_EQ(directory(fleet, "north", "dublin").find(fleet.settings.http_address), std::string::npos);
-  EXPECT_TRUE(fleet.until([&] { return !fleet.told.back().ready; }));
+  EXPECT_TRUE(fleet.until([&] { return !fleet.reported_members.back().ready; }));
   last(&worker).line->send(success("q1", "good"));
   std::optional<Response> const answer = fleet.answer_on(under_way);
   EXPECT_EQ(status_of(answer), 200u);
   EXPECT_FALSE(answer->keep_alive());
   EXPECT_TRUE(fleet.until([&] { return under_way->ended; }, 1000));
-  // Those who still know its address are served for a while.
+  // Callers that still know its address are served for a while.
   std::shared_ptr<Line> const late = fleet.call(query("/once/a", "q2"));
   ASSERT_TRUE(fleet.arrived(worker, 2));
   last(&worker).line->send(success("q2", "good"));
@@ -454,7 +455,7 @@
   EXPECT_TRUE(fleet.server->busy());
 }
 
-TEST(RelayServer, TheDirectoryNamesReadyFurrowsNearOnesFirst) {
+TEST(RelayServer, TheDirectoryNamesReadyProxiesNearOnesFirst) {
   Fleet fleet;
   fleet.worker("w1");
   fleet.begin();
@@ -469,14 +470,14 @@
   EXPECT_EQ(own.find("10.0.0.2:1"), std::string::npos);
   EXPECT_EQ(own.find("10.0.0.4:1"), std::string::npos);
   EXPECT_NE(own.find("\"seconds\":2"), std::string::npos) << own;
-  // One alone in its hall is helped out by its region; a hall unknown here by all.
+  // A zone with a single proxy is filled up from its region, an unknown zone from all.
   EXPECT_NE(directory(fleet, "south", "dublin").find("10.0.0.1:1"), std::string::npos);
   EXPECT_NE(directory(fleet, "far", "cork").find("10.0.0.4:1"), std::string::npos);
   EXPECT_NE(directory(fleet, "none", "none").find("10.0.0.4:1"), std::string::npos);
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call(get("/other"), fleet.settings.directory_address))), 404u);
 }
 
-TEST(Limits, AQueryWithoutALaneIsToldSo) {
+TEST(Limits, AQueryWithoutARouteGets404) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -484,11 +485,11 @@
   std::optional<Response> const answer = fleet.answer_on(caller);
   EXPECT_EQ(status_of(answer), 404u);
   EXPECT_TRUE(answer->keep_alive());
-  caller->send(query("/plain/a", "q2"));  // the connection is as good as before
+  caller->send(query("/plain/a", "q2"));  // the connection is still usable
   EXPECT_TRUE(fleet.arrived(worker, 1));
 }
 
-TEST(RelayServer, AHeadOfOursHasNoBody) {
+TEST(RelayServer, OwnResponsesToHeadHaveNoBody) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.begin();
@@ -500,13 +501,13 @@
     EXPECT_NE(caller->got.find("\r\nContent-Length: "), std::string::npos);
     EXPECT_EQ(caller->got.find("\r\n\r\n") + 4, caller->got.size()) << caller->got;
     caller->got.clear();
-    caller->send(get("/none/b"));  // whose answer is whole
+    caller->send(get("/none/b"));  // whose response is complete
     EXPECT_EQ(status_of(fleet.answer_on(caller)), 404u);
   }
   EXPECT_TRUE(worker.arrivals.empty());
 }
 
-TEST(Limits, TooLargeHeadersAndWhatIsNoHeader) {
+TEST(Limits, TooLargeAndMalformedHeadersAreRefused) {
   Fleet fleet;
   fleet.routing_config.limits.header_bytes = 4096;
   Worker& worker = fleet.worker("w1");
@@ -515,15 +516,15 @@
       status_of(fleet.answer_on(fleet.call(query("/plain/a", "q1", "", "X-Long: " + std::string(5000, 'x') + "\r\n")))),
       431u);
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call("what is this\r\n\r\n"))), 400u);
-  // Two lengths: nothing may hide behind.
+  // Content-Length and Transfer-Encoding together: refused, as they allow request smuggling.
   EXPECT_EQ(status_of(fleet.answer_on(fleet.call("POST /plain/a HTTP/1.1\r\nHost: h.example\r\nContent-Length: "
                                                  "3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))),
             400u);
-  fleet.rest(20);
+  fleet.run_for(20);
   EXPECT_TRUE(worker.arrivals.empty());
 }
 
-TEST(Limits, BodiesTooLargeAnnouncedOrNot) {
+TEST(Limits, TooLargeBodiesAreRefusedAnnouncedOrNot) {
   Fleet fleet;
   fleet.routing_config.limits.body_bytes = 1000;
   Worker& worker = fleet.worker("w1");
@@ -533,14 +534,14 @@
                                                  "Transfer-Encoding: chunked\r\n\r\n" + chunk(std::string(1001, 'x')) +
                                                  "0\r\n\r\n"))),
             413u);
-  fleet.rest(20);
+  fleet.run_for(20);
   EXPECT_TRUE(worker.arrivals.empty());
   std::shared_ptr<Line> const largest = fleet.call(query("/plain/a", "q2", std::string(1000, 'x')));
   EXPECT_TRUE(fleet.arrived(worker, 1));
 }
 
-TEST(Limits, AnswersArriveThoughBytesAreUnread) {
-  // What was not read when the connection is closed would reset it.
+TEST(Limits, ResponsesArriveThoughBytesAreUnread) {
+  // Closing a connection with unread bytes would reset it, and the response might be lost.
   std::string const rest(30000, 'x');
   struct Case {
     std::string text;
@@ -570,7 +571,7 @@
   }
 }
 
-TEST(Limits, WhatComesTooSlowlyIsToldSo) {
+TEST(Limits, RequestsThatArriveTooSlowlyGet408) {
   Fleet fleet;
   fleet.routing_config.limits.header_wait_ms = 150;
   Worker& worker = fleet.worker("w1");
@@ -585,10 +586,10 @@
                                                    "Expect: 100-continue\r\nContent-Length: 9\r\n\r\n");
   EXPECT_EQ(status_of(fleet.answer_on(waiting)), 100u);
   EXPECT_EQ(status_of(fleet.answer_on(waiting)), 408u);
-  EXPECT_TRUE(worker.arrivals.empty());  // the promise that it has not run and never will
+  EXPECT_TRUE(worker.arrivals.empty());  // the response promises that it has not run and never will
 }
 
-TEST(Limits, HeadersThatDontComeAndIdleConnectionsEnd) {
+TEST(Limits, UnfinishedHeadersAndIdleConnectionsAreClosed) {
   Fleet fleet;
   fleet.routing_config.limits.header_wait_ms = 150;
   fleet.routing_config.limits.idle_ms = 300;
--- a/source/tests/relay/withheld_routing_config_test.cpp
+++ b/source/tests/relay/withheld_routing_config_test.cpp
@@ -6,23 +6,23 @@
 namespace finchlink::relay_test {
 namespace {
 
-/// A trellis that withholds the charter and gives it in small pieces.
-struct Withholding {
+/// A controller that leaves the routing configuration out of its updates and sends it in small pieces on request.
+struct PieceController {
   Fleet& fleet;
   std::string address;
   consensus::ValueSender sender{200};
   std::uint64_t pieces = 0;
-  std::uint64_t asks = 0;
-  std::uint64_t silent_at = 0;  ///< says nothing to this piece, as after a loss on the way
+  std::uint64_t requests = 0;
+  std::uint64_t unanswered_piece = 0;  ///< the request for this piece gets no response, as after a loss in the network
 
-  explicit Withholding(Fleet& fleet) : fleet(fleet), address(fleet.next_address()) {
+  explicit PieceController(Fleet& fleet) : fleet(fleet), address(fleet.next_address()) {
     EXPECT_TRUE(common::serve_frames(*fleet.context, address, 8, [this](schema::Message const& message, common::Yield) {
                   return answer(message);
                 }).ok());
   }
   std::optional<schema::Message> answer(schema::Message const& message) {
     if (schema::PieceRequest const* const request = std::get_if<schema::PieceRequest>(&message)) {
-      if (++pieces == silent_at) {
+      if (++pieces == unanswered_piece) {
         return std::nullopt;
       }
       consensus::TransferSource const source = [this](schema::TransferKey const& key) {
@@ -34,7 +34,7 @@
     if (ask == nullptr) {
       return std::nullopt;
     }
-    ++asks;
+    ++requests;
     schema::NewsAnswer reply;
     reply.confirmed = true;
     for (std::pair<std::string const, schema::NamedValue> const& entry : fleet.updates) {
@@ -50,26 +50,26 @@
   }
 };
 
-TEST(WithheldCharter, IsFetchedInPiecesAndComesIntoForceWhole) {
+TEST(WithheldRoutingConfig, IsFetchedInPiecesAndAppliedWhole) {
   Fleet fleet;
   Worker& worker = fleet.worker("w1");
   fleet.publish_routing_config(1);
-  Withholding controller(fleet);
-  controller.silent_at = 2;
+  PieceController controller(fleet);
+  controller.unanswered_piece = 2;
   fleet.settings.seeds = {controller.address};
   fleet.begin(false);
   ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
-  EXPECT_GE(controller.pieces, fleet.updates.at("charter").content.size() / 200 + 1);  // and the lost one once more
+  EXPECT_GE(controller.pieces, fleet.updates.at("charter").content.size() / 200 + 1);  // and the lost one again
   std::shared_ptr<Line> const caller = fleet.call(query("/plain/a", "q1", "body"));
   ASSERT_TRUE(fleet.arrived(worker, 1));
   worker.arrivals.back().line->send(success("q1", "done"));
   EXPECT_TRUE(fleet.answer_on(caller).has_value());
-  // A newer one comes into force as well, and the old one serves until then.
+  // A newer one is applied as well, and the old one serves until then.
   std::uint64_t const before = controller.pieces;
   fleet.publish_routing_config(2);
   ASSERT_TRUE(fleet.until([&] { return controller.pieces > before; }));
   EXPECT_TRUE(fleet.server->ready());
-  ASSERT_TRUE(fleet.until([&] { return controller.asks > 0 && controller.sender.kept() == 2; }));
+  ASSERT_TRUE(fleet.until([&] { return controller.requests > 0 && controller.sender.kept() == 2; }));
 }
 
 }  // namespace
