--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -218,7 +218,8 @@
   std::vector<std::string> const halls = config::evacuated_zones(evacuated.content);
   schema::PlatformList const list = updates_.list();
   std::lock_guard<std::mutex> const guard(lock_);
-  return scheduling::pools_of(list, routing_config_, known.regions, std::set<std::string>(halls.begin(), halls.end()));
+  return scheduling::build_pools(list, routing_config_, known.regions,
+                                 std::set<std::string>(halls.begin(), halls.end()));
 }
 
 void LeasedTasks::feed_scalers() {
@@ -229,8 +230,9 @@
     std::lock_guard<std::mutex> const guard(lock_);
     for (schema::Session const& session : told) {
       for (schema::FurrowReport const& report : session.reports) {
-        for (std::pair<std::string const, schema::FurrowReport> const& part : scheduling::apart(report, there)) {
-          scalers_[part.first].report(part.second, scheduling::aims_of(known, there.at(part.first)),
+        for (std::pair<std::string const, schema::FurrowReport> const& part :
+             scheduling::split_report_by_pool(report, there)) {
+          scalers_[part.first].report(part.second, scheduling::make_scaler_aims(known, there.at(part.first)),
                                       common::boot_now());
         }
       }
@@ -266,11 +268,11 @@
       workers.push_back(worker.id);
     }
   }
-  scheduling::ScalerAction action = scheduling::Rest{"no workers"};
+  scheduling::ScalerAction action = scheduling::NoChange{"no workers"};
   {
     std::lock_guard<std::mutex> const guard(lock_);
     action = scalers_[region].tick(current, value.revision, workers, known.scaler, known.workers, common::boot_now());
-    if (scheduling::Rest const* const rest = std::get_if<scheduling::Rest>(&action)) {
+    if (scheduling::NoChange const* const rest = std::get_if<scheduling::NoChange>(&action)) {
       reasons_["scaler/" + region] = rest->reason;
     }
   }
@@ -284,20 +286,20 @@
   schema::Value const value = register_.value(consensus::split_register(name));
   absl::StatusOr<schema::Split> const read = scheduling::read_split(value.content);
   schema::Split const current = value.revision > 0 && read.ok() ? *read : schema::Split();
-  schema::ScalerAims const aims = scheduling::aims_of(settings(), pool);
+  schema::ScalerAims const aims = scheduling::make_scaler_aims(settings(), pool);
   schema::WorkerBounds bounds;
   bounds.limit = std::max<std::uint64_t>(1, pool.capacity);
-  scheduling::ScalerAction action = scheduling::Rest{""};
+  scheduling::ScalerAction action = scheduling::NoChange{""};
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    scalers_[name].aim_at(pool.set_point, constants::min_long_share, constants::max_long_share);
+    scalers_[name].set_targets(pool.set_point, constants::min_long_share, constants::max_long_share);
     action = scalers_[name].tick(current, value.revision, pool.workers, aims, bounds, common::boot_now(), pool.fixed);
-    if (scheduling::Rest const* const rest = std::get_if<scheduling::Rest>(&action)) {
+    if (scheduling::NoChange const* const rest = std::get_if<scheduling::NoChange>(&action)) {
       reasons_["scaler/" + pool.region] = pool.service + ": " + rest->reason;
     }
   }
   if (scheduling::WriteSplit const* const write = std::get_if<scheduling::WriteSplit>(&action)) {
-    write_split(name, value.revision, scheduling::pruned(write->split, pool.listed), held, yield);
+    write_split(name, value.revision, scheduling::prune_split(write->split, pool.listed), held, yield);
   }
 }
 
--- a/source/control_plane/updates/updates.cpp
+++ b/source/control_plane/updates/updates.cpp
@@ -403,7 +403,7 @@
   answer.list = std::move(list.list);
   answer.list_gone = std::move(list.gone);
   answer.list_age = listing_.age(common::boot_now());
-  answer.report_ms = scheduling::report_ms_of(settings_);
+  answer.report_ms = scheduling::report_interval_ms(settings_);
   answer.reports_taken = newest_slice_[ask.member.incarnation];
   // Near ones first: bytes between regions and halls are paid for. Those that leave come last.
   constexpr int farthest = 3;
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -34,7 +34,7 @@
         });
         next->setup = reading.setup;
         next->has_setup = !update.content.empty();  // an id given up before the first setup leaves none
-        next->decided = update.revision;
+        next->setup_revision = update.revision;
         common::note(common::Event::RevisionAdopted, "setup revision " + std::to_string(update.revision));
       } else if (update.name.rfind("split/", 0) == 0) {
         absl::StatusOr<common::Tree> const tree = common::read_tree(update.content);
@@ -55,7 +55,7 @@
       next->list = answer.list;
     }
     scheduling::derive(*next, settings_.name, settings_.hall);
-    changed = next->decided != plan_->decided || next->allowed != plan_->allowed;
+    changed = next->setup_revision != plan_->setup_revision || next->allowed != plan_->allowed;
     plan_ = next;
   }
   reconcile();
@@ -82,7 +82,7 @@
   if (!confirmed(now) || !list_fresh(now)) {
     return false;
   }
-  return scheduling::may_go(*plan(), rule, worker);
+  return scheduling::may_send_to(*plan(), rule, worker);
 }
 
 void ProxyState::reconcile() {
--- a/source/data_plane/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -139,11 +139,11 @@
   /// Section 9.7: what was decided by an earlier plan is decided anew by the
   /// one in force. True: what it may do or where it may go is another now.
   bool follow_plan() {
-    scheduling::Footing footing{plan_, serve_, rule_, home_};
-    scheduling::Header const header{
+    scheduling::QueryConfig footing{plan_, serve_, rule_, home_};
+    scheduling::RequestHead const header{
         std::string(facts_.header.method_string()), facts_.target.substr(0, facts_.target.find('?')),
         [this](std::string const& name) { return std::string(facts_.header[name]); }, facts_.body.size()};
-    scheduling::Followed const followed = scheduling::follow(footing, field_.plan(), header);
+    scheduling::Reevaluation const followed = scheduling::reevaluate(footing, field_.plan(), header);
     plan_ = footing.plan;
     serve_ = footing.serve;
     rule_ = footing.rule;
@@ -253,12 +253,12 @@
     scheduling::Ticket ticket;
     ticket.id = ticket_id;
     ticket.rule = serve_.rule;
-    ticket.allowed = scheduling::allowed_for(*plan_, serve_.rule);
+    ticket.allowed = scheduling::allowed_workers(*plan_, serve_.rule);
     ticket.chain = chain_;
     ticket.tokens = tokens_;
     ticket.outputs = field_.outputs(serve_.rule);
     ticket.phase =
-        scheduling::wanted_phase(*plan_, rule_.kind, paired(), leg_ == Leg::decode, ticket.tokens, ticket.outputs);
+        scheduling::preferred_phase(*plan_, rule_.kind, paired(), leg_ == Leg::decode, ticket.tokens, ticket.outputs);
     phase_ = ticket.phase;
     ticket.deadline = deadline_;
     ticket.begun = !kv_.empty();
@@ -616,7 +616,7 @@
       schema::Sample sample;
       sample.worker = go_.worker;
       sample.decode = true;
-      sample.seconds = scheduling::middle(gaps);
+      sample.seconds = scheduling::median(gaps);
       sample.iterations = iterations;
       sample.spread =
           scheduling::spread(plan_->setup.scaler.experts_share, plan_->setup.scaler.tokens_forward, running);
@@ -631,7 +631,8 @@
     if (state_machine_.settled()) {
       return;
     }
-    std::vector<schema::Member> const targets = scheduling::pass_targets(*plan_, field_.name(), pool(), serve_.bound);
+    std::vector<schema::Member> const targets =
+        scheduling::forward_targets(*plan_, field_.name(), pool(), serve_.bound);
     if (targets.empty() || !field_.confirmed(common::boot_now())) {
       feed(scheduling::NoCapacity{});
       return;
--- a/source/data_plane/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -125,7 +125,7 @@
           server.route_table()->find(view(parser.get()[http::field::host]), view(parser.get().target()));
       if (route != nullptr && route->tenancy.has_value()) {
         scheduling::TenantReading const reading = tenant_of(*route->tenancy, parser.get());
-        if (reading.end == scheduling::TenantEnd::refused) {
+        if (reading.end == scheduling::TenantStatus::refused) {
           reject_unread(*socket, *alarm, *timeout, "400 Bad Request", query_id_line, reading.fault, bare, yield);
           server.query_closed();
           break;
--- a/source/data_plane/relay/prompt_isolation.cpp
+++ b/source/data_plane/relay/prompt_isolation.cpp
@@ -71,7 +71,7 @@
       absl::StatusOr<scheduling::Secrets> secrets = load_secrets(settings_.secrets_file);
       if (secrets.ok()) {
         common::note(common::Event::SecretsRead, std::to_string(secrets->moved) + " of 100");
-        isolation_.take(std::move(*secrets));
+        isolation_.set_secrets(std::move(*secrets));
       } else {
         common::note(common::Event::SecretsBroken, std::string(secrets.status().message()));
       }
@@ -110,7 +110,7 @@
        << "\nrelay_wall_queries_total " << sum.queries << "\nrelay_wall_cold_total " << sum.cold
        << "\nrelay_wall_tokens_total " << static_cast<std::uint64_t>(sum.tokens) << "\nrelay_wall_reused_tokens_total "
        << static_cast<std::uint64_t>(sum.reused) << "\nrelay_wall_other_weights_total " << isolation.other_weights()
-       << "\nrelay_wall_keyed " << (isolation.keyed() ? 1 : 0) << "\n";
+       << "\nrelay_wall_keyed " << (isolation.has_secrets() ? 1 : 0) << "\n";
   return text.str();
 }
 
--- a/source/data_plane/relay/tenant_prompt.cpp
+++ b/source/data_plane/relay/tenant_prompt.cpp
@@ -18,14 +18,14 @@
   }
   scheduling::TenantReading const reading = tenant_of(*route_.tenancy, query_.header);
   schema::Tenant const* const tenant = route_table_->tenant(reading.name);
-  tenant_error_ = reading.end == scheduling::TenantEnd::refused ? reading.fault : "";
-  if (tenant != nullptr && !scheduling::join_homes(route_.home_regions, tenant->home_regions, home_regions_)) {
+  tenant_error_ = reading.end == scheduling::TenantStatus::refused ? reading.fault : "";
+  if (tenant != nullptr && !scheduling::intersect_homes(route_.home_regions, tenant->home_regions, home_regions_)) {
     tenant_error_ = "no_home";
   }
-  prompt_ = scheduling::Prompt{reading.name, model_of(query_.header, dialect.model),
-                               scheduling::named_parts(view(query_.header[dialect.parts])),
-                               route_.tenancy->public_parts, scheduling::realm_of(*route_.tenancy, route_.name)};
-  placement_request_.parts = server_.isolation().place(*prompt_);
+  prompt_ = scheduling::Prompt{
+      reading.name, model_of(query_.header, dialect.model), scheduling::parse_parts(view(query_.header[dialect.parts])),
+      route_.tenancy->public_parts, scheduling::tenant_namespace_of(*route_.tenancy, route_.name)};
+  placement_request_.parts = server_.isolation().placement_parts(*prompt_);
 }
 
 void Relay::apply_isolation_response(WorkerHeader const& got, bool ran) {
@@ -38,12 +38,13 @@
     answer.reused = static_cast<double>(leading_number(view(got[dialect.reused]), 0));
   }
   for (scheduling::IsolationAction const& action :
-       server_.isolation().heard(answer, isolated_prompt_, placement_request_.tokens - assignment_.uncached)) {
+       server_.isolation().handle_answer(answer, isolated_prompt_, placement_request_.tokens - assignment_.uncached)) {
     if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
       server_.balancer().forget_isolated(forget->worker);
-    } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
+    } else if (scheduling::PartsEvicted const* const gave_up = std::get_if<scheduling::PartsEvicted>(&action)) {
       server_.balancer().mark_evicted(gave_up->worker, placement_request_.parts, gave_up->tokens);
-    } else if (scheduling::Crossed const* const crossed = std::get_if<scheduling::Crossed>(&action)) {
+    } else if (scheduling::IsolationViolated const* const crossed =
+                   std::get_if<scheduling::IsolationViolated>(&action)) {
       common::note(common::Event::WallCrossed,
                    crossed->worker + " " + std::to_string(static_cast<std::uint64_t>(crossed->tokens)) + " " + id_);
     } else if (scheduling::RanOtherWeights const* const other = std::get_if<scheduling::RanOtherWeights>(&action)) {
--- a/source/data_plane/relay/worker_answer.cpp
+++ b/source/data_plane/relay/worker_answer.cpp
@@ -84,7 +84,7 @@
   common::Moment const sent = common::boot_now();
   arm_stall_detector(route_.set_point_ms, sent);
   if (prompt_.has_value()) {
-    isolated_prompt_ = server_.isolation().send(*prompt_, assignment_.worker, draw_nonce());
+    isolated_prompt_ = server_.isolation().isolate(*prompt_, assignment_.worker, draw_nonce());
   }
   begin_sending();
   if (!read_head(*reading_)) {
--- a/source/scheduling/observer/observer.cpp
+++ b/source/scheduling/observer/observer.cpp
@@ -60,7 +60,7 @@
     schema::Sample& sample = samples_[{observation.worker, true}];
     sample.worker = observation.worker;
     sample.decode = true;
-    sample.seconds = middle(observation.gaps) / stride;
+    sample.seconds = median(observation.gaps) / stride;
     sample.running = observation.running > 1 ? observation.running : 1;
     sample.spread = spread(experts_share, 1, sample.running);
   }
--- a/source/scheduling/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -71,12 +71,12 @@
   }
 }
 
-std::vector<std::string> allowed_for(Plan const& plan, std::string const& rule) {
+std::vector<std::string> allowed_workers(Plan const& plan, std::string const& rule) {
   std::map<std::string, std::vector<std::string>>::const_iterator const found = plan.allowed.find(rule);
   return found == plan.allowed.end() ? std::vector<std::string>{} : found->second;
 }
 
-bool may_go(Plan const& plan, std::string const& rule, std::string const& worker) {
+bool may_send_to(Plan const& plan, std::string const& rule, std::string const& worker) {
   std::map<std::string, std::vector<std::string>>::const_iterator const allowed = plan.allowed.find(rule);
   if (allowed == plan.allowed.end() ||
       std::find(allowed->second.begin(), allowed->second.end(), worker) == allowed->second.end()) {
@@ -92,8 +92,8 @@
   return false;
 }
 
-Phase wanted_phase(Plan const& plan, std::string const& kind, bool paired, bool second_leg, double tokens,
-                   double outputs) {
+Phase preferred_phase(Plan const& plan, std::string const& kind, bool paired, bool second_leg, double tokens,
+                      double outputs) {
   if (kind != "model") {
     return Phase::both;
   }
@@ -110,8 +110,8 @@
   return model.prefill_seconds(tokens, 0) >= decode ? Phase::prefill : Phase::decode;
 }
 
-std::vector<schema::Member> pass_targets(Plan const& plan, std::string const& self, std::string const& pool,
-                                         bool bound) {
+std::vector<schema::Member> forward_targets(Plan const& plan, std::string const& self, std::string const& pool,
+                                            bool bound) {
   std::vector<schema::Member> near;
   std::vector<schema::Member> far;
   for (schema::Member const& member : plan.members) {
@@ -134,7 +134,8 @@
   }
   std::shared_ptr<Plan const> const before = footing.plan;
   footing.plan = current;
-  bool const other_workers = allowed_for(*current, footing.serve.rule) != allowed_for(*before, footing.serve.rule);
+  bool const other_workers =
+      allowed_workers(*current, footing.serve.rule) != allowed_workers(*before, footing.serve.rule);
   if (current->decided == before->decided) {
     followed.changed = other_workers;
     return followed;
--- a/source/scheduling/plan/plan.hpp
+++ b/source/scheduling/plan/plan.hpp
@@ -38,19 +38,19 @@
 /// Works out the derived parts: region, allowed workers, wishes.
 void derive(Plan& plan, std::string const& self, std::string const& hall);
 
-[[nodiscard]] std::vector<std::string> allowed_for(Plan const& plan, std::string const& rule);
+[[nodiscard]] std::vector<std::string> allowed_workers(Plan const& plan, std::string const& rule);
 /// May bytes of a query of the rule go to the worker, as far as the plan says?
-[[nodiscard]] bool may_go(Plan const& plan, std::string const& rule, std::string const& worker);
+[[nodiscard]] bool may_send_to(Plan const& plan, std::string const& rule, std::string const& worker);
 
 /// Section 8.6: paired queries run their legs on the two phases; a whole one
 /// goes to the phase whose predicted cost weighs most.
-[[nodiscard]] Phase wanted_phase(Plan const& plan, std::string const& kind, bool paired, bool second_leg, double tokens,
-                                 double outputs);
+[[nodiscard]] Phase preferred_phase(Plan const& plan, std::string const& kind, bool paired, bool second_leg,
+                                    double tokens, double outputs);
 
 /// Whom a query may be passed on to (section 9.4): furrows of this region that
 /// report room, then, without a home, those of the other.
-[[nodiscard]] std::vector<schema::Member> pass_targets(Plan const& plan, std::string const& self,
-                                                       std::string const& pool, bool bound);
+[[nodiscard]] std::vector<schema::Member> forward_targets(Plan const& plan, std::string const& self,
+                                                          std::string const& pool, bool bound);
 
 /// What a query was decided to be, by which plan (section 9.7).
 struct Footing {
--- a/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
+++ b/source/scheduling/prompt_cache/prompt_cache_estimate.cpp
@@ -63,7 +63,7 @@
 
 void PromptCacheEstimate::record_eviction(std::vector<PromptPart> const& parts, double tokens) {
   if (is_isolated(parts) && isolated_ != nullptr) {
-    isolated_->gave_up(chain_keys(parts), tokens);
+    isolated_->record_eviction(chain_keys(parts), tokens);
   }
 }
 
--- a/source/scheduling/prompt_isolation/prompt_isolation.cpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.cpp
@@ -38,7 +38,7 @@
 }
 }  // namespace
 
-std::vector<NamedPart> named_parts(std::string_view text) {
+std::vector<NamedPart> parse_parts(std::string_view text) {
   std::vector<NamedPart> parts;
   while (!text.empty()) {
     std::string_view entry = text.substr(0, text.find(','));
@@ -162,7 +162,7 @@
     versions_[answer.worker] = answer.version;
     actions.push_back(ForgetWorker{answer.worker});
   } else if (answer.reused.has_value() && *answer.reused < predicted) {
-    actions.push_back(GaveUp{answer.worker, *answer.reused});
+    actions.push_back(PartsEvicted{answer.worker, *answer.reused});
   }
   return actions;
 }
--- a/source/scheduling/prompt_isolation/prompt_isolation.hpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.hpp
@@ -24,7 +24,7 @@
 };
 /// ID:TOKENS by commas; what is no part is left out. Where there are very many,
 /// the last ones are taken for one part.
-[[nodiscard]] std::vector<NamedPart> named_parts(std::string_view text);
+[[nodiscard]] std::vector<NamedPart> parse_parts(std::string_view text);
 
 /// Rules that tests switch off to show that they are needed.
 struct IsolationGuards {
@@ -58,7 +58,7 @@
   std::string worker;
 };
 /// It kept only this much of the query's prompt.
-struct GaveUp {
+struct PartsEvicted {
   std::string worker;
   double tokens = 0;
 };
@@ -72,7 +72,7 @@
   std::string worker;
   std::string expected;
 };
-using IsolationAction = std::variant<ForgetWorker, GaveUp, Crossed, RanOtherWeights>;
+using IsolationAction = std::variant<ForgetWorker, PartsEvicted, Crossed, RanOtherWeights>;
 
 struct TenantTally {
   std::uint64_t queries = 0;
--- a/source/scheduling/prompt_isolation/tenant.cpp
+++ b/source/scheduling/prompt_isolation/tenant.cpp
@@ -59,29 +59,29 @@
   TenantReading reading;
   if (!tenancy.header.empty()) {
     if (values.size() > 1) {
-      return TenantReading{TenantEnd::refused, "", "ambiguous_tenant"};
+      return TenantReading{TenantStatus::refused, "", "ambiguous_tenant"};
     }
     reading.name = values.empty() ? "" : std::string(values.front());
     if (reading.name.find(',') != std::string::npos) {  // what two fields are once they are joined (RFC 9110, 5.3)
-      return TenantReading{TenantEnd::refused, "", "ambiguous_tenant"};
+      return TenantReading{TenantStatus::refused, "", "ambiguous_tenant"};
     }
   } else if (!read_segment(target, tenancy.path_segment, reading.name)) {
-    return TenantReading{TenantEnd::refused, "", "malformed_tenant"};
+    return TenantReading{TenantStatus::refused, "", "malformed_tenant"};
   }
   if (reading.name.empty()) {
-    return tenancy.required ? TenantReading{TenantEnd::refused, "", "no_tenant"} : reading;
+    return tenancy.required ? TenantReading{TenantStatus::refused, "", "no_tenant"} : reading;
   }
   bool const plain = std::all_of(reading.name.begin(), reading.name.end(), [](char letter) {
     return static_cast<unsigned char>(letter) > 0x20 && static_cast<unsigned char>(letter) != 0x7f;
   });
   if (!plain || reading.name.size() > common::constants::tenant_bytes) {
-    return TenantReading{TenantEnd::refused, "", "malformed_tenant"};
+    return TenantReading{TenantStatus::refused, "", "malformed_tenant"};
   }
-  reading.end = TenantEnd::named;
+  reading.end = TenantStatus::named;
   return reading;
 }
 
-std::string realm_of(schema::Tenancy const& tenancy, std::string_view route) {
+std::string tenant_namespace_of(schema::Tenancy const& tenancy, std::string_view route) {
   if (tenancy.header.empty()) {
     return "path " + std::string(route);
   }
@@ -92,8 +92,8 @@
   return realm;
 }
 
-bool join_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
-                std::vector<std::string>& joined) {
+bool intersect_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
+                     std::vector<std::string>& joined) {
   if (tenant.empty() || route.empty()) {
     joined = tenant.empty() ? route : tenant;
     return true;
--- a/source/scheduling/prompt_isolation/tenant.hpp
+++ b/source/scheduling/prompt_isolation/tenant.hpp
@@ -8,10 +8,10 @@
 
 namespace finchlink::scheduling {
 
-enum class TenantEnd { named, absent, refused };
+enum class TenantStatus { named, absent, refused };
 /// Which tenant a query names, or why it is refused (section 14.1).
 struct TenantReading {
-  TenantEnd end = TenantEnd::absent;
+  TenantStatus end = TenantStatus::absent;
   std::string name;
   char const* fault = "";  ///< for the answer, when refused
 };
@@ -24,11 +24,11 @@
 /// Where a tenant's name stands: customer 7 of one header and rider 7 of a path
 /// are two. Lanes that name tenants by the same header have one realm; a lane
 /// that names them in its path has one of its own.
-[[nodiscard]] std::string realm_of(schema::Tenancy const& tenancy, std::string_view route);
+[[nodiscard]] std::string tenant_namespace_of(schema::Tenancy const& tenancy, std::string_view route);
 
 /// Regions that both allow; the lane's own when the tenant names none.
 /// False: none is left, and the query has no place.
-[[nodiscard]] bool join_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
-                              std::vector<std::string>& joined);
+[[nodiscard]] bool intersect_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
+                                   std::vector<std::string>& joined);
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/scaler/pools.cpp
+++ b/source/scheduling/scaler/pools.cpp
@@ -33,9 +33,9 @@
   return region + "/" + service;
 }
 
-std::map<std::string, Pool> pools_of(schema::PlatformList const& list, schema::Charter const& routing_config,
-                                     std::map<std::string, std::string> const& regions,
-                                     std::set<std::string> const& evacuated) {
+std::map<std::string, Pool> build_pools(schema::PlatformList const& list, schema::Charter const& routing_config,
+                                        std::map<std::string, std::string> const& regions,
+                                        std::set<std::string> const& evacuated) {
   std::map<std::string, Pool> pools;
   std::map<std::string, schema::Service const*> services;
   for (schema::Service const& service : routing_config.services) {
@@ -81,7 +81,7 @@
   return pools;
 }
 
-schema::ScalerAims aims_of(schema::Settings const& settings, Pool const& pool) {
+schema::ScalerAims make_scaler_aims(schema::Settings const& settings, Pool const& pool) {
   schema::ScalerAims aims;
   aims.manner = "whole";
   aims.window_ms = settings.scaler_window_ms;
@@ -94,7 +94,7 @@
   return aims;
 }
 
-std::uint64_t report_ms_of(schema::Settings const& settings) {
+std::uint64_t report_interval_ms(schema::Settings const& settings) {
   if (settings.scaler != "on") {
     return 0;
   }
--- a/source/scheduling/scaler/pools.hpp
+++ b/source/scheduling/scaler/pools.hpp
@@ -28,15 +28,15 @@
 [[nodiscard]] std::string pool_name(std::string const& region, std::string const& service);
 
 /// By name.
-[[nodiscard]] std::map<std::string, Pool> pools_of(schema::PlatformList const& list,
-                                                   schema::Charter const& routing_config,
-                                                   std::map<std::string, std::string> const& regions,
-                                                   std::set<std::string> const& evacuated);
+[[nodiscard]] std::map<std::string, Pool> build_pools(schema::PlatformList const& list,
+                                                      schema::Charter const& routing_config,
+                                                      std::map<std::string, std::string> const& regions,
+                                                      std::set<std::string> const& evacuated);
 
 /// The scaler's aims for a pool, from the options of this process.
-[[nodiscard]] schema::ScalerAims aims_of(schema::Settings const& settings, Pool const& pool);
+[[nodiscard]] schema::ScalerAims make_scaler_aims(schema::Settings const& settings, Pool const& pool);
 /// How often furrows are asked for reports, in milliseconds; 0: never.
-[[nodiscard]] std::uint64_t report_ms_of(schema::Settings const& settings);
+[[nodiscard]] std::uint64_t report_interval_ms(schema::Settings const& settings);
 
 /// A report taken apart by pools; rows go to the pool of their worker.
 [[nodiscard]] std::map<std::string, schema::FurrowReport> apart(schema::FurrowReport const& report,
--- a/source/simulator/prompt_isolation/prompt_isolation.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -155,7 +155,7 @@
       if (!proxy.up || proxy.life != life) {
         return;
       }
-      proxy.isolation->take(secrets_);
+      proxy.isolation->set_secrets(secrets_);
       follow_secrets(index, life);
     });
   }
@@ -254,7 +254,7 @@
         query->tenant, "m", query->parts,
         query->open ? std::vector<std::string>{public_part} : std::vector<std::string>(), "header customer"};
     flight->wanted.shares.push_back(schema::Share{"model", 1});
-    flight->wanted.parts = proxy.isolation->place(flight->prompt);
+    flight->wanted.parts = proxy.isolation->placement_parts(flight->prompt);
     flight->wanted.tokens = query->tokens;
     flight->wanted.outputs = 12;
     flight->wanted.avoid = query->avoid;
@@ -314,7 +314,7 @@
       return;
     }
     flight->isolated =
-        proxy->isolation->send(flight->prompt, flight->assignment.worker, {kernel_.draw(), kernel_.draw()});
+        proxy->isolation->isolate(flight->prompt, flight->assignment.worker, {kernel_.draw(), kernel_.draw()});
     report_.cold += flight->isolated.cold ? 1 : 0;
     proxy->known.insert(flight->query->reader);
     kernel_.after(way(proxy->region, worker->region), [this, flight] { reach(flight); });
@@ -341,7 +341,7 @@
       return;
     }
     std::vector<fake_workers::CachePart> parts;
-    for (scheduling::NamedPart const& part : scheduling::named_parts(flight->isolated.header)) {
+    for (scheduling::NamedPart const& part : scheduling::parse_parts(flight->isolated.header)) {
       parts.push_back(fake_workers::CachePart{part.id, part.tokens, flight->query->open && parts.empty()});
     }
     fake_workers::CacheReading const reading = worker->cache.read(flight->query->reader, worker->weights, parts);
@@ -403,10 +403,10 @@
     scheduling::IsolationAnswer const answer{flight.assignment.worker, weights.empty() ? worker.weights : weights,
                                              reused, reused.has_value()};
     for (scheduling::IsolationAction const& action :
-         proxy.isolation->heard(answer, flight.isolated, flight.query->tokens - flight.assignment.uncached)) {
+         proxy.isolation->handle_answer(answer, flight.isolated, flight.query->tokens - flight.assignment.uncached)) {
       if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
         proxy.balancer->forget_isolated(forget->worker);
-      } else if (scheduling::GaveUp const* const gave_up = std::get_if<scheduling::GaveUp>(&action)) {
+      } else if (scheduling::PartsEvicted const* const gave_up = std::get_if<scheduling::PartsEvicted>(&action)) {
         proxy.balancer->mark_evicted(gave_up->worker, flight.wanted.parts, gave_up->tokens);
       }
     }
--- a/source/simulator/query_path/answers.cpp
+++ b/source/simulator/query_path/answers.cpp
@@ -101,7 +101,7 @@
     schema::Sample sample;
     sample.worker = query.worker;
     sample.decode = true;
-    sample.seconds = scheduling::middle(query.gaps);
+    sample.seconds = scheduling::median(query.gaps);
     sample.spread = scheduling::spread(options_.aims.experts_share, 1, running);
     sample.running = running;
     proxy.samples.push_back(sample);
--- a/source/simulator/query_path/arrivals.cpp
+++ b/source/simulator/query_path/arrivals.cpp
@@ -141,7 +141,7 @@
   }
   Proxy const& from = *proxies_[query->proxy];
   std::vector<schema::Member> const targets =
-      scheduling::pass_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
+      scheduling::forward_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
   if (targets.empty()) {
     feed(query, scheduling::NoCapacity{});
     return;
--- a/source/simulator/query_path/dispatch.cpp
+++ b/source/simulator/query_path/dispatch.cpp
@@ -41,7 +41,7 @@
     return;
   }
   if (options_.decide_anew &&
-      (follow(query) || !scheduling::may_go(*proxy.plan, query->footing.serve.rule, worker->id))) {
+      (follow(query) || !scheduling::may_send_to(*proxy.plan, query->footing.serve.rule, worker->id))) {
     end_dispatch(query, scheduling::Ending::abandoned, scheduling::PlacementWithdrawn{});
     return;
   }
--- a/source/simulator/query_path/nodes.hpp
+++ b/source/simulator/query_path/nodes.hpp
@@ -93,7 +93,7 @@
   std::size_t mix = 0;
   std::size_t proxy = 0;
   std::string home;  ///< as its caller names it
-  scheduling::Footing footing;
+  scheduling::QueryConfig footing;
   std::unique_ptr<scheduling::QueryStateMachine> state_machine;
   std::uint64_t ticket = 0;
   std::uint64_t dispatch = 0;
--- a/source/simulator/query_path/placement.cpp
+++ b/source/simulator/query_path/placement.cpp
@@ -19,14 +19,14 @@
   scheduling::Ticket ticket;
   ticket.id = next_ticket_++;
   ticket.rule = query->footing.serve.rule;
-  ticket.allowed = scheduling::allowed_for(*query->footing.plan, ticket.rule);
+  ticket.allowed = scheduling::allowed_workers(*query->footing.plan, ticket.rule);
   ticket.chain = query->chain;
   ticket.tokens = query->tokens;
   ticket.outputs = proxy.outputs.try_emplace(ticket.rule, first_guess_of_outputs).first->second;
   bool const paired = query->has_kv || options_.aims.manner == "paired";
   query->decode_leg = paired && query->has_kv;
-  ticket.phase =
-      scheduling::wanted_phase(*query->footing.plan, "model", paired, query->decode_leg, ticket.tokens, ticket.outputs);
+  ticket.phase = scheduling::preferred_phase(*query->footing.plan, "model", paired, query->decode_leg, ticket.tokens,
+                                             ticket.outputs);
   query->phase = ticket.phase;
   ticket.deadline = query->deadline;
   ticket.begun = query->has_kv;
--- a/source/simulator/query_path/proxy_loops.cpp
+++ b/source/simulator/query_path/proxy_loops.cpp
@@ -44,7 +44,7 @@
     return;
   }
   std::shared_ptr<scheduling::Plan> const plan = make_plan(proxy);
-  bool const turned = plan->decided != proxy.plan->decided || plan->allowed != proxy.plan->allowed;
+  bool const turned = plan->setup_revision != proxy.plan->setup_revision || plan->allowed != proxy.plan->allowed;
   proxy.plan = plan;
   obey(proxy.placement.update(plan->desired_workers["model"], options_.bounds, options_.aims, plan->proxies_here,
                               kernel_.now()));
@@ -56,7 +56,7 @@
 std::shared_ptr<scheduling::Plan> World::make_plan(Proxy& proxy) {
   std::shared_ptr<scheduling::Plan> const plan = std::make_shared<scheduling::Plan>();
   plan->has_setup = true;
-  plan->decided = proxy.revision;
+  plan->setup_revision = proxy.revision;
   plan->setup = setups_.at(proxy.revision);
   plan->setup.scaler = options_.aims;
   plan->setup.workers = options_.bounds;
--- a/source/simulator/query_path/setups.cpp
+++ b/source/simulator/query_path/setups.cpp
@@ -34,8 +34,8 @@
     return false;
   }
   QueryPathMix const& mix = options_.deployment.mixes[query->mix];
-  scheduling::Header const header{mix.method, mix.path, headers_with(query->home), 0};
-  scheduling::Followed followed = scheduling::follow(query->footing, proxies_[query->proxy]->plan, header);
+  scheduling::RequestHead const header{mix.method, mix.path, headers_with(query->home), 0};
+  scheduling::Reevaluation followed = scheduling::reevaluate(query->footing, proxies_[query->proxy]->plan, header);
   report_.decided_anew += followed.changed ? 1 : 0;
   if (followed.decided.has_value()) {
     followed.decided->repeatable = followed.decided->repeatable || !options_.dispatch_once;
--- a/source/tests/config/tenancy_test.cpp
+++ b/source/tests/config/tenancy_test.cpp
@@ -65,16 +65,16 @@
 
 TEST(Tenant, IsReadFromItsHeader) {
   EXPECT_EQ(scheduling::read_tenant(by_header(true), {"acme"}, "/").name, "acme");
-  EXPECT_EQ(scheduling::read_tenant(by_header(true), {}, "/").end, scheduling::TenantEnd::refused);
-  EXPECT_EQ(scheduling::read_tenant(by_header(true), {""}, "/").end, scheduling::TenantEnd::refused);
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {}, "/").end, scheduling::TenantEnd::absent);
+  EXPECT_EQ(scheduling::read_tenant(by_header(true), {}, "/").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(true), {""}, "/").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {}, "/").end, scheduling::TenantStatus::absent);
   // Which of two a worker or a log would take is not known.
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"acme", "acme"}, "/").end, scheduling::TenantEnd::refused);
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"a b"}, "/").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"acme", "acme"}, "/").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"a b"}, "/").end, scheduling::TenantStatus::refused);
   // Two fields that somebody on the way has joined are still two.
   EXPECT_STREQ(scheduling::read_tenant(by_header(false), {"acme,other"}, "/").fault, "ambiguous_tenant");
   EXPECT_EQ(scheduling::read_tenant(by_header(false), {std::string(129, 'x')}, "/").end,
-            scheduling::TenantEnd::refused);
+            scheduling::TenantStatus::refused);
 }
 
 TEST(Tenant, IsReadFromThePath) {
@@ -82,10 +82,10 @@
   tenancy.path_segment = 2;
   EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/acme/x?y=/z").name, "acme");
   EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%61cme/x").name, "acme");
-  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%6/x").end, scheduling::TenantEnd::refused);
-  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%00/x").end, scheduling::TenantEnd::refused);
-  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v").end, scheduling::TenantEnd::refused);
-  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v?/acme").end, scheduling::TenantEnd::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%6/x").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/%00/x").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v?/acme").end, scheduling::TenantStatus::refused);
   EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/acme/x?y=/../z").name, "acme");
   EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/acme//x").name, "acme");
   EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/..acme/x").name, "..acme");
@@ -110,22 +110,22 @@
 TEST(Tenant, OneNameInTwoRealmsIsTwoTenants) {
   schema::Tenancy lower = by_header(true);
   lower.header = "customer";
-  EXPECT_EQ(scheduling::realm_of(by_header(true), "logs"), scheduling::realm_of(lower, "diffs"));
+  EXPECT_EQ(scheduling::tenant_namespace_of(by_header(true), "logs"), scheduling::tenant_namespace_of(lower, "diffs"));
   schema::Tenancy path;
   path.path_segment = 3;
-  EXPECT_NE(scheduling::realm_of(path, "rides"), scheduling::realm_of(path, "tickets"));
-  EXPECT_NE(scheduling::realm_of(path, "logs"), scheduling::realm_of(by_header(true), "logs"));
+  EXPECT_NE(scheduling::tenant_namespace_of(path, "rides"), scheduling::tenant_namespace_of(path, "tickets"));
+  EXPECT_NE(scheduling::tenant_namespace_of(path, "logs"), scheduling::tenant_namespace_of(by_header(true), "logs"));
 }
 
 TEST(Tenant, HomesOfLaneAndTenantBothBind) {
   std::vector<std::string> joined;
-  EXPECT_TRUE(scheduling::join_homes({"a", "b"}, {"b", "c"}, joined));
+  EXPECT_TRUE(scheduling::intersect_homes({"a", "b"}, {"b", "c"}, joined));
   EXPECT_EQ(joined, std::vector<std::string>{"b"});
-  EXPECT_TRUE(scheduling::join_homes({}, {"b"}, joined));
+  EXPECT_TRUE(scheduling::intersect_homes({}, {"b"}, joined));
   EXPECT_EQ(joined, std::vector<std::string>{"b"});
-  EXPECT_TRUE(scheduling::join_homes({"a"}, {}, joined));
+  EXPECT_TRUE(scheduling::intersect_homes({"a"}, {}, joined));
   EXPECT_EQ(joined, std::vector<std::string>{"a"});
-  EXPECT_FALSE(scheduling::join_homes({"a"}, {"b"}, joined));
+  EXPECT_FALSE(scheduling::intersect_homes({"a"}, {"b"}, joined));
 }
 
 }  // namespace
--- a/source/tests/relay/prompt_isolation_test.cpp
+++ b/source/tests/relay/prompt_isolation_test.cpp
@@ -32,7 +32,7 @@
     fleet.routing_config.lanes[0].shares = {schema::Share{"pool", 1}};
     worker = &fleet.worker("w1", "pool");
     fleet.begin();
-    EXPECT_TRUE(fleet.until([&] { return fleet.server->isolation().keyed() == with_secrets; }));
+    EXPECT_TRUE(fleet.until([&] { return fleet.server->isolation().has_secrets() == with_secrets; }));
   }
   ~IsolatedFleet() { std::remove(path.c_str()); }
   void write(std::string const& secret) const { std::ofstream(path) << "{\"current\":\"" << secret << "\"}"; }
@@ -123,9 +123,9 @@
   Arrival const other = isolated.ask(tenant("b") + prompt);
   EXPECT_EQ(first.header("Finchlink-Expect-Weights"), "v1");
   EXPECT_EQ(first.header("Finchlink-Parts"), again.header("Finchlink-Parts"));
-  std::vector<scheduling::NamedPart> const of_cold = scheduling::named_parts(cold.header("Finchlink-Parts"));
-  std::vector<scheduling::NamedPart> const of_a = scheduling::named_parts(first.header("Finchlink-Parts"));
-  std::vector<scheduling::NamedPart> const of_b = scheduling::named_parts(other.header("Finchlink-Parts"));
+  std::vector<scheduling::NamedPart> const of_cold = scheduling::parse_parts(cold.header("Finchlink-Parts"));
+  std::vector<scheduling::NamedPart> const of_a = scheduling::parse_parts(first.header("Finchlink-Parts"));
+  std::vector<scheduling::NamedPart> const of_b = scheduling::parse_parts(other.header("Finchlink-Parts"));
   ASSERT_EQ(of_a.size(), 3u);
   ASSERT_EQ(of_b.size(), 3u);
   ASSERT_EQ(of_cold.size(), 3u);
@@ -136,7 +136,7 @@
     EXPECT_EQ(of_a[index].id.size(), 32u);
   }
   for (Arrival const& arrival : isolated.worker->arrivals) {
-    for (scheduling::NamedPart const& part : scheduling::named_parts(arrival.header("Finchlink-Parts"))) {
+    for (scheduling::NamedPart const& part : scheduling::parse_parts(arrival.header("Finchlink-Parts"))) {
       EXPECT_GT(part.id.size(), 16u) << part.id;
     }
   }
@@ -266,7 +266,7 @@
   EXPECT_EQ(isolated.ask(parts("p:50,x:100"), "Finchlink-Weights: v1\r\n", "/once/a").header("Finchlink-Parts"),
             "p:50,x:100")
       << "not even public parts are shared with it";
-  for (scheduling::NamedPart const& part : scheduling::named_parts(of_a)) {
+  for (scheduling::NamedPart const& part : scheduling::parse_parts(of_a)) {
     EXPECT_TRUE(part.id != "p" && part.id != "x");
   }
 }
@@ -282,7 +282,7 @@
   fleet.worker("w1", "pool");
   fleet.worker("w2", "pool");
   fleet.begin();
-  ASSERT_TRUE(fleet.until([&] { return fleet.server->isolation().keyed(); }));
+  ASSERT_TRUE(fleet.until([&] { return fleet.server->isolation().has_secrets(); }));
   std::size_t seen = 0;
   std::function<std::string(std::string const&, std::string const&, Worker*)> const whole =
       [&](std::string const& name, std::string const& version, Worker* wanted) {
--- a/source/tests/scheduling/placement_test.cpp
+++ b/source/tests/scheduling/placement_test.cpp
@@ -271,7 +271,7 @@
                           (0.004 + 0.00002 * uncached + 3e-9 * pairs(uncached, 500)) * noise});
   }
   Fit const fit = fit_rows(rows, 24);
-  ASSERT_TRUE(fit.good);
+  ASSERT_TRUE(fit.valid);
   EXPECT_NEAR(fit.coefficients[0], 0.004, 0.0004);
   EXPECT_NEAR(fit.coefficients[1], 0.00002, 0.000002);
   EXPECT_LT(fit.error, 0.07);
@@ -328,11 +328,11 @@
     prefills += phase.second == "prefill" ? 1 : 0;
   }
   EXPECT_LT(prefills, 3u);
-  EXPECT_TRUE(std::holds_alternative<Rest>(decide(200, 0, common::seconds(1), split)));  // within the hold time
-  EXPECT_TRUE(std::holds_alternative<Rest>(decide(4, 0, common::seconds(10), split)));   // nothing to gain
+  EXPECT_TRUE(std::holds_alternative<NoChange>(decide(200, 0, common::seconds(1), split)));  // within the hold time
+  EXPECT_TRUE(std::holds_alternative<NoChange>(decide(4, 0, common::seconds(10), split)));   // nothing to gain
   // With bursts the same mean gain is less than two errors.
   EXPECT_TRUE(std::holds_alternative<WriteSplit>(decide(9, 0, common::seconds(10), split)));
-  EXPECT_TRUE(std::holds_alternative<Rest>(decide(9, 0.9, common::seconds(10), split)));
+  EXPECT_TRUE(std::holds_alternative<NoChange>(decide(9, 0.9, common::seconds(10), split)));
 }
 
 TEST(Scaler, AssignsANewWorkerOrAnEmptyPhaseAtOnce) {
@@ -350,7 +350,7 @@
   ScalerAction const empty = scaler.tick(split, 1, {"a", "c"}, aims, {}, 0);  // b is gone
   ASSERT_TRUE(std::holds_alternative<WriteSplit>(empty));
   EXPECT_EQ(std::get<WriteSplit>(empty).split.phases.at("a"), "decode");
-  EXPECT_TRUE(std::holds_alternative<Rest>(scaler.tick(split, 1, {"a"}, aims, {}, 0)));
+  EXPECT_TRUE(std::holds_alternative<NoChange>(scaler.tick(split, 1, {"a"}, aims, {}, 0)));
 }
 
 }  // namespace
--- a/source/tests/scheduling/prompt_isolation_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_test.cpp
@@ -81,7 +81,7 @@
 
 scheduling::Prompt prompt_of(std::string const& tenant, std::string const& parts,
                              std::vector<std::string> shared = {}) {
-  return scheduling::Prompt{tenant, "m", scheduling::named_parts(parts), std::move(shared), ""};
+  return scheduling::Prompt{tenant, "m", scheduling::parse_parts(parts), std::move(shared), ""};
 }
 
 scheduling::PromptIsolation isolation_with_secret(scheduling::IsolationGuards guards = {}) {
@@ -92,7 +92,7 @@
 
 std::vector<std::string> ids_of(scheduling::IsolatedPrompt const& isolated) {
   std::vector<std::string> ids;
-  for (scheduling::NamedPart const& part : scheduling::named_parts(isolated.header)) {
+  for (scheduling::NamedPart const& part : scheduling::parse_parts(isolated.header)) {
     ids.push_back(part.id);
   }
   return ids;
@@ -156,12 +156,12 @@
   scheduling::IsolatedPrompt const cold = isolation.send(prompt_of("t", "a:100"), "w", {1, 2});
   std::vector<scheduling::IsolationAction> actions = isolation.heard({"w", "v1", 60.0}, cold, 0);
   ASSERT_FALSE(actions.empty());
-  ASSERT_TRUE(std::holds_alternative<scheduling::Crossed>(actions[0]));
-  EXPECT_EQ(std::get<scheduling::Crossed>(actions[0]).tokens, 60);
+  ASSERT_TRUE(std::holds_alternative<scheduling::IsolationViolated>(actions[0]));
+  EXPECT_EQ(std::get<scheduling::IsolationViolated>(actions[0]).tokens, 60);
   EXPECT_EQ(isolation.crossings(), 1u);
   actions = isolation.heard({"w", "v1", 40.0}, isolation.send(prompt_of("t", "a:100"), "w", {1, 2}), 100);
   ASSERT_EQ(actions.size(), 1u);
-  EXPECT_TRUE(std::holds_alternative<scheduling::GaveUp>(actions[0]));
+  EXPECT_TRUE(std::holds_alternative<scheduling::PartsEvicted>(actions[0]));
 }
 
 TEST(Walls, AWorkerThatRanForOtherWeightsIsColdForThatVersion) {
@@ -205,7 +205,7 @@
   for (int index = 0; index < 4000; ++index) {
     text += "a" + std::to_string(index) + ":1,";
   }
-  std::vector<scheduling::NamedPart> const parts = scheduling::named_parts(text);
+  std::vector<scheduling::NamedPart> const parts = scheduling::parse_parts(text);
   ASSERT_EQ(parts.size(), 64u);
   double tokens = 0;
   for (scheduling::NamedPart const& part : parts) {
@@ -213,9 +213,9 @@
   }
   EXPECT_EQ(tokens, 4000);
   // Prompts that differ in the last part only differ there still.
-  EXPECT_NE(scheduling::named_parts(text + "x:1").back().id, scheduling::named_parts(text + "y:1").back().id);
+  EXPECT_NE(scheduling::parse_parts(text + "x:1").back().id, scheduling::parse_parts(text + "y:1").back().id);
   EXPECT_LT(isolation_with_secret().send(prompt_of("t", text), "w", {1, 2}).header.size(), 4000u);
-  EXPECT_LE(scheduling::named_parts("a:18446744073709551615").front().tokens, 1e9);
+  EXPECT_LE(scheduling::parse_parts("a:18446744073709551615").front().tokens, 1e9);
 }
 
 TEST(IsolationRecord, AFloodTakesNothingFromTheOthers) {
@@ -398,7 +398,7 @@
       ++played.queries;
       std::size_t own = 0;
       played.crossed += memories[worker]
-                            .read(reader + "@" + versions[worker], scheduling::named_parts(isolated.header), 60, own)
+                            .read(reader + "@" + versions[worker], scheduling::parse_parts(isolated.header), 60, own)
                             .size();
       played.own += own;
       reused = memories[worker].reused();
--- a/source/tests/scheduling/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -63,7 +63,7 @@
                   worker("e", "nowhere"), worker("f", "north"), worker("g", "south")};
   list.workers[5].draining = true;
   list.workers[6].phase = "decode";
-  std::map<std::string, scheduling::Pool> const pools = scheduling::pools_of(list, routing_config(), regions, {});
+  std::map<std::string, scheduling::Pool> const pools = scheduling::build_pools(list, routing_config(), regions, {});
   ASSERT_EQ(pools.size(), 2u);
   scheduling::Pool const& one = pools.at("r1/text");
   EXPECT_EQ(std::set<std::string>(one.workers.begin(), one.workers.end()), (std::set<std::string>{"a", "b", "g"}));
@@ -73,7 +73,7 @@
   EXPECT_EQ(pools.at("r2/text").workers, std::vector<std::string>{"c"});
   // An evacuated hall's workers take none, and stay in the split meanwhile.
   std::map<std::string, scheduling::Pool> const evacuated =
-      scheduling::pools_of(list, routing_config(), regions, {"north"});
+      scheduling::build_pools(list, routing_config(), regions, {"north"});
   EXPECT_EQ(evacuated.at("r1/text").listed.count("a"), 1u);
   for (std::string const& id : evacuated.at("r1/text").workers) {
     EXPECT_NE(id, "a");
@@ -188,7 +188,7 @@
   Fed fed;
   schema::Split split;
   fed.slice(10, 100);
-  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(split, 0)));  // warm-up: nobody is set apart
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(split, 0)));  // warm-up: nobody is set apart
   for (int index = 0; index < 10; ++index) {
     fed.slice(10, 100);
   }
@@ -198,7 +198,7 @@
   EXPECT_TRUE(split.frozen);
   EXPECT_EQ(split.phases.size(), 6u);
   std::size_t const before = prefills(split);
-  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(split, 1)));  // held
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(split, 1)));  // held
   // Traffic turns to long prompts: more workers are fed them, and none switch in the hold.
   for (int index = 0; index < 12; ++index) {
     fed.slice(80, 40);
@@ -207,7 +207,7 @@
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(next));
   EXPECT_GT(prefills(std::get<scheduling::WriteSplit>(next).split), before);
   split = std::get<scheduling::WriteSplit>(next).split;
-  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(split, 2)));
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(split, 2)));
 }
 
 TEST(Split, WorkersWithOnePhaseNeverSwitch) {
@@ -228,7 +228,7 @@
   for (std::string const& id : fed.workers) {
     all[id] = "decode";
   }
-  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(
       fed.scaler.tick(split, 1, fed.workers, fed.aims, fed.bounds, fed.now, all)));
 }
 
@@ -253,10 +253,10 @@
   EXPECT_TRUE(read->frozen);
   EXPECT_EQ(read->coefficients.size(), 6u);
   scheduling::Scaler successor;
-  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(
       successor.tick(*read, kept.revision, fed.workers, fed.aims, fed.bounds, fed.now)));
   // Workers that the platform lists no longer leave it.
-  EXPECT_EQ(scheduling::pruned(*read, {"a", "b"}).phases.size(), 2u);
+  EXPECT_EQ(scheduling::prune_split(*read, {"a", "b"}).phases.size(), 2u);
   EXPECT_FALSE(scheduling::read_split("{\"phases\":").ok());
 }
 
@@ -351,13 +351,13 @@
   for (int index = 0; index < 12; ++index) {
     fed.slice(40, 0);
   }
-  EXPECT_TRUE(std::holds_alternative<scheduling::Rest>(fed.tick(schema::Split(), 0)));
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(schema::Split(), 0)));
 }
 
 TEST(Split, CandidatesStayWithinTheShares) {
   for (double const least : {0.0, 0.5}) {
     Fed fed;
-    fed.scaler.aim_at(0.8, least, 0.8);
+    fed.scaler.set_targets(0.8, least, 0.8);
     for (int index = 0; index < 12; ++index) {
       fed.slice(6, 140);
     }
@@ -395,7 +395,7 @@
 TEST(Split, OneSizeOfPromptsDoesNotTellTheCostOfAToken) {
   // Worker "s" saw short prompts only and is a third slower than the others.
   scheduling::Scaler scaler;
-  scaler.aim_at(0.8, 0, 1);
+  scaler.set_targets(0.8, 0, 1);
   schema::ScalerAims aims;
   aims.warm_up_ms = 1000;
   schema::FurrowReport report;
@@ -454,18 +454,18 @@
 TEST(Split, OptionsKeepTheSourcesDefaults) {
   schema::Settings settings;
   EXPECT_EQ(settings.scaler, "on");
-  EXPECT_EQ(scheduling::report_ms_of(settings), 10000u);
-  schema::ScalerAims const aims = scheduling::aims_of(settings, scheduling::Pool());
+  EXPECT_EQ(scheduling::report_interval_ms(settings), 10000u);
+  schema::ScalerAims const aims = scheduling::make_scaler_aims(settings, scheduling::Pool());
   EXPECT_EQ(aims.window_ms, 600000u);
   EXPECT_EQ(aims.slices, 10u);
   EXPECT_EQ(aims.hold_ms, 120000u);
   EXPECT_EQ(aims.refit_ms, 0u);
   settings.scaler_window_ms = 100000;
-  EXPECT_EQ(scheduling::report_ms_of(settings), 5000u);  // half a slice
+  EXPECT_EQ(scheduling::report_interval_ms(settings), 5000u);  // half a slice
   settings.scaler_window_ms = 10000;
-  EXPECT_EQ(scheduling::report_ms_of(settings), 500u);
+  EXPECT_EQ(scheduling::report_interval_ms(settings), 500u);
   settings.scaler = "off";
-  EXPECT_EQ(scheduling::report_ms_of(settings), 0u);  // nobody reports
+  EXPECT_EQ(scheduling::report_interval_ms(settings), 0u);  // nobody reports
 }
 
 }  // namespace
