--- a/source/scheduling/fit/fit.cpp
+++ b/source/scheduling/fit/fit.cpp
@@ -7,7 +7,7 @@
 namespace finchlink::scheduling {
 
 namespace {
-/// Least squares over the columns that are not held at zero.
+/// Solves the least-squares problem over the passive columns; the others are held at zero.
 Eigen::VectorXd solve_passive(Eigen::MatrixXd const& matrix, Eigen::VectorXd const& target,
                               std::vector<bool> const& passive) {
   std::vector<Eigen::Index> columns;
@@ -16,11 +16,11 @@
       columns.push_back(static_cast<Eigen::Index>(column));
     }
   }
-  Eigen::MatrixXd part(matrix.rows(), static_cast<Eigen::Index>(columns.size()));
+  Eigen::MatrixXd submatrix(matrix.rows(), static_cast<Eigen::Index>(columns.size()));
   for (std::size_t place = 0; place < columns.size(); ++place) {
-    part.col(static_cast<Eigen::Index>(place)) = matrix.col(columns[place]);
+    submatrix.col(static_cast<Eigen::Index>(place)) = matrix.col(columns[place]);
   }
-  Eigen::VectorXd const solved = part.colPivHouseholderQr().solve(target);
+  Eigen::VectorXd const solved = submatrix.colPivHouseholderQr().solve(target);
   Eigen::VectorXd full = Eigen::VectorXd::Zero(matrix.cols());
   for (std::size_t place = 0; place < columns.size(); ++place) {
     full(columns[place]) = solved(static_cast<Eigen::Index>(place));
@@ -35,11 +35,11 @@
   Eigen::VectorXd result = Eigen::VectorXd::Zero(count);
   double const tolerance = 1e-10 * std::max(1.0, (matrix.transpose() * target).cwiseAbs().maxCoeff());
   for (Eigen::Index round = 0; round < 3 * count + 3; ++round) {
-    Eigen::VectorXd const slope = matrix.transpose() * (target - matrix * result);
+    Eigen::VectorXd const gradient = matrix.transpose() * (target - matrix * result);
     Eigen::Index chosen = -1;
     for (Eigen::Index column = 0; column < count; ++column) {
-      if (!passive[static_cast<std::size_t>(column)] && slope(column) > tolerance &&
-          (chosen < 0 || slope(column) > slope(chosen))) {
+      if (!passive[static_cast<std::size_t>(column)] && gradient(column) > tolerance &&
+          (chosen < 0 || gradient(column) > gradient(chosen))) {
         chosen = column;
       }
     }
@@ -47,32 +47,32 @@
       break;
     }
     passive[static_cast<std::size_t>(chosen)] = true;
-    Eigen::VectorXd wanted = solve_passive(matrix, target, passive);
+    Eigen::VectorXd candidate = solve_passive(matrix, target, passive);
     for (Eigen::Index inner = 0; inner < count; ++inner) {
       double step = std::numeric_limits<double>::infinity();
       for (Eigen::Index column = 0; column < count; ++column) {
-        if (passive[static_cast<std::size_t>(column)] && wanted(column) <= 0) {
-          step = std::min(step, result(column) / (result(column) - wanted(column)));
+        if (passive[static_cast<std::size_t>(column)] && candidate(column) <= 0) {
+          step = std::min(step, result(column) / (result(column) - candidate(column)));
         }
       }
       if (!std::isfinite(step)) {
         break;
       }
-      result += step * (wanted - result);
+      result += step * (candidate - result);
       for (Eigen::Index column = 0; column < count; ++column) {
         if (passive[static_cast<std::size_t>(column)] && result(column) <= 1e-14) {
           passive[static_cast<std::size_t>(column)] = false;
           result(column) = 0;
         }
       }
-      wanted = solve_passive(matrix, target, passive);
+      candidate = solve_passive(matrix, target, passive);
     }
-    result = wanted.cwiseMax(0.0);
+    result = candidate.cwiseMax(0.0);
   }
   return result;
 }
 
-double middle(std::vector<double> values) {
+double median(std::vector<double> values) {
   if (values.empty()) {
     return 0;
   }
@@ -80,9 +80,9 @@
   return values[values.size() / 2];
 }
 
-Fit fit_rows(std::vector<FitRow> const& rows, std::size_t least_rows) {
+Fit fit_rows(std::vector<FitRow> const& rows, std::size_t min_rows) {
   Fit fit;
-  if (rows.empty() || rows.size() < least_rows) {
+  if (rows.empty() || rows.size() < min_rows) {
     return fit;
   }
   Eigen::Index const count = static_cast<Eigen::Index>(rows.front().terms.size());
@@ -102,9 +102,9 @@
     matrix.col(column) /= scale(column);
   }
   Eigen::VectorXd const solved = solve_nonnegative(matrix, target);
-  Eigen::VectorXd const missed = matrix * solved - target;
-  fit.good = true;
-  fit.error = missed.cwiseAbs().mean();
+  Eigen::VectorXd const residual = matrix * solved - target;
+  fit.valid = true;
+  fit.error = residual.cwiseAbs().mean();
   for (Eigen::Index column = 0; column < count; ++column) {
     fit.coefficients.push_back(solved(column) / scale(column));
   }
--- a/source/scheduling/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -7,9 +7,9 @@
 namespace finchlink::scheduling {
 
 namespace {
-/// Every furrow of a region reckons the same one to tend a worker; when their
-/// member lists differ for a moment, two tend it with small limits each.
-bool tends(std::string const& self, std::string const& worker, std::vector<std::string> const& proxies) {
+/// True if this proxy is the one of its region that is responsible for the worker (rendezvous hashing). All proxies of
+/// a region compute the same one; while their member lists differ, two may be responsible, each with small limits.
+bool is_responsible(std::string const& self, std::string const& worker, std::vector<std::string> const& proxies) {
   std::string best;
   std::uint64_t best_weight = 0;
   for (std::string const& proxy : proxies) {
@@ -58,7 +58,7 @@
     std::map<std::string, schema::Coefficients>::const_iterator const fitted = split.coefficients.find(worker.id);
     desired.model = fitted == split.coefficients.end() ? WorkerModel() : WorkerModel(fitted->second);
     desired.usable = !worker.draining && !evacuated[worker.zone];
-    desired.is_ramp_owner = tends(self, worker.id, proxies);
+    desired.is_ramp_owner = is_responsible(self, worker.id, proxies);
     desired.warm_start_ids = warm_boots[worker.id];
     std::string const pool = pool_of(worker.kind);
     plan.desired_workers[pool].push_back(desired);
@@ -92,13 +92,13 @@
   return false;
 }
 
-Phase preferred_phase(Plan const& plan, std::string const& kind, bool paired, bool second_leg, double tokens,
+Phase preferred_phase(Plan const& plan, std::string const& kind, bool paired, bool second_phase, double tokens,
                       double outputs) {
   if (kind != "model") {
     return Phase::both;
   }
   if (paired) {
-    return second_leg ? Phase::decode : Phase::prefill;
+    return second_phase ? Phase::decode : Phase::prefill;
   }
   std::map<std::string, schema::Split>::const_iterator const split = plan.splits.find(plan.region);
   WorkerModel const model = split != plan.splits.end() && !split->second.coefficients.empty()
@@ -111,55 +111,56 @@
 }
 
 std::vector<schema::Member> forward_targets(Plan const& plan, std::string const& self, std::string const& pool,
-                                            bool bound) {
-  std::vector<schema::Member> near;
-  std::vector<schema::Member> far;
+                                            bool home_bound) {
+  std::vector<schema::Member> local;
+  std::vector<schema::Member> remote;
   for (schema::Member const& member : plan.members) {
     std::string const region = config::region_of(plan.setup, member.hall);
-    bool const room = std::find(member.rooms.begin(), member.rooms.end(), pool) != member.rooms.end();
-    if (room && !region.empty() && member.name != self) {
-      (region == plan.region ? near : far).push_back(member);
+    bool const has_room = std::find(member.rooms.begin(), member.rooms.end(), pool) != member.rooms.end();
+    if (has_room && !region.empty() && member.name != self) {
+      (region == plan.region ? local : remote).push_back(member);
     }
   }
-  if (!near.empty()) {
-    return near;
+  if (!local.empty()) {
+    return local;
   }
-  return !bound && plan.setup.workers.spill ? far : std::vector<schema::Member>{};
+  return !home_bound && plan.setup.workers.spill ? remote : std::vector<schema::Member>{};
 }
 
-Followed follow(Footing& footing, std::shared_ptr<Plan const> const& current, Header const& header) {
-  Followed followed;
-  if (current == footing.plan) {
-    return followed;
+Reevaluation reevaluate(QueryConfig& query_config, std::shared_ptr<Plan const> const& current,
+                        RequestHead const& head) {
+  Reevaluation result;
+  if (current == query_config.plan) {
+    return result;
   }
-  std::shared_ptr<Plan const> const before = footing.plan;
-  footing.plan = current;
+  std::shared_ptr<Plan const> const before = query_config.plan;
+  query_config.plan = current;
   bool const other_workers =
-      allowed_workers(*current, footing.serve.rule) != allowed_workers(*before, footing.serve.rule);
-  if (current->decided == before->decided) {
-    followed.changed = other_workers;
-    return followed;
+      allowed_workers(*current, query_config.serve.rule) != allowed_workers(*before, query_config.serve.rule);
+  if (current->setup_revision == before->setup_revision) {
+    result.changed = other_workers;
+    return result;
   }
   config::Disposition const disposition =
-      config::decide(current->setup, current->region, header.method, header.path, header.lookup, header.body_bytes);
+      config::decide(current->setup, current->region, head.method, head.path, head.lookup, head.body_bytes);
   ConfigReevaluated decided;
-  followed.changed = true;
+  result.changed = true;
   if (config::Serve const* const serve = std::get_if<config::Serve>(&disposition)) {
     schema::Rule const rule = current->setup.rules.at(serve->rule);
-    followed.changed = !(*serve == footing.serve) || !(rule == footing.rule) || other_workers ||
-                       current->setup.scaler.manner != before->setup.scaler.manner;
-    footing.serve = *serve;
-    footing.rule = rule;
+    result.changed = !(*serve == query_config.serve) || !(rule == query_config.rule) || other_workers ||
+                     current->setup.scaler.manner != before->setup.scaler.manner;
+    query_config.serve = *serve;
+    query_config.rule = rule;
   } else {
     decided.decision =
         std::holds_alternative<config::GoHome>(disposition) ? ServingDecision::home : ServingDecision::none;
-    footing.home = decided.decision == ServingDecision::home ? std::get<config::GoHome>(disposition).region : "";
+    query_config.home = decided.decision == ServingDecision::home ? std::get<config::GoHome>(disposition).region : "";
   }
-  decided.repeatable = footing.rule.repeatable;
-  decided.resumable = footing.rule.resumable;
-  decided.stream = footing.rule.stream;
-  followed.decided = decided;
-  return followed;
+  decided.repeatable = query_config.rule.repeatable;
+  decided.resumable = query_config.rule.resumable;
+  decided.stream = query_config.rule.stream;
+  result.decided = decided;
+  return result;
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/plan/plan.hpp
+++ b/source/scheduling/plan/plan.hpp
@@ -14,63 +14,70 @@
 
 namespace finchlink::scheduling {
 
-/// All that a furrow goes by, made anew whenever a part of it changes and then
-/// never changed (section 3.3).
+/// Immutable config snapshot of a proxy: everything it bases decisions on. A new snapshot replaces it whenever a part
+/// changes (section 3.3).
 struct Plan {
-  std::map<std::string, std::uint64_t> held;  ///< revisions in force
+  std::map<std::string, std::uint64_t> held;  ///< register to the revision in force
   bool has_setup = false;
-  std::uint64_t decided = 0;  ///< revision of the setup, by which queries are decided
+  std::uint64_t setup_revision = 0;  ///< revision of the setup; queries are decided again when it changes
   schema::Setup setup;
-  std::string region;
-  std::map<std::string, schema::Split> splits;  ///< per region
+  std::string region;                           ///< of this proxy; derived
+  std::map<std::string, schema::Split> splits;  ///< by region
   std::vector<schema::Member> members;
   schema::PlatformList list;
-  std::map<std::string, std::vector<std::string>> allowed;            ///< rule to the workers it may use here
-  std::map<std::string, std::vector<DesiredWorker>> desired_workers;  ///< pool to workers
-  std::size_t proxies_here = 1;
+  std::map<std::string, std::vector<std::string>> allowed;            ///< rule to the workers it may use here; derived
+  std::map<std::string, std::vector<DesiredWorker>> desired_workers;  ///< pool to workers; derived
+  std::size_t proxies_here = 1;                                       ///< proxies of this region; derived
 };
 
-/// The pool (and so the shard) of a kind of worker or rule.
+/// Returns the pool (and so the shard) of a kind of worker or rule.
 [[nodiscard]] inline std::string pool_of(std::string const& kind) {
   return kind == "model" ? "model" : "plain";
 }
 
-/// Works out the derived parts: region, allowed workers, wishes.
+/// Computes the derived fields of the plan: region, allowed workers, desired workers and proxy count. `self` and `hall`
+/// are the name and the zone of this proxy.
 void derive(Plan& plan, std::string const& self, std::string const& hall);
 
+/// Returns the workers of this region that the rule may use; empty for an unknown rule.
 [[nodiscard]] std::vector<std::string> allowed_workers(Plan const& plan, std::string const& rule);
-/// May bytes of a query of the rule go to the worker, as far as the plan says?
+/// True if the plan allows sending bytes of a query of the rule to the worker.
 [[nodiscard]] bool may_send_to(Plan const& plan, std::string const& rule, std::string const& worker);
 
-/// Section 8.6: paired queries run their legs on the two phases; a whole one
-/// goes to the phase whose predicted cost weighs most.
-[[nodiscard]] Phase preferred_phase(Plan const& plan, std::string const& kind, bool paired, bool second_leg,
+/// Returns the phase whose workers should run a query (section 8.6): a paired query runs its two phases on workers of
+/// each; a whole query goes to the phase with the larger predicted cost.
+[[nodiscard]] Phase preferred_phase(Plan const& plan, std::string const& kind, bool paired, bool second_phase,
                                     double tokens, double outputs);
 
-/// Whom a query may be passed on to (section 9.4): furrows of this region that
-/// report room, then, without a home, those of the other.
+/// Returns the proxies to which a query may be forwarded (section 9.4): those of this region that report room; if there
+/// are none, and the query isn't bound to a home region, those of other regions.
 [[nodiscard]] std::vector<schema::Member> forward_targets(Plan const& plan, std::string const& self,
-                                                          std::string const& pool, bool bound);
+                                                          std::string const& pool, bool home_bound);
 
-/// What a query was decided to be, by which plan (section 9.7).
-struct Footing {
+/// Decision on a query and the config snapshot that it was based on (section 9.7).
+struct QueryConfig {
   std::shared_ptr<Plan const> plan;
   config::Serve serve;
   schema::Rule rule;
-  std::string home;  ///< another region, once it is decided so
+  std::string home;  ///< the other region that the query must go to, once a decision says so; else empty
 };
-struct Header {
+
+/// Head of a query's HTTP request, as needed to decide on it again.
+struct RequestHead {
   std::string method;
   std::string path;
   config::HeaderLookup lookup;
   std::size_t body_bytes = 0;
 };
-/// Decides anew by the plan in force. `changed`: what the query may do or where
-/// it may go is another now; `decided` goes to the chart when it is there.
-struct Followed {
-  bool changed = false;
-  std::optional<ConfigReevaluated> decided;
+
+/// Result of deciding on a query again.
+struct Reevaluation {
+  bool changed = false;                      ///< what the query may do, or the workers it may use, changed
+  std::optional<ConfigReevaluated> decided;  ///< message for the query state machine, if there is one to deliver
 };
-[[nodiscard]] Followed follow(Footing& footing, std::shared_ptr<Plan const> const& current, Header const& header);
+
+/// Decides on a running query again under the current plan, and stores the plan and decision in `query_config`.
+[[nodiscard]] Reevaluation reevaluate(QueryConfig& query_config, std::shared_ptr<Plan const> const& current,
+                                      RequestHead const& head);
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/prompt_isolation/key.cpp
+++ b/source/scheduling/prompt_isolation/key.cpp
@@ -11,8 +11,8 @@
 namespace finchlink::scheduling {
 
 namespace {
-/// A field with its length, so that "ab" + "c" differs from "a" + "bc".
-void frame(std::string& text, std::string_view field) {
+/// Appends a field with its length, so that "ab" + "c" differs from "a" + "bc".
+void append_field(std::string& text, std::string_view field) {
   std::uint64_t const size = field.size();
   for (int shift = 0; shift < 64; shift += 8) {
     text += static_cast<char>(size >> shift);
@@ -24,7 +24,7 @@
 absl::StatusOr<Secrets> read_secrets(std::string const& text) {
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok() || cJSON_IsObject(tree->get()) == 0) {
-    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "the file is no JSON object");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "the file is not a JSON object");
   }
   Secrets secrets;
   for (cJSON const* item = (*tree)->child; item != nullptr; item = item->next) {
@@ -37,7 +37,7 @@
     } else {
       return common::make_error(
           absl::StatusCode::kInvalidArgument, "secrets",
-          "current and previous are texts of 32 bytes or more, moved is 0 to 100; nothing else stands there");
+          "current and previous must be strings of 32 bytes or more, moved must be 0 to 100; no other key is allowed");
     }
   }
   if (secrets.current.empty()) {
@@ -47,29 +47,30 @@
     return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "current and previous are the same");
   }
   if (secrets.previous.empty() && secrets.moved != 100) {
-    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets", "moved below 100 wants a previous secret");
+    return common::make_error(absl::StatusCode::kInvalidArgument, "secrets",
+                              "moved below 100 requires a previous secret");
   }
   return secrets;
 }
 
-std::string const& secret_of(Secrets const& secrets, std::string_view tenant) {
+std::string const& secret_for(Secrets const& secrets, std::string_view tenant) {
   if (secrets.moved >= 100 || secrets.previous.empty()) {
     return secrets.current;
   }
-  // By the current secret, so that no tenant can choose when it moves.
-  std::string const drawn = keyed_hash(secrets.current, tenant);
-  std::uint64_t place = 0;
-  std::memcpy(&place, drawn.data(), sizeof(place));
-  return place % 100 < secrets.moved ? secrets.current : secrets.previous;
+  // Hashed with the current secret, so that no tenant can choose when it moves.
+  std::string const hash = keyed_hash(secrets.current, tenant);
+  std::uint64_t bucket = 0;
+  std::memcpy(&bucket, hash.data(), sizeof(bucket));
+  return bucket % 100 < secrets.moved ? secrets.current : secrets.previous;
 }
 
-std::string isolation_key(std::string const& secret, IsolationKey const& isolation) {
+std::string isolation_key(std::string const& secret, IsolationScope const& scope) {
   std::string text;
-  frame(text, isolation.shared ? "public" : "tenant");
-  frame(text, isolation.shared ? "" : isolation.realm);
-  frame(text, isolation.shared ? "" : isolation.tenant);
-  frame(text, isolation.model);
-  frame(text, isolation.version);
+  append_field(text, scope.shared ? "public" : "tenant");
+  append_field(text, scope.shared ? "" : scope.tenant_namespace);
+  append_field(text, scope.shared ? "" : scope.tenant);
+  append_field(text, scope.model);
+  append_field(text, scope.version);
   return keyed_hash(secret, text);
 }
 
--- a/source/scheduling/prompt_isolation/prompt_isolation.cpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.cpp
@@ -10,22 +10,22 @@
 namespace finchlink::scheduling {
 
 namespace {
-/// The holder of public parts in records; tenants' are hashes.
-constexpr std::uint64_t everybody = 1;
-/// Stands for the version in keys of a furrow's own record, which is cleared
-/// whenever a worker's version changes.
+/// Owner of public parts in records. Owners of tenants' parts are hashes.
+constexpr std::uint64_t public_owner = 1;
+/// Takes the place of the version in keys of the proxy's own record, which is cleared whenever a worker's version
+/// changes.
 constexpr char const* record_version = "\x01record";
 
-std::uint64_t number_of(std::string_view bytes) {
+std::uint64_t to_number(std::string_view bytes) {
   std::uint64_t value = 0;
   std::memcpy(&value, bytes.data(), std::min(bytes.size(), sizeof(value)));
   return value;
 }
 
-std::string once_id(std::array<std::uint64_t, 2> const& once, std::size_t index) {
+std::string single_use_id(std::array<std::uint64_t, 2> const& nonce, std::size_t index) {
   std::string bytes(common::constants::isolation_id_bytes, '\0');
-  std::uint64_t const second = once[1] + index;
-  std::memcpy(bytes.data(), &once[0], 8);
+  std::uint64_t const second = nonce[1] + index;
+  std::memcpy(bytes.data(), &nonce[0], 8);
   std::memcpy(bytes.data() + 8, &second, 8);
   return hex(bytes);
 }
@@ -51,15 +51,15 @@
     }
     entry = entry.substr(0, colon);
     entry.remove_prefix(std::min(entry.size(), entry.find_first_not_of(' ')));
-    double const told = std::min(static_cast<double>(tokens), common::constants::isolation_part_tokens_most);
+    double const part_tokens = std::min(static_cast<double>(tokens), common::constants::isolation_part_tokens_most);
     if (entry.empty()) {
       continue;
     }
     if (parts.size() < common::constants::isolation_parts_most) {
-      parts.push_back(NamedPart{std::string(entry), told});
-    } else {  // a comma stands in no part's own id
+      parts.push_back(NamedPart{std::string(entry), part_tokens});
+    } else {  // unambiguous, as the id of a single part contains no comma
       parts.back().id.append(",").append(entry);
-      parts.back().tokens = std::min(parts.back().tokens + told, common::constants::isolation_part_tokens_most);
+      parts.back().tokens = std::min(parts.back().tokens + part_tokens, common::constants::isolation_part_tokens_most);
     }
   }
   return parts;
@@ -82,12 +82,12 @@
   if (found == versions_.end()) {
     return std::nullopt;
   }
-  std::map<std::string, std::set<std::string>>::const_iterator const spoiled = spoiled_.find(worker);
-  bool const good = spoiled == spoiled_.end() || spoiled->second.count(found->second) == 0;
-  return good ? std::optional<std::string>(found->second) : std::nullopt;
+  std::map<std::string, std::set<std::string>>::const_iterator const tainted = tainted_versions_.find(worker);
+  bool const usable = tainted == tainted_versions_.end() || tainted->second.count(found->second) == 0;
+  return usable ? std::optional<std::string>(found->second) : std::nullopt;
 }
 
-std::vector<PromptPart> PromptIsolation::place(Prompt const& prompt) const {
+std::vector<PromptPart> PromptIsolation::placement_parts(Prompt const& prompt) const {
   std::vector<PromptPart> parts;
   if (!secrets_.has_value()) {
     return parts;
@@ -95,20 +95,21 @@
   std::size_t const shared = public_count(prompt);
   std::size_t const count = prompt.tenant.empty() ? shared : prompt.parts.size();
   std::string const common =
-      isolation_key(secret_of(*secrets_, ""), IsolationKey{true, "", prompt.model, record_version, ""});
-  std::string const own = isolation_key(secret_of(*secrets_, prompt.tenant),
-                                        IsolationKey{false, prompt.tenant, prompt.model, record_version, prompt.realm});
-  std::uint64_t const holder = number_of(own) | 2u;  // neither nobody nor everybody
-  std::string before = nothing_before;
+      isolation_key(secret_for(*secrets_, ""), IsolationScope{true, "", prompt.model, record_version, ""});
+  std::string const own =
+      isolation_key(secret_for(*secrets_, prompt.tenant),
+                    IsolationScope{false, prompt.tenant, prompt.model, record_version, prompt.tenant_namespace});
+  std::uint64_t const owner = to_number(own) | 2u;  // neither 0 (no owner) nor the public owner
+  std::string before = initial_hash;
   for (std::size_t index = 0; index < count; ++index) {
     before = part_hash(index < shared ? common : own, before, prompt.parts[index].id);
-    parts.push_back(PromptPart{number_of(before), prompt.parts[index].tokens, index < shared ? everybody : holder});
+    parts.push_back(PromptPart{to_number(before), prompt.parts[index].tokens, index < shared ? public_owner : owner});
   }
   return parts;
 }
 
-IsolatedPrompt PromptIsolation::send(Prompt const& prompt, std::string const& worker,
-                                     std::array<std::uint64_t, 2> const& once) const {
+IsolatedPrompt PromptIsolation::isolate(Prompt const& prompt, std::string const& worker,
+                                        std::array<std::uint64_t, 2> const& nonce) const {
   IsolatedPrompt isolated;
   std::optional<std::string> const version = version_of(worker);
   bool const keyed = secrets_.has_value() && version.has_value();
@@ -116,12 +117,13 @@
   isolated.cold = !keyed || prompt.tenant.empty();
   std::size_t const shared = keyed ? public_count(prompt) : 0;
   std::string const common =
-      keyed ? isolation_key(secret_of(*secrets_, ""), IsolationKey{true, "", prompt.model, *version, ""}) : "";
-  std::string const own = isolated.cold
-                              ? ""
-                              : isolation_key(secret_of(*secrets_, prompt.tenant),
-                                              IsolationKey{false, prompt.tenant, prompt.model, *version, prompt.realm});
-  std::string before = nothing_before;
+      keyed ? isolation_key(secret_for(*secrets_, ""), IsolationScope{true, "", prompt.model, *version, ""}) : "";
+  std::string const own =
+      isolated.cold
+          ? ""
+          : isolation_key(secret_for(*secrets_, prompt.tenant),
+                          IsolationScope{false, prompt.tenant, prompt.model, *version, prompt.tenant_namespace});
+  std::string before = initial_hash;
   for (std::size_t index = 0; index < prompt.parts.size(); ++index) {
     NamedPart const& part = prompt.parts[index];
     bool const public_part = index < shared;
@@ -129,29 +131,29 @@
     if (!guards_.tenant_in_key) {
       id = part.id;
     } else if (isolated.cold && !public_part) {
-      id = once_id(once, index);
+      id = single_use_id(nonce, index);
     } else {
       before = part_hash(public_part ? common : own, before, part.id);
       id = isolated_id(before);
     }
-    isolated.most_reused += public_part || !isolated.cold ? part.tokens : 0;
+    isolated.max_reused += public_part || !isolated.cold ? part.tokens : 0;
     append(isolated.header, id, part.tokens);
   }
   return isolated;
 }
 
-std::vector<IsolationAction> PromptIsolation::heard(IsolationAnswer const& answer, IsolatedPrompt const& sent,
-                                                    double predicted) {
+std::vector<IsolationAction> PromptIsolation::handle_answer(IsolationAnswer const& answer, IsolatedPrompt const& sent,
+                                                            double predicted) {
   std::vector<IsolationAction> actions;
-  if (answer.reused.has_value() && *answer.reused > sent.most_reused) {
+  if (answer.reused.has_value() && *answer.reused > sent.max_reused) {
     ++crossings_;
-    actions.push_back(Crossed{answer.worker, *answer.reused - sent.most_reused});
+    actions.push_back(IsolationViolated{answer.worker, *answer.reused - sent.max_reused});
   }
   if (answer.ran && guards_.version_in_key && !sent.version.empty() && answer.version != sent.version) {
-    // What it keeps under these ids was computed by other weights, or nobody
-    // knows by which: no id of that version goes there again.
+    // What the worker cached under these ids was computed by other or unknown weights, so no id of that version is sent
+    // to it again.
     ++other_weights_;
-    spoiled_[answer.worker].insert(sent.version);
+    tainted_versions_[answer.worker].insert(sent.version);
     actions.push_back(RanOtherWeights{answer.worker, sent.version});
   }
   if (answer.ran && answer.version.empty()) {
@@ -168,8 +170,9 @@
 }
 
 void PromptIsolation::count(Prompt const& prompt, IsolatedPrompt const& sent, std::optional<double> reused) {
-  bool const told = tallies_.size() < common::constants::isolation_tenants_told || tallies_.count(prompt.tenant) > 0;
-  TenantTally& tally = told ? tallies_[prompt.tenant] : others_;
+  bool const has_tally =
+      tallies_.size() < common::constants::isolation_tenants_told || tallies_.count(prompt.tenant) > 0;
+  TenantTally& tally = has_tally ? tallies_[prompt.tenant] : others_;
   ++tally.queries;
   tally.cold += sent.cold ? 1 : 0;
   for (NamedPart const& part : prompt.parts) {
--- a/source/scheduling/prompt_isolation/record.cpp
+++ b/source/scheduling/prompt_isolation/record.cpp
@@ -9,7 +9,7 @@
 double IsolationRecord::match(std::vector<IsolationEntry> const& entries) const {
   double tokens = 0;
   for (IsolationEntry const& entry : entries) {
-    if (places_.count(entry.key) == 0) {
+    if (parts_.count(entry.key) == 0) {
       break;
     }
     tokens += entry.tokens;
@@ -17,78 +17,78 @@
   return tokens;
 }
 
-void IsolationRecord::unlist(std::uint64_t holder) {
-  Holder const& entry = holders_[holder];
+void IsolationRecord::remove_from_orders(std::uint64_t owner) {
+  Owner const& entry = owners_[owner];
   if (!entry.by_use.empty()) {
-    by_weight_.erase({entry.weight, holder});
-    by_age_.erase({entry.by_use.begin()->first, holder});
+    by_weight_.erase({entry.weight, owner});
+    by_age_.erase({entry.by_use.begin()->first, owner});
   }
 }
 
-void IsolationRecord::list(std::uint64_t holder) {
-  Holder const& entry = holders_.at(holder);
+void IsolationRecord::insert_into_orders(std::uint64_t owner) {
+  Owner const& entry = owners_.at(owner);
   if (entry.by_use.empty()) {
-    tokens_ -= entry.weight;  // what rounding left over
-    holders_.erase(holder);
+    tokens_ -= entry.weight;  // the remainder from rounding
+    owners_.erase(owner);
   } else {
-    by_weight_.emplace(entry.weight, holder);
-    by_age_.emplace(entry.by_use.begin()->first, holder);
+    by_weight_.emplace(entry.weight, owner);
+    by_age_.emplace(entry.by_use.begin()->first, owner);
   }
 }
 
 void IsolationRecord::drop(std::uint64_t key) {
-  tsl::robin_map<std::uint64_t, Place>::const_iterator const found = places_.find(key);
-  if (found == places_.end()) {
+  tsl::robin_map<std::uint64_t, PartState>::const_iterator const found = parts_.find(key);
+  if (found == parts_.end()) {
     return;
   }
-  Place const place = found->second;
-  places_.erase(key);
-  unlist(place.holder);
-  Holder& entry = holders_.at(place.holder);
-  entry.by_use.erase(place.used);
-  entry.weight -= place.weight;
-  tokens_ -= place.weight;
-  list(place.holder);
+  PartState const part = found->second;
+  parts_.erase(key);
+  remove_from_orders(part.owner);
+  Owner& entry = owners_.at(part.owner);
+  entry.by_use.erase(part.used);
+  entry.weight -= part.weight;
+  tokens_ -= part.weight;
+  insert_into_orders(part.owner);
 }
 
-void IsolationRecord::drop_oldest_of(std::uint64_t holder) {
-  drop(holders_.at(holder).by_use.begin()->second);
+void IsolationRecord::drop_oldest_of(std::uint64_t owner) {
+  drop(owners_.at(owner).by_use.begin()->second);
 }
 
-void IsolationRecord::remember(std::vector<IsolationEntry> const& entries, double most) {
-  // Last part first: of one prompt the end gives way before the beginning.
+void IsolationRecord::remember(std::vector<IsolationEntry> const& entries, double capacity) {
+  // Last part first, so that the end of a prompt is evicted before its beginning.
   for (std::vector<IsolationEntry>::const_reverse_iterator entry = entries.rbegin(); entry != entries.rend(); ++entry) {
     drop(entry->key);
     double const weight = std::max(entry->tokens, common::constants::isolation_entry_tokens);
-    if (weight > most) {
+    if (weight > capacity) {
       continue;
     }
-    places_[entry->key] = Place{entry->holder, ++uses_, weight};
-    unlist(entry->holder);
-    Holder& holder = holders_[entry->holder];
-    holder.by_use.emplace(uses_, entry->key);
-    holder.weight += weight;
+    parts_[entry->key] = PartState{entry->owner, ++uses_, weight};
+    remove_from_orders(entry->owner);
+    Owner& owner = owners_[entry->owner];
+    owner.by_use.emplace(uses_, entry->key);
+    owner.weight += weight;
     tokens_ += weight;
-    list(entry->holder);
+    insert_into_orders(entry->owner);
   }
-  while (tokens_ > most && !by_weight_.empty()) {
+  while (tokens_ > capacity && !by_weight_.empty()) {
     std::pair<double, std::uint64_t> const heaviest = *by_weight_.rbegin();
     bool const floods =
-        heaviest.first > common::constants::isolation_shares_most * tokens_ / static_cast<double>(holders_.size());
+        heaviest.first > common::constants::isolation_shares_most * tokens_ / static_cast<double>(owners_.size());
     drop_oldest_of(floods ? heaviest.second : by_age_.begin()->second);
   }
 }
 
-void IsolationRecord::gave_up(std::vector<IsolationEntry> const& entries, double tokens) {
-  double passed = 0;
+void IsolationRecord::record_eviction(std::vector<IsolationEntry> const& entries, double tokens) {
+  double position = 0;
   for (IsolationEntry const& entry : entries) {
-    passed += entry.tokens;
-    tsl::robin_map<std::uint64_t, Place>::const_iterator const found = places_.find(entry.key);
-    if (passed <= tokens || found == places_.end()) {
+    position += entry.tokens;
+    tsl::robin_map<std::uint64_t, PartState>::const_iterator const found = parts_.find(entry.key);
+    if (position <= tokens || found == parts_.end()) {
       continue;
     }
-    std::uint64_t const missing = found->second.used;
-    while (!by_age_.empty() && by_age_.begin()->first <= missing) {
+    std::uint64_t const missing_use = found->second.used;
+    while (!by_age_.empty() && by_age_.begin()->first <= missing_use) {
       drop_oldest_of(by_age_.begin()->second);
     }
     return;
--- a/source/scheduling/prompt_isolation/tenant.cpp
+++ b/source/scheduling/prompt_isolation/tenant.cpp
@@ -7,14 +7,15 @@
 namespace finchlink::scheduling {
 
 namespace {
-int digit(char letter) {
+int hex_digit(char letter) {
   return letter >= '0' && letter <= '9'   ? letter - '0'
          : letter >= 'a' && letter <= 'f' ? letter - 'a' + 10
          : letter >= 'A' && letter <= 'F' ? letter - 'A' + 10
                                           : -1;
 }
 
-/// "%61" and "a" are one letter, so they must be one tenant.
+/// Decodes percent-encoding: "%61" and "a" are the same letter, so they must be the same tenant. Returns false if the
+/// encoding is malformed.
 bool decode(std::string_view text, std::string& decoded) {
   while (!text.empty()) {
     if (text.front() != '%') {
@@ -22,33 +23,33 @@
       text.remove_prefix(1);
       continue;
     }
-    if (text.size() < 3 || digit(text[1]) < 0 || digit(text[2]) < 0) {
+    if (text.size() < 3 || hex_digit(text[1]) < 0 || hex_digit(text[2]) < 0) {
       return false;
     }
-    decoded += static_cast<char>(digit(text[1]) * 16 + digit(text[2]));
+    decoded += static_cast<char>(hex_digit(text[1]) * 16 + hex_digit(text[2]));
     text.remove_prefix(3);
   }
   return true;
 }
 
-/// The wanted segment of a path. False: others may read the path in another
-/// way, since it has a dot segment (RFC 3986, 5.2.4) or an empty one before.
+/// Reads the wanted segment of a path. Returns false if it is malformed, or if another HTTP implementation could
+/// interpret the path differently, because it has a dot segment (RFC 3986, 5.2.4) or an empty segment before this one.
 bool read_segment(std::string_view target, std::uint64_t wanted, std::string& name) {
   std::string_view path = target.substr(0, target.find_first_of("?#"));
   for (std::uint64_t index = 0; !path.empty(); ++index) {
-    std::string_view const part = path.substr(0, path.find('/'));
+    std::string_view const segment = path.substr(0, path.find('/'));
     std::string decoded;
-    bool const whole = decode(part, decoded);
+    bool const valid = decode(segment, decoded);
     if (decoded == "." || decoded == ".." || (index > 0 && index < wanted && decoded.empty())) {
       return false;
     }
-    if (index == wanted) {  // what stands before the first slash is empty
-      if (!whole) {
+    if (index == wanted) {  // segment 0, before the first slash, is empty
+      if (!valid) {
         return false;
       }
       name = std::move(decoded);
     }
-    path.remove_prefix(std::min(path.size(), part.size() + 1));
+    path.remove_prefix(std::min(path.size(), segment.size() + 1));
   }
   return true;
 }
@@ -62,7 +63,7 @@
       return TenantReading{TenantStatus::refused, "", "ambiguous_tenant"};
     }
     reading.name = values.empty() ? "" : std::string(values.front());
-    if (reading.name.find(',') != std::string::npos) {  // what two fields are once they are joined (RFC 9110, 5.3)
+    if (reading.name.find(',') != std::string::npos) {  // two fields joined into one (RFC 9110, 5.3)
       return TenantReading{TenantStatus::refused, "", "ambiguous_tenant"};
     }
   } else if (!read_segment(target, tenancy.path_segment, reading.name)) {
@@ -71,10 +72,10 @@
   if (reading.name.empty()) {
     return tenancy.required ? TenantReading{TenantStatus::refused, "", "no_tenant"} : reading;
   }
-  bool const plain = std::all_of(reading.name.begin(), reading.name.end(), [](char letter) {
+  bool const printable = std::all_of(reading.name.begin(), reading.name.end(), [](char letter) {
     return static_cast<unsigned char>(letter) > 0x20 && static_cast<unsigned char>(letter) != 0x7f;
   });
-  if (!plain || reading.name.size() > common::constants::tenant_bytes) {
+  if (!printable || reading.name.size() > common::constants::tenant_bytes) {
     return TenantReading{TenantStatus::refused, "", "malformed_tenant"};
   }
   reading.end = TenantStatus::named;
@@ -85,11 +86,11 @@
   if (tenancy.header.empty()) {
     return "path " + std::string(route);
   }
-  std::string realm = "header ";
+  std::string tenant_namespace = "header ";
   for (char const letter : tenancy.header) {
-    realm += static_cast<char>(letter >= 'A' && letter <= 'Z' ? letter - 'A' + 'a' : letter);
+    tenant_namespace += static_cast<char>(letter >= 'A' && letter <= 'Z' ? letter - 'A' + 'a' : letter);
   }
-  return realm;
+  return tenant_namespace;
 }
 
 bool intersect_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
--- a/source/scheduling/prompt_isolation/tenant.hpp
+++ b/source/scheduling/prompt_isolation/tenant.hpp
@@ -6,28 +6,29 @@
 
 #include "schema/setup.hpp"
 
+/// Identifies the tenant of a query and the regions in which it may run.
 namespace finchlink::scheduling {
 
+/// Result of looking for a tenant's name in a query.
 enum class TenantStatus { named, absent, refused };
-/// Which tenant a query names, or why it is refused (section 14.1).
+/// The tenant that a query names, or why the query is refused (section 14.1).
 struct TenantReading {
   TenantStatus end = TenantStatus::absent;
   std::string name;
-  char const* fault = "";  ///< for the answer, when refused
+  char const* fault = "";  ///< reason sent to the caller, if refused
 };
-/// `values`: all that stand under the tenancy's header, in order; one more
-/// than one is refused, since a worker might take the other, and so is a path
-/// that a front may have read in another way.
+/// Reads the tenant's name from the header or path segment that the tenancy configures. `values` holds all values of
+/// the tenancy's header, in order. A query with more than one is refused, since a worker might use another value than
+/// this proxy does; so is a path that an intermediary could have interpreted differently.
 [[nodiscard]] TenantReading read_tenant(schema::Tenancy const& tenancy, std::vector<std::string_view> const& values,
                                         std::string_view target);
 
-/// Where a tenant's name stands: customer 7 of one header and rider 7 of a path
-/// are two. Lanes that name tenants by the same header have one realm; a lane
-/// that names them in its path has one of its own.
+/// Returns the namespace of a tenant's name: customer 7 of one header and rider 7 of a path are different tenants.
+/// Routes that read tenants from the same header share a namespace; a route that reads them from its path has its own.
 [[nodiscard]] std::string tenant_namespace_of(schema::Tenancy const& tenancy, std::string_view route);
 
-/// Regions that both allow; the lane's own when the tenant names none.
-/// False: none is left, and the query has no place.
+/// Stores in `joined` the home regions that both route and tenant allow; an empty list doesn't restrict the other.
+/// Returns false if no region is left, so that the query can't be placed.
 [[nodiscard]] bool intersect_homes(std::vector<std::string> const& route, std::vector<std::string> const& tenant,
                                    std::vector<std::string>& joined);
 
--- a/source/scheduling/scaler/pools.cpp
+++ b/source/scheduling/scaler/pools.cpp
@@ -13,8 +13,8 @@
 namespace constants = common::constants;
 
 namespace {
-/// Four figures are more than the fit is good for.
-double rounded(double value) {
+/// Rounds to four significant digits, which is more than the accuracy of the fit.
+double round_significant(double value) {
   if (value <= 0) {
     return 0;
   }
@@ -24,7 +24,7 @@
 
 void round_all(std::vector<double>& values) {
   for (double& value : values) {
-    value = rounded(value);
+    value = round_significant(value);
   }
 }
 }  // namespace
@@ -41,12 +41,12 @@
   for (schema::Service const& service : routing_config.services) {
     services[service.name] = &service;
   }
-  std::map<std::string, double> points;
+  std::map<std::string, double> set_points;
   for (schema::Lane const& route : routing_config.lanes) {
     for (schema::Share const& share : route.shares) {
-      double& point = points[share.service];
-      if (route.set_point_ms > 0 && share.weight > 0 && (point <= 0 || route.set_point_ms / 1000 < point)) {
-        point = route.set_point_ms / 1000;
+      double& set_point = set_points[share.service];
+      if (route.set_point_ms > 0 && share.weight > 0 && (set_point <= 0 || route.set_point_ms / 1000 < set_point)) {
+        set_point = route.set_point_ms / 1000;
       }
     }
   }
@@ -60,7 +60,7 @@
     pool.region = region->second;
     pool.service = entry.service;
     pool.capacity = std::max<std::uint64_t>(pool.capacity, std::max(service->second->capacity, entry.capacity));
-    pool.set_point = points[entry.service];
+    pool.set_point = set_points[entry.service];
     pool.listed.insert(entry.id);
     if (entry.draining || evacuated.count(entry.zone) > 0) {
       continue;
@@ -71,8 +71,8 @@
     }
   }
   for (std::pair<std::string const, Pool>& pool : pools) {
-    // The order of the furrows' own ranks: a first split keeps long prompts
-    // where they were (section 13.6).
+    // The same order as the proxies' own ranking, so that a first split keeps long prompts on the workers that had them
+    // before (section 13.6).
     std::sort(pool.second.workers.begin(), pool.second.workers.end(),
               [](std::string const& one, std::string const& other) {
                 return mix(hash_text(one), 1) < mix(hash_text(other), 1);
@@ -98,13 +98,13 @@
   if (settings.scaler != "on") {
     return 0;
   }
-  std::uint64_t const slice = settings.scaler_window_ms / std::max<std::uint64_t>(1, settings.scaler_slices);
-  return std::clamp<std::uint64_t>(slice / 2, constants::min_relay_report_interval / 1000,
+  std::uint64_t const interval = settings.scaler_window_ms / std::max<std::uint64_t>(1, settings.scaler_slices);
+  return std::clamp<std::uint64_t>(interval / 2, constants::min_relay_report_interval / 1000,
                                    constants::relay_report_interval / 1000);
 }
 
-std::map<std::string, schema::FurrowReport> apart(schema::FurrowReport const& report,
-                                                  std::map<std::string, Pool> const& pools) {
+std::map<std::string, schema::FurrowReport> split_report_by_pool(schema::FurrowReport const& report,
+                                                                 std::map<std::string, Pool> const& pools) {
   std::map<std::string, schema::FurrowReport> parts;
   for (schema::WorkerFigures const& figures : report.figures) {
     if (pools.count(figures.worker) > 0) {
@@ -140,17 +140,17 @@
 }
 
 std::string print_split(schema::Split const& split) {
-  schema::Split small = split;
-  for (std::pair<std::string const, schema::Coefficients>& entry : small.coefficients) {
+  schema::Split compact = split;
+  for (std::pair<std::string const, schema::Coefficients>& entry : compact.coefficients) {
     round_all(entry.second.prefill);
     round_all(entry.second.decode);
-    entry.second.error = rounded(entry.second.error);
+    entry.second.error = round_significant(entry.second.error);
   }
-  common::Tree const content(schema::write(small));
+  common::Tree const content(schema::write(compact));
   return common::print_tree(content.get());
 }
 
-schema::Split pruned(schema::Split split, std::set<std::string> const& listed) {
+schema::Split prune_split(schema::Split split, std::set<std::string> const& listed) {
   std::erase_if(split.phases, [&listed](std::pair<std::string const, std::string> const& entry) {
     return listed.count(entry.first) == 0;
   });
--- a/source/scheduling/scaler/scaler.cpp
+++ b/source/scheduling/scaler/scaler.cpp
@@ -11,12 +11,13 @@
 namespace constants = common::constants;
 
 namespace {
-constexpr std::size_t rows_most = 2000;  // rows kept per worker and phase; a fit needs far fewer
-constexpr std::size_t rows_least = 24;   // rows before a worker's own fit is trusted
-constexpr std::size_t rows_each_size =
-    4;  // rows of small and of large prompts without which one cost can't be told from the other
-constexpr double size_part = 0.125;  // of the largest prompt seen: from here on a prompt is large
-constexpr double outlier = 1.5;      // rows slower than this times the median row waited behind others; left out
+constexpr std::size_t max_rows = 2000;  // rows kept per worker and phase; far more than a fit needs
+constexpr std::size_t min_rows = 24;    // rows required to use a worker's own fit
+/// Rows of small and of large prompts required to separate the cost per token from the fixed cost.
+constexpr std::size_t min_rows_per_size = 4;
+constexpr double large_prompt_fraction = 0.125;  // a prompt is large from this fraction of the largest prompt seen
+/// Rows slower than this times the median waited behind other queries and are left out of the second fit.
+constexpr double max_outlier_ratio = 1.5;
 
 void add(PhaseWork& sum, schema::WorkerFigures const& figures) {
   sum.queries += figures.queries;
@@ -27,11 +28,11 @@
   sum.decodes += figures.decodes;
 }
 
-/// A second fit without the rows that waited behind other furrows' queries:
-/// those are slower than the work explains, never faster (section 8.2).
+/// Fits the rows twice, the second time without outliers. Rows that waited behind other proxies' queries are slower
+/// than their work explains, never faster (section 8.2).
 Fit robust_fit(std::vector<FitRow> const& rows, std::size_t least) {
   Fit const first = fit_rows(rows, least);
-  if (!first.good) {
+  if (!first.valid) {
     return first;
   }
   std::vector<double> ratios;
@@ -46,30 +47,30 @@
   }
   std::vector<double> sorted = ratios;
   std::nth_element(sorted.begin(), sorted.begin() + static_cast<std::ptrdiff_t>(sorted.size() / 2), sorted.end());
-  double const middle = sorted[sorted.size() / 2];
+  double const median_ratio = sorted[sorted.size() / 2];
   std::vector<FitRow> kept;
   for (std::size_t row = 0; row < rows.size(); ++row) {
-    if (ratios[row] <= middle * outlier) {
+    if (ratios[row] <= median_ratio * max_outlier_ratio) {
       kept.push_back(rows[row]);
     }
   }
   Fit const second = fit_rows(kept, least);
-  return second.good ? second : first;
+  return second.valid ? second : first;
 }
 
-/// Do rows tell the cost of a token from the fixed one? Those of a worker that
-/// was sent prompts of one size only do not.
-bool tells_sizes(std::vector<FitRow> const& rows, double largest) {
+/// True if the rows can separate the cost per token from the fixed cost. Those of a worker that got prompts of a single
+/// size can't.
+bool has_both_sizes(std::vector<FitRow> const& rows, double largest) {
   std::size_t small = 0;
   std::size_t large = 0;
   for (FitRow const& row : rows) {
-    (row.terms[1] >= largest * size_part ? large : small) += 1;
+    (row.terms[1] >= largest * large_prompt_fraction ? large : small) += 1;
   }
-  return std::min(small, large) >= rows_each_size;
+  return std::min(small, large) >= min_rows_per_size;
 }
 
-/// What all workers show together, by how much slower or faster this one is.
-std::vector<double> scaled(Fit const& common, std::vector<FitRow> const& rows) {
+/// Scales the coefficients fitted over all workers by the relative speed of one worker, measured by its own rows.
+std::vector<double> scale_common_fit(Fit const& common, std::vector<FitRow> const& rows) {
   std::vector<double> ratios;
   for (FitRow const& row : rows) {
     double sum = 0;
@@ -81,10 +82,10 @@
     }
   }
   std::vector<double> coefficients = common.coefficients;
-  if (ratios.size() >= rows_each_size) {
-    double const pace = std::clamp(middle(ratios), 0.5, 2.0);
+  if (ratios.size() >= min_rows_per_size) {
+    double const speed_ratio = std::clamp(median(ratios), 0.5, 2.0);
     for (double& coefficient : coefficients) {
-      coefficient *= pace;
+      coefficient *= speed_ratio;
     }
   }
   return coefficients;
@@ -94,22 +95,23 @@
   return count > 0 ? sum / count : 0;
 }
 
-/// Seconds that reading a prompt takes. Under a set point what was seen counts
-/// where it was longer than the work explains: parts that a worker lost unseen,
-/// and prompts of others that were read first (section 13.11).
-double reading_seconds(WorkerModel const& model, PhaseWork const& work, double set_point) {
+/// Seconds of prefill for the mean prompt, without the fixed cost. With a set point, the measured time is used if it is
+/// longer than the work explains: because of prompt parts that a worker evicted unnoticed, and other queries' prompts
+/// that were computed first (section 13.11).
+double prompt_seconds(WorkerModel const& model, PhaseWork const& work, double set_point) {
   double const explained = model.prefill[1] * per_query(work.uncached, work.queries) +
                            model.prefill[2] * per_query(work.pairs, work.queries);
   return set_point > 0 ? std::max(explained, per_query(work.prefill_seconds, work.queries) - model.prefill[0])
                        : explained;
 }
 
-/// Seconds that one query of this phase keeps a worker busy.
+/// Returns the seconds for which one query of this phase occupies a worker. `prefill` and `decode` select the costs to
+/// include.
 double busy_seconds(WorkerModel const& model, PhaseWork const& work, bool prefill, bool decode,
                     schema::ScalerAims const& aims, double batch, double set_point) {
   double seconds = 0;
   if (prefill && work.queries > 0) {
-    seconds += model.prefill[0] / aims.prefill_batch + reading_seconds(model, work, set_point);
+    seconds += model.prefill[0] / aims.prefill_batch + prompt_seconds(model, work, set_point);
   }
   if (decode && work.decodes > 0) {
     seconds += per_query(work.iterations, work.decodes) *
@@ -118,24 +120,24 @@
   return seconds;
 }
 
-/// Share of its time that a worker may be busy for first answers to come within
-/// part of the set point: prompts are read one after the other, so the wait is
-/// that of one server, s * spread * load / (1 - load).
-double bearable_load(WorkerModel const& model, PhaseWork const& work, double set_point) {
+/// Returns the maximum utilization of a worker at which first answers arrive within the part of the set point that is
+/// available to it. Prompts are computed one after the other, so the wait is that of a single-server queue:
+/// s * spread * load / (1 - load).
+double max_load(WorkerModel const& model, PhaseWork const& work, double set_point) {
   if (set_point <= 0 || work.queries <= 0) {
     return 1;
   }
-  double const reading = reading_seconds(model, work, 0);
-  double const left = set_point * constants::set_point_fraction - model.prefill[0] - reading;
+  double const prompt = prompt_seconds(model, work, 0);
+  double const left = set_point * constants::set_point_fraction - model.prefill[0] - prompt;
   if (left <= 0) {
-    return 1;  // by this fit no load keeps it: then it tells nothing of who should read
+    return 1;  // no load meets it by this fit, so that it can't guide the split
   }
-  return std::max(constants::min_worker_load, left / (left + std::max(1e-6, reading * constants::prefill_spread)));
+  return std::max(constants::min_worker_load, left / (left + std::max(1e-6, prompt * constants::prefill_spread)));
 }
 
-/// Is a phase's part of all work enough for a worker of its own?
-bool worth_apart(WorkerModel const& model, SliceWork const& work, schema::ScalerAims const& aims, double batch,
-                 std::size_t workers) {
+/// True if each phase has enough of the total work for a worker of its own.
+bool justifies_split(WorkerModel const& model, IntervalWork const& work, schema::ScalerAims const& aims, double batch,
+                     std::size_t workers) {
   double const prefill = work.prefill.queries * busy_seconds(model, work.prefill, true, true, aims, batch, 0);
   double const decode = work.decode.queries * busy_seconds(model, work.decode, true, true, aims, batch, 0);
   return std::min(prefill, decode) * static_cast<double>(workers) >= (prefill + decode) * constants::min_phase_work;
@@ -143,7 +145,7 @@
 }  // namespace
 
 double throughput(std::map<std::string, std::string> const& phases, std::map<std::string, WorkerModel> const& models,
-                  SliceWork const& work, schema::ScalerAims const& aims, double batch, double set_point) {
+                  IntervalWork const& work, schema::ScalerAims const& aims, double batch, double set_point) {
   bool const paired = aims.manner == "paired";
   double const prefills = work.prefill.queries;
   double const decodes = paired ? work.decode.decodes : work.decode.queries;
@@ -163,15 +165,14 @@
                                    : busy_seconds(model->second, work.decode, !paired, true, aims, batch, set_point);
     if (seconds > 0) {
       (prefill ? prefill_rate : decode_rate) +=
-          bearable_load(model->second, prefill ? work.prefill : work.decode, set_point) / seconds;
+          max_load(model->second, prefill ? work.prefill : work.decode, set_point) / seconds;
     }
   }
-  // Each phase must carry its share of the queries; in the paired manner that
-  // is all of them in both.
+  // Each phase must carry its share of the queries; with paired queries that is all of them in both phases.
   double const unbounded = std::numeric_limits<double>::infinity();
-  double const of_prefill = prefills > 0 ? prefill_rate * all / prefills : unbounded;
-  double const of_decode = decodes > 0 ? decode_rate * all / decodes : unbounded;
-  double const least = std::min(of_prefill, of_decode);
+  double const prefill_limit = prefills > 0 ? prefill_rate * all / prefills : unbounded;
+  double const decode_limit = decodes > 0 ? decode_rate * all / decodes : unbounded;
+  double const least = std::min(prefill_limit, decode_limit);
   return std::isfinite(least) ? least : 0;
 }
 
@@ -181,44 +182,44 @@
   }
   common::Span const span =
       std::max<common::Span>(common::milliseconds(static_cast<std::int64_t>(aims.window_ms / aims.slices)), 1);
-  if (slices_.empty() || now - slices_.back().begins >= span) {
-    slices_.push_back(Slice{now, {}});
+  if (intervals_.empty() || now - intervals_.back().begins >= span) {
+    intervals_.push_back(Interval{now, {}});
   }
-  while (slices_.size() > aims.slices + 1) {  // the newest is still filling
-    slices_.pop_front();
+  while (intervals_.size() > aims.slices + 1) {  // the newest is still being filled
+    intervals_.pop_front();
   }
   for (schema::WorkerFigures const& figures : report.figures) {
-    add(figures.phase == "decode" ? slices_.back().work.decode : slices_.back().work.prefill, figures);
+    add(figures.phase == "decode" ? intervals_.back().work.decode : intervals_.back().work.prefill, figures);
   }
   for (schema::Sample const& sample : report.samples) {
-    std::vector<FitRow>& rows =
-        sample.decode ? decode_rows_[sample.worker] : (sample.sure ? prefill_rows_ : prefill_unsure_)[sample.worker];
-    if (rows.size() < rows_most && sample.seconds > 0) {
+    std::vector<FitRow>& rows = sample.decode ? decode_rows_[sample.worker]
+                                              : (sample.sure ? prefill_rows_ : uncertain_prefill_rows_)[sample.worker];
+    if (rows.size() < max_rows && sample.seconds > 0) {
       rows.push_back(sample.decode ? FitRow{{1.0, sample.spread, sample.running}, sample.seconds}
                                    : FitRow{{1.0, sample.uncached, sample.pairs, sample.restored}, sample.seconds});
     }
   }
 }
 
-schema::Split Scaler::fitted(std::vector<std::string> const& workers) const {
+schema::Split Scaler::fit_coefficients(std::vector<std::string> const& workers) const {
   schema::Split split;
   std::vector<FitRow> all_prefill;
   std::vector<FitRow> all_decode;
-  // Without shared prefixes there are no sure rows; then all must do.
-  std::size_t sure = 0;
+  // Without shared prefixes there are no certain rows; then the uncertain ones are used.
+  std::size_t certain = 0;
   for (std::pair<std::string const, std::vector<FitRow>> const& rows : prefill_rows_) {
-    sure += rows.second.size();
+    certain += rows.second.size();
   }
-  Rows const& prefills = sure >= rows_least * 2 ? prefill_rows_ : prefill_unsure_;
+  Rows const& prefills = certain >= min_rows * 2 ? prefill_rows_ : uncertain_prefill_rows_;
   for (std::pair<std::string const, std::vector<FitRow>> const& rows : prefills) {
     all_prefill.insert(all_prefill.end(), rows.second.begin(), rows.second.end());
   }
   for (std::pair<std::string const, std::vector<FitRow>> const& rows : decode_rows_) {
     all_decode.insert(all_decode.end(), rows.second.begin(), rows.second.end());
   }
-  Fit const common_prefill = robust_fit(all_prefill, rows_least);
-  Fit const common_decode = robust_fit(all_decode, rows_least);
-  if (!common_prefill.good || !common_decode.good) {
+  Fit const common_prefill = robust_fit(all_prefill, min_rows);
+  Fit const common_decode = robust_fit(all_decode, min_rows);
+  if (!common_prefill.valid || !common_decode.valid) {
     return split;
   }
   double largest = 0;
@@ -228,26 +229,28 @@
   for (std::string const& worker : workers) {
     std::map<std::string, std::vector<FitRow>>::const_iterator const prefill = prefills.find(worker);
     std::map<std::string, std::vector<FitRow>>::const_iterator const decode = decode_rows_.find(worker);
-    // Few rows of its own: what all workers show together stands in.
-    Fit const own_prefill = prefill == prefills.end() || (set_point_ > 0 && !tells_sizes(prefill->second, largest))
+    // A worker with too few rows of its own gets the fit over all workers.
+    Fit const own_prefill = prefill == prefills.end() || (set_point_ > 0 && !has_both_sizes(prefill->second, largest))
                                 ? Fit{}
-                                : robust_fit(prefill->second, rows_least);
-    Fit const own_decode = decode == decode_rows_.end() ? Fit{} : robust_fit(decode->second, rows_least);
+                                : robust_fit(prefill->second, min_rows);
+    Fit const own_decode = decode == decode_rows_.end() ? Fit{} : robust_fit(decode->second, min_rows);
     schema::Coefficients coefficients;
-    coefficients.prefill = own_prefill.good                              ? own_prefill.coefficients
-                           : set_point_ > 0 && prefill != prefills.end() ? scaled(common_prefill, prefill->second)
-                                                                         : common_prefill.coefficients;
-    coefficients.decode = own_decode.good                                  ? own_decode.coefficients
-                          : set_point_ > 0 && decode != decode_rows_.end() ? scaled(common_decode, decode->second)
-                                                                           : common_decode.coefficients;
-    coefficients.error = own_prefill.good ? own_prefill.error : common_prefill.error;
+    coefficients.prefill = own_prefill.valid ? own_prefill.coefficients
+                           : set_point_ > 0 && prefill != prefills.end()
+                               ? scale_common_fit(common_prefill, prefill->second)
+                               : common_prefill.coefficients;
+    coefficients.decode = own_decode.valid ? own_decode.coefficients
+                          : set_point_ > 0 && decode != decode_rows_.end()
+                              ? scale_common_fit(common_decode, decode->second)
+                              : common_decode.coefficients;
+    coefficients.error = own_prefill.valid ? own_prefill.error : common_prefill.error;
     split.coefficients[worker] = coefficients;
   }
   return split;
 }
 
-std::map<std::string, WorkerModel> Scaler::models_of(schema::Split const& split,
-                                                     std::vector<std::string> const& workers) const {
+std::map<std::string, WorkerModel> Scaler::worker_models(schema::Split const& split,
+                                                         std::vector<std::string> const& workers) const {
   std::map<std::string, WorkerModel> models;
   for (std::string const& worker : workers) {
     std::map<std::string, schema::Coefficients>::const_iterator const found = split.coefficients.find(worker);
@@ -262,10 +265,10 @@
   return models;
 }
 
-std::vector<SliceWork> Scaler::counted(schema::ScalerAims const& aims) const {
-  std::vector<SliceWork> works;
-  for (std::size_t place = 0; place + 1 < slices_.size(); ++place) {
-    SliceWork const& work = slices_[place].work;
+std::vector<IntervalWork> Scaler::usable_intervals(schema::ScalerAims const& aims) const {
+  std::vector<IntervalWork> works;
+  for (std::size_t place = 0; place + 1 < intervals_.size(); ++place) {
+    IntervalWork const& work = intervals_[place].work;
     if (work.prefill.queries + work.decode.queries >= static_cast<double>(aims.slice_least)) {
       works.push_back(work);
     }
@@ -273,25 +276,25 @@
   return works;
 }
 
-bool Scaler::candidate(std::size_t prefills, std::size_t workers) const {
+bool Scaler::is_candidate(std::size_t prefills, std::size_t workers) const {
   double const all = static_cast<double>(workers);
-  double const least = std::clamp(std::round(share_least_ * all), 1.0, all - 1);
-  double const most = std::clamp(std::round(share_most_ * all), least, all - 1);
+  double const least = std::clamp(std::round(min_prefill_share_ * all), 1.0, all - 1);
+  double const most = std::clamp(std::round(max_prefill_share_ * all), least, all - 1);
   return static_cast<double>(prefills) >= least && static_cast<double>(prefills) <= most;
 }
 
-std::optional<schema::Split> Scaler::first_split(std::vector<std::string> const& workers,
-                                                 schema::ScalerAims const& aims, double batch,
-                                                 std::map<std::string, std::string> const& fixed) const {
-  schema::Split split = fitted(workers);
+std::optional<schema::Split> Scaler::make_first_split(std::vector<std::string> const& workers,
+                                                      schema::ScalerAims const& aims, double batch,
+                                                      std::map<std::string, std::string> const& fixed) const {
+  schema::Split split = fit_coefficients(workers);
   if (split.coefficients.empty()) {
     return std::nullopt;
   }
-  SliceWork sum;
-  for (Slice const& slice : slices_) {
+  IntervalWork sum;
+  for (Interval const& interval : intervals_) {
     for (std::pair<PhaseWork*, PhaseWork const*> const& part :
-         {std::pair<PhaseWork*, PhaseWork const*>{&sum.prefill, &slice.work.prefill},
-          {&sum.decode, &slice.work.decode}}) {
+         {std::pair<PhaseWork*, PhaseWork const*>{&sum.prefill, &interval.work.prefill},
+          {&sum.decode, &interval.work.decode}}) {
       part.first->queries += part.second->queries;
       part.first->uncached += part.second->uncached;
       part.first->pairs += part.second->pairs;
@@ -299,35 +302,34 @@
       part.first->decodes += part.second->decodes;
     }
   }
-  // What was seen to take longer is left out here: a warm-up's waits are those of
-  // memories that are still empty.
-  std::map<std::string, WorkerModel> const models = models_of(split, workers);
-  if (aims.manner == "whole" && !worth_apart(models.begin()->second, sum, aims, batch, workers.size())) {
+  // Measured prefill times are left out here: waits during the warm-up come from prompt caches that are still empty.
+  std::map<std::string, WorkerModel> const models = worker_models(split, workers);
+  if (aims.manner == "whole" && !justifies_split(models.begin()->second, sum, aims, batch, workers.size())) {
     return std::nullopt;
   }
   double best = -1;
   for (std::size_t count = 1; count < workers.size(); ++count) {
-    if (!candidate(count, workers.size())) {
+    if (!is_candidate(count, workers.size())) {
       continue;
     }
     std::map<std::string, std::string> phases;
     for (std::size_t place = 0; place < workers.size(); ++place) {
-      std::map<std::string, std::string>::const_iterator const told = fixed.find(workers[place]);
-      phases[workers[place]] = told != fixed.end() ? told->second : place < count ? "prefill" : "decode";
+      std::map<std::string, std::string>::const_iterator const prescribed = fixed.find(workers[place]);
+      phases[workers[place]] = prescribed != fixed.end() ? prescribed->second : place < count ? "prefill" : "decode";
     }
-    double const carried = throughput(phases, models, sum, aims, batch, set_point_);
-    if (carried > best) {
-      best = carried;
+    double const predicted_rate = throughput(phases, models, sum, aims, batch, set_point_);
+    if (predicted_rate > best) {
+      best = predicted_rate;
       split.phases = phases;
     }
   }
   split.frozen = true;
   split.manner = aims.manner;
-  std::size_t feeding = 0;
+  std::size_t prefill_count = 0;
   for (std::pair<std::string const, std::string> const& phase : split.phases) {
-    feeding += phase.second == "prefill" ? 1 : 0;
+    prefill_count += phase.second == "prefill" ? 1 : 0;
   }
-  split.reason = "first split after warm-up, prefill " + std::to_string(feeding) + " of " +
+  split.reason = "first split after warm-up, prefill " + std::to_string(prefill_count) + " of " +
                  std::to_string(workers.size()) + ", predicted " + std::to_string(best) + " queries a second";
   return split;
 }
@@ -338,10 +340,10 @@
   if (!seen_any_ || revision != seen_revision_) {
     seen_any_ = true;
     seen_revision_ = revision;
-    seen_at_ = now;  // the hold counts from here, also for one that just took over
+    seen_at_ = now;  // the hold time starts here, also for a scaler that just took over
   }
   if (workers.size() < 2) {
-    return Rest{"fewer than two workers: each does both phases"};
+    return NoChange{"fewer than two workers: each does both phases"};
   }
   double const batch = std::max(1.0, static_cast<double>(bounds.limit) / 2);
   if (aims.fixed_prefill >= 0) {
@@ -353,27 +355,27 @@
     split.frozen = true;
     split.manner = aims.manner;
     split.reason = "fixed by the setup";
-    return split.phases == current.phases ? ScalerAction{Rest{split.reason}} : ScalerAction{WriteSplit{split}};
+    return split.phases == current.phases ? ScalerAction{NoChange{split.reason}} : ScalerAction{WriteSplit{split}};
   }
   if (!current.frozen || current.manner != aims.manner) {
     if (first_report_ == 0 || now - first_report_ < common::milliseconds(static_cast<std::int64_t>(aims.warm_up_ms))) {
-      return Rest{"warm-up: workers do both phases while times are fitted"};
+      return NoChange{"warm-up: workers do both phases while times are fitted"};
     }
-    std::optional<schema::Split> const first = first_split(workers, aims, batch, fixed);
+    std::optional<schema::Split> const first = make_first_split(workers, aims, batch, fixed);
     return first.has_value()
                ? ScalerAction{WriteSplit{*first}}
                : ScalerAction{
-                     Rest{"too few observations for a fit, or too little work of one phase to set workers apart"}};
+                     NoChange{"too few observations for a fit, or too little work of one phase to set workers apart"}};
   }
-  std::vector<SliceWork> const works = counted(aims);
-  std::map<std::string, WorkerModel> const models = models_of(current, workers);
+  std::vector<IntervalWork> const works = usable_intervals(aims);
+  std::map<std::string, WorkerModel> const models = worker_models(current, workers);
   std::map<std::string, std::string> phases;
   std::size_t prefills = 0;
   std::vector<std::string> unassigned;
   for (std::string const& worker : workers) {
-    std::map<std::string, std::string>::const_iterator const told = fixed.find(worker);
+    std::map<std::string, std::string>::const_iterator const prescribed = fixed.find(worker);
     std::map<std::string, std::string>::const_iterator const found =
-        told != fixed.end() ? told : current.phases.find(worker);
+        prescribed != fixed.end() ? prescribed : current.phases.find(worker);
     if (found == current.phases.end() || found->second == "both") {
       unassigned.push_back(worker);
     } else {
@@ -382,34 +384,35 @@
     }
   }
   std::size_t const decodes = phases.size() - prefills;
-  // Came new, or a phase lost its last worker: nobody switches whose queries
-  // count, so this waits for no hold.
+  // New workers appeared, or a phase lost its last worker: this doesn't disturb a working split, so it doesn't wait for
+  // the hold time.
   if (!unassigned.empty() || prefills == 0 || decodes == 0) {
     schema::Split split = current;
     if (unassigned.empty()) {
       std::vector<std::string>::const_iterator const free = std::find_if(
           workers.begin(), workers.end(), [&fixed](std::string const& worker) { return fixed.count(worker) == 0; });
       if (free == workers.end()) {
-        return Rest{"all workers can do one phase only"};
+        return NoChange{"all workers can do one phase only"};
       }
       split.phases[*free] = prefills == 0 ? "prefill" : "decode";
       split.reason = "a phase had no worker left";
     } else {
-      // All in one write: workers that were replaced come by the half dozen.
-      SliceWork const recent = works.empty() ? SliceWork{} : works.back();
+      // All in one write: replaced workers arrive by the half dozen.
+      IntervalWork const recent = works.empty() ? IntervalWork{} : works.back();
       std::map<std::string, std::string> assigned = phases;
-      std::size_t feeding = prefills;
-      for (std::string const& newcomer : unassigned) {
+      std::size_t prefill_count = prefills;
+      for (std::string const& new_worker : unassigned) {
         std::map<std::string, std::string> with_prefill = assigned;
         std::map<std::string, std::string> with_decode = assigned;
-        with_prefill[newcomer] = "prefill";
-        with_decode[newcomer] = "decode";
-        bool const prefill = feeding == 0 || (assigned.size() > feeding &&
-                                              throughput(with_prefill, models, recent, aims, batch, set_point_) >
-                                                  throughput(with_decode, models, recent, aims, batch, set_point_));
-        assigned[newcomer] = prefill ? "prefill" : "decode";
-        feeding += prefill ? 1 : 0;
-        split.phases[newcomer] = assigned[newcomer];
+        with_prefill[new_worker] = "prefill";
+        with_decode[new_worker] = "decode";
+        bool const prefill =
+            prefill_count == 0 ||
+            (assigned.size() > prefill_count && throughput(with_prefill, models, recent, aims, batch, set_point_) >
+                                                    throughput(with_decode, models, recent, aims, batch, set_point_));
+        assigned[new_worker] = prefill ? "prefill" : "decode";
+        prefill_count += prefill ? 1 : 0;
+        split.phases[new_worker] = assigned[new_worker];
       }
       split.reason = unassigned.front() +
                      (unassigned.size() > 1 ? " and " + std::to_string(unassigned.size() - 1) + " more" : "") +
@@ -421,19 +424,19 @@
     return WriteSplit{split};
   }
   if (aims.refit_ms > 0 && now - seen_at_ >= common::milliseconds(static_cast<std::int64_t>(aims.refit_ms))) {
-    schema::Split const again = fitted(workers);
-    if (!again.coefficients.empty()) {
+    schema::Split const refit = fit_coefficients(workers);
+    if (!refit.coefficients.empty()) {
       schema::Split split = current;
-      split.coefficients = again.coefficients;
+      split.coefficients = refit.coefficients;
       split.reason = "refitted";
       return WriteSplit{split};
     }
   }
   if (now - seen_at_ < common::milliseconds(static_cast<std::int64_t>(aims.hold_ms))) {
-    return Rest{"held after the last switch"};
+    return NoChange{"held after the last switch"};
   }
   if (works.size() < std::max<std::size_t>(3, aims.slices / 2)) {
-    return Rest{"too few slices with observations"};
+    return NoChange{"too few slices with observations"};
   }
   std::optional<schema::Split> best;
   double best_gain = 0;
@@ -441,10 +444,10 @@
        ++change) {
     std::int64_t const count = static_cast<std::int64_t>(prefills) + change;
     if (change == 0 || count < 1 || count >= static_cast<std::int64_t>(phases.size()) ||
-        !candidate(static_cast<std::size_t>(count), phases.size())) {
+        !is_candidate(static_cast<std::size_t>(count), phases.size())) {
       continue;
     }
-    // Who is relatively best at the other phase goes first.
+    // Workers that are relatively best at the other phase switch first.
     std::vector<std::pair<double, std::string>> movable;
     for (std::pair<std::string const, std::string> const& entry : phases) {
       if ((entry.second == "prefill") == (change < 0) && fixed.count(entry.first) == 0) {
@@ -464,7 +467,7 @@
     }
     std::vector<double> gains;
     double mean = 0;
-    for (SliceWork const& work : works) {
+    for (IntervalWork const& work : works) {
       gains.push_back(throughput(candidate, models, work, aims, batch, set_point_) -
                       throughput(phases, models, work, aims, batch, set_point_));
       mean += gains.back() / static_cast<double>(works.size());
@@ -484,7 +487,7 @@
     }
   }
   return best.has_value() ? ScalerAction{WriteSplit{*best}}
-                          : ScalerAction{Rest{"no candidate gains more than its error allows"}};
+                          : ScalerAction{NoChange{"no candidate gains more than its error allows"}};
 }
 
 }  // namespace finchlink::scheduling
--- a/source/tests/scheduling/prompt_isolation_flood_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_flood_test.cpp
@@ -11,54 +11,54 @@
 namespace finchlink {
 namespace {
 
-constexpr std::uint64_t flooding = 2;
+constexpr std::uint64_t flooding_tenant = 2;
 constexpr std::size_t flood_prompts = 20000;
 
-std::vector<scheduling::PromptPart> prompt_of(std::uint64_t holder, std::uint64_t number) {
-  return {scheduling::PromptPart{holder * 1000003 + number * 7, 400, holder},
-          scheduling::PromptPart{holder * 1000003 + number * 7 + 1, 200, holder}};
+std::vector<scheduling::PromptPart> prompt_of(std::uint64_t owner, std::uint64_t number) {
+  return {scheduling::PromptPart{owner * 1000003 + number * 7, 400, owner},
+          scheduling::PromptPart{owner * 1000003 + number * 7 + 1, 200, owner}};
 }
 
 double bytes_in_use() {
   struct mallinfo2 const heap = mallinfo2();
-  return static_cast<double>(heap.uordblks + heap.hblkhd);  // large tables are mapped by themselves
+  return static_cast<double>(heap.uordblks + heap.hblkhd);  // large blocks are allocated by mmap
 }
 
 struct Flooded {
-  double record = 0;   ///< bytes of one worker's record
-  double tallies = 0;  ///< bytes of told reuse
-  std::size_t kept = 0;
+  double record = 0;     ///< bytes of one worker's record
+  double tallies = 0;    ///< bytes of all tenants' counters
+  std::size_t kept = 0;  ///< tenants whose prompt is still recorded
   std::size_t entries = 0;
-  double give_up_us = 0;
+  double eviction_us = 0;  ///< mean time to process an eviction, in microseconds
 };
 
-/// Each tenant asks once, while one of them asks `flood_prompts` times; the
-/// worker's memory holds all tenants' prompts and as much again of the flood.
-Flooded flood(std::size_t tenants, double most) {
+/// Each tenant sends one prompt while another floods with `flood_prompts`. With `capacity` as called below, the
+/// worker's cache holds all prompts of the tenants and as much again of the flood.
+Flooded flood(std::size_t tenants, double capacity) {
   Flooded result;
   double const before = bytes_in_use();
-  scheduling::PromptCacheEstimate reuse(most);
+  scheduling::PromptCacheEstimate estimate(capacity);
   std::size_t const each = flood_prompts / tenants + 1;
   std::size_t sent = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
-    reuse.remember(prompt_of(100 + tenant, 0));
+    estimate.remember(prompt_of(100 + tenant, 0));
     for (std::size_t count = 0; count < each && sent < flood_prompts; ++count) {
-      reuse.remember(prompt_of(flooding, 1000 + sent++));
+      estimate.remember(prompt_of(flooding_tenant, 1000 + sent++));
     }
   }
   while (sent < flood_prompts) {
-    reuse.remember(prompt_of(flooding, 1000 + sent++));
+    estimate.remember(prompt_of(flooding_tenant, 1000 + sent++));
   }
   result.record = bytes_in_use() - before;
-  result.entries = reuse.isolated()->size();
+  result.entries = estimate.isolated()->size();
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
-    result.kept += reuse.match(prompt_of(100 + tenant, 0)) == 600 ? 1 : 0;
+    result.kept += estimate.match(prompt_of(100 + tenant, 0)) == 600 ? 1 : 0;
   }
   std::chrono::steady_clock::time_point const began = std::chrono::steady_clock::now();
   for (std::uint64_t tenant = 0; tenant < 20; ++tenant) {
-    reuse.record_eviction(prompt_of(100 + tenant, 0), 400);
+    estimate.record_eviction(prompt_of(100 + tenant, 0), 400);
   }
-  result.give_up_us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - began).count() / 20;
+  result.eviction_us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - began).count() / 20;
   double const between = bytes_in_use();
   scheduling::PromptIsolation isolation;
   scheduling::Prompt prompt{"", "m", {scheduling::NamedPart{"a", 100}}, {}, ""};
@@ -70,53 +70,53 @@
   return result;
 }
 
-TEST(WallFlood, StatePerTenantAtThreeSizes) {
-  // Printed for docs/operating/walls.md; a sanitizer's heap tells nothing.
+TEST(IsolationFlood, StatePerTenantAtThreeSizes) {
+  // Figures for docs/operating/walls.md; under a sanitizer the heap sizes are meaningless.
   std::vector<std::size_t> const sizes{1000, 4000, 8600};
   std::vector<Flooded> found;
   for (std::size_t const tenants : sizes) {
     found.push_back(flood(tenants, 8600.0 * 1200));
     std::cout << tenants << " tenants: record " << found.back().record << " bytes, " << found.back().entries
-              << " entries, told reuse " << found.back().tallies << " bytes, " << found.back().kept
-              << " tenants' prompts still recorded, giving up " << found.back().give_up_us << " us\n";
-    EXPECT_EQ(found.back().kept, tenants) << "the flood took something from a tenant below an even share";
+              << " entries, tenants' counters " << found.back().tallies << " bytes, " << found.back().kept
+              << " tenants' prompts still recorded, eviction " << found.back().eviction_us << " us\n";
+    EXPECT_EQ(found.back().kept, tenants) << "the flood evicted a tenant below an even share";
   }
-  // One worker's record is as large as its memory whoever fills it: the flood fills what tenants leave.
+  // A record is as large as its worker's cache, whoever fills it: the flood uses what the tenants leave free.
   double const record = found.back().record / static_cast<double>(found.back().entries);
   double const tallies = (found[2].tallies - found[0].tallies) / 7600;
-  std::cout << "bytes for each entry of a record " << record << ", for each tenant told " << tallies << "\n";
+  std::cout << "bytes per entry of a record " << record << ", per tenant with counters " << tallies << "\n";
   EXPECT_LT(record, 600);
   EXPECT_LT(tallies, 500);
 }
 
-TEST(WallFlood, WithTooLittleMemoryTheFloodHoldsNoMoreThanOthers) {
-  // A tenth of what all tenants would need: who asked last still reuses it, and
-  // the flood's part is not above that of those who are left.
+TEST(IsolationFlood, WithTooLittleMemoryTheFloodHoldsNoMoreThanOthers) {
+  // The cache is a tenth of what all tenants would need. Those that sent a prompt last still reuse it, and the flood
+  // holds no larger share than the tenants that are left.
   std::size_t const tenants = 8600;
-  double const most = 8600.0 * 60;
-  scheduling::PromptCacheEstimate reuse(most);
+  double const capacity = 8600.0 * 60;
+  scheduling::PromptCacheEstimate estimate(capacity);
   std::size_t kept = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
-    reuse.remember(prompt_of(100 + tenant, 0));
+    estimate.remember(prompt_of(100 + tenant, 0));
     for (std::size_t count = 0; count < 3; ++count) {
-      reuse.remember(prompt_of(flooding, 1000 + tenant * 3 + count));
+      estimate.remember(prompt_of(flooding_tenant, 1000 + tenant * 3 + count));
     }
-    kept += reuse.match(prompt_of(100 + tenant, 0)) > 0 ? 1 : 0;  // it asks again at once
+    kept += estimate.match(prompt_of(100 + tenant, 0)) > 0 ? 1 : 0;  // it sends the same prompt again at once
   }
   std::size_t later = 0;
   for (std::uint64_t tenant = 0; tenant < tenants; ++tenant) {
-    later += reuse.match(prompt_of(100 + tenant, 0)) > 0 ? 1 : 0;
+    later += estimate.match(prompt_of(100 + tenant, 0)) > 0 ? 1 : 0;
   }
   std::size_t of_flood = 0;
   for (std::size_t number = 0; number < tenants * 3; ++number) {
-    of_flood += reuse.match(prompt_of(flooding, 1000 + number)) > 0 ? 1 : 0;
+    of_flood += estimate.match(prompt_of(flooding_tenant, 1000 + number)) > 0 ? 1 : 0;
   }
-  std::cout << "kept at once " << kept << " of " << tenants << ", in the end " << later << ", prompts of the flood "
-            << of_flood << ", holders " << reuse.isolated()->holders() << "\n";
-  EXPECT_LE(reuse.isolated()->tokens(), most);
-  EXPECT_EQ(kept, tenants) << "those who came first keep nothing from those who come now";
-  EXPECT_LE(of_flood, 4u) << "twice an even part";
-  EXPECT_GE(later, static_cast<std::size_t>(most / 600) - 5) << "the rest of the memory is the tenants'";
+  std::cout << "reused at once " << kept << " of " << tenants << ", at the end " << later << ", prompts of the flood "
+            << of_flood << ", owners " << estimate.isolated()->owners() << "\n";
+  EXPECT_LE(estimate.isolated()->tokens(), capacity);
+  EXPECT_EQ(kept, tenants) << "earlier tenants must not keep later ones out of the cache";
+  EXPECT_LE(of_flood, 4u) << "twice an even share";
+  EXPECT_GE(later, static_cast<std::size_t>(capacity / 600) - 5) << "the rest of the cache belongs to the tenants";
 }
 
 }  // namespace
--- a/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_load_balancer_test.cpp
@@ -18,12 +18,12 @@
   return spec;
 }
 
-/// One worker on which a tenant's part of 500 tokens is kept.
-struct Kept {
+/// A load balancer with one worker that caches a tenant's part of 500 tokens.
+struct CachedPart {
   scheduling::LoadBalancer balancer;
   scheduling::PlacementRequest wanted;
   common::Moment now = 1000000;
-  Kept() {
+  CachedPart() {
     wanted.shares.push_back(schema::Share{"s", 1});
     wanted.parts = {scheduling::PromptPart{77, 500, 9}};
     wanted.tokens = 500;
@@ -35,12 +35,12 @@
     EXPECT_EQ(uncached(), 0);
   }
   void put(std::vector<scheduling::WorkerSpec> const& specs) {
-    scheduling::LoadBalancerContext terms;
-    terms.hall = "h";
-    terms.region = "r";
-    terms.self = "f";
-    terms.proxies = {"f"};
-    balancer.update(specs, terms, now += 100000);
+    scheduling::LoadBalancerContext context;
+    context.hall = "h";
+    context.region = "r";
+    context.self = "f";
+    context.proxies = {"f"};
+    balancer.update(specs, context, now += 100000);
   }
   scheduling::Assignment place() {
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
@@ -56,57 +56,57 @@
   }
 };
 
-TEST(WallGrove, AnotherTenantHasNothingThere) {
-  Kept kept;
-  kept.wanted.parts = {scheduling::PromptPart{78, 500, 10}};
-  EXPECT_EQ(kept.uncached(), 500);
+TEST(IsolationLoadBalancer, AnotherTenantHasNothingThere) {
+  CachedPart cached;
+  cached.wanted.parts = {scheduling::PromptPart{78, 500, 10}};
+  EXPECT_EQ(cached.uncached(), 500);
 }
 
-TEST(WallGrove, AWorkerThatCameBackKeepsNothing) {
-  Kept kept;
-  kept.put({});
-  kept.put({spec_of("w")});
-  EXPECT_EQ(kept.uncached(), 500);
+TEST(IsolationLoadBalancer, AWorkerThatCameBackKeepsNothing) {
+  CachedPart cached;
+  cached.put({});
+  cached.put({spec_of("w")});
+  EXPECT_EQ(cached.uncached(), 500);
 }
 
-TEST(WallGrove, AnotherIdAtItsAddressKeepsNothing) {
-  Kept kept;
-  kept.put({spec_of("w2")});
-  EXPECT_EQ(kept.uncached(), 500);
+TEST(IsolationLoadBalancer, AnotherIdAtItsAddressKeepsNothing) {
+  CachedPart cached;
+  cached.put({spec_of("w2")});
+  EXPECT_EQ(cached.uncached(), 500);
 }
 
-TEST(WallGrove, AHallTakenBackKeepsNothing) {
-  Kept kept;
+TEST(IsolationLoadBalancer, ARestoredZoneKeepsNothing) {
+  CachedPart cached;
   scheduling::WorkerSpec emptied = spec_of("w");
   emptied.evacuated = true;
-  kept.put({emptied});
-  kept.put({spec_of("w")});
-  EXPECT_EQ(kept.uncached(), 500);
+  cached.put({emptied});
+  cached.put({spec_of("w")});
+  EXPECT_EQ(cached.uncached(), 500);
 }
 
-TEST(WallGrove, AWorkerTurnedColdKeepsNothing) {
-  Kept kept;
+TEST(IsolationLoadBalancer, AWorkerTurnedColdKeepsNothing) {
+  CachedPart cached;
   scheduling::WorkerSpec cold = spec_of("w");
-  cold.cold_until = kept.now + 1000000;
-  kept.put({cold});
-  EXPECT_EQ(kept.uncached(), 500);
+  cold.cold_until = cached.now + 1000000;
+  cached.put({cold});
+  EXPECT_EQ(cached.uncached(), 500);
 }
 
-TEST(WallGrove, ADefectForgets) {
+TEST(IsolationLoadBalancer, AFailureForgets) {
   for (scheduling::Outcome const outcome :
        {scheduling::Outcome::unreachable, scheduling::Outcome::failure, scheduling::Outcome::misdirected}) {
-    Kept kept;
-    scheduling::Assignment const assignment = kept.place();
-    kept.balancer.ended(assignment, false, outcome, kept.now);
-    EXPECT_EQ(kept.uncached(), 500);
+    CachedPart cached;
+    scheduling::Assignment const assignment = cached.place();
+    cached.balancer.ended(assignment, false, outcome, cached.now);
+    EXPECT_EQ(cached.uncached(), 500);
   }
 }
 
-TEST(WallGrove, OtherWeightsAndGivenUpPartsAreForgotten) {
-  Kept kept;
-  kept.balancer.mark_evicted("w", kept.wanted.parts, 0);
-  EXPECT_EQ(kept.uncached(), 500);
-  Kept other;
+TEST(IsolationLoadBalancer, OtherWeightsAndEvictedPartsAreForgotten) {
+  CachedPart cached;
+  cached.balancer.mark_evicted("w", cached.wanted.parts, 0);
+  EXPECT_EQ(cached.uncached(), 500);
+  CachedPart other;
   other.balancer.forget_isolated("w");
   EXPECT_EQ(other.uncached(), 500);
 }
--- a/source/tests/scheduling/prompt_isolation_test.cpp
+++ b/source/tests/scheduling/prompt_isolation_test.cpp
@@ -16,13 +16,13 @@
 std::string const first_secret(32, 'a');
 std::string const second_secret(32, 'b');
 
-TEST(WallKey, IsTheStandardsKeyedHash) {
+TEST(IsolationKey, MatchesTheRfcTestVector) {
   // RFC 4231, test case 2.
   EXPECT_EQ(scheduling::hex(scheduling::keyed_hash("Jefe", "what do ya want for nothing?")),
             "5bdcc146bf60754e6a042426089575c75a003f089d2739839dec58b964ec3843");
 }
 
-TEST(WallKey, EveryFieldCounts) {
+TEST(IsolationKey, EveryFieldCounts) {
   std::set<std::string> keys;
   keys.insert(scheduling::isolation_key(first_secret, {false, "t", "m", "1", ""}));
   keys.insert(scheduling::isolation_key(second_secret, {false, "t", "m", "1", ""}));
@@ -36,7 +36,7 @@
   EXPECT_EQ(keys.size(), 9u);
 }
 
-TEST(WallSecrets, AreReadAndNeverQuoted) {
+TEST(IsolationSecrets, AreReadAndNeverQuoted) {
   absl::StatusOr<scheduling::Secrets> const good = scheduling::read_secrets(
       "{\"current\":\"" + first_secret + "\",\"previous\":\"" + second_secret + "\",\"moved\":30}");
   ASSERT_TRUE(good.ok());
@@ -57,9 +57,9 @@
   }
 }
 
-TEST(WallSecrets, ATenantIsOnOneOfBoth) {
+TEST(IsolationSecrets, ATenantUsesExactlyOneSecret) {
   scheduling::Secrets secrets{first_secret, second_secret, 0};
-  EXPECT_EQ(scheduling::secret_of(secrets, "t"), second_secret);
+  EXPECT_EQ(scheduling::secret_for(secrets, "t"), second_secret);
   int moved = 0;
   std::set<std::string> before;
   for (std::uint64_t share : {25u, 50u, 100u}) {
@@ -67,7 +67,7 @@
     moved = 0;
     for (int index = 0; index < 1000; ++index) {
       std::string const tenant = "tenant-" + std::to_string(index);
-      bool const current = scheduling::secret_of(secrets, tenant) == first_secret;
+      bool const current = scheduling::secret_for(secrets, tenant) == first_secret;
       moved += current ? 1 : 0;
       EXPECT_TRUE(current || before.count(tenant) == 0) << "moved back";
       if (current) {
@@ -86,7 +86,7 @@
 
 scheduling::PromptIsolation isolation_with_secret(scheduling::IsolationGuards guards = {}) {
   scheduling::PromptIsolation isolation(guards);
-  isolation.take(scheduling::Secrets{first_secret, "", 100});
+  isolation.set_secrets(scheduling::Secrets{first_secret, "", 100});
   return isolation;
 }
 
@@ -98,109 +98,110 @@
   return ids;
 }
 
-TEST(Walls, ColdUntilVersionAndSecretAreKnown) {
+TEST(PromptIsolation, ColdUntilVersionAndSecretAreKnown) {
   scheduling::PromptIsolation isolation = isolation_with_secret();
   scheduling::Prompt const prompt = prompt_of("t", "a:100,b:50");
-  scheduling::IsolatedPrompt const first = isolation.send(prompt, "w", {1, 2});
+  scheduling::IsolatedPrompt const first = isolation.isolate(prompt, "w", {1, 2});
   EXPECT_TRUE(first.cold);
-  EXPECT_EQ(first.most_reused, 0);
-  EXPECT_NE(isolation.send(prompt, "w", {3, 4}).header, first.header);
-  std::vector<scheduling::IsolationAction> const actions = isolation.heard({"w", "v1", 0.0}, first, 0);
+  EXPECT_EQ(first.max_reused, 0);
+  EXPECT_NE(isolation.isolate(prompt, "w", {3, 4}).header, first.header);
+  std::vector<scheduling::IsolationAction> const actions = isolation.handle_answer({"w", "v1", 0.0}, first, 0);
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<scheduling::ForgetWorker>(actions[0]));
-  scheduling::IsolatedPrompt const second = isolation.send(prompt, "w", {5, 6});
+  scheduling::IsolatedPrompt const second = isolation.isolate(prompt, "w", {5, 6});
   EXPECT_FALSE(second.cold);
   EXPECT_EQ(second.version, "v1");
-  EXPECT_EQ(isolation.send(prompt, "w", {7, 8}).header, second.header);
-  EXPECT_EQ(second.header.find("a:"), std::string::npos) << "the caller's own ids never go out";
-  scheduling::PromptIsolation bare;
-  (void)bare.heard({"w", "v1", {}}, first, 0);
-  EXPECT_TRUE(bare.send(prompt, "w", {1, 2}).cold);
-  EXPECT_TRUE(bare.place(prompt).empty());
+  EXPECT_EQ(isolation.isolate(prompt, "w", {7, 8}).header, second.header);
+  EXPECT_EQ(second.header.find("a:"), std::string::npos) << "the caller's ids must not reach the worker";
+  scheduling::PromptIsolation no_secrets;
+  (void)no_secrets.handle_answer({"w", "v1", {}}, first, 0);
+  EXPECT_TRUE(no_secrets.isolate(prompt, "w", {1, 2}).cold);
+  EXPECT_TRUE(no_secrets.placement_parts(prompt).empty());
 }
 
-TEST(Walls, VersionsAndModelsAreWallsToo) {
+TEST(PromptIsolation, VersionsAndModelsAreIsolated) {
   scheduling::PromptIsolation isolation = isolation_with_secret();
-  (void)isolation.heard({"w", "v1", {}}, {}, 0);
+  (void)isolation.handle_answer({"w", "v1", {}}, {}, 0);
   scheduling::Prompt prompt = prompt_of("t", "a:100");
-  std::string const before = isolation.send(prompt, "w", {1, 2}).header;
-  (void)isolation.heard({"w", "v2", {}}, {}, 0);
-  EXPECT_NE(isolation.send(prompt, "w", {1, 2}).header, before);
-  (void)isolation.heard({"w", "v1", {}}, {}, 0);
-  EXPECT_EQ(isolation.send(prompt, "w", {1, 2}).header, before);
+  std::string const before = isolation.isolate(prompt, "w", {1, 2}).header;
+  (void)isolation.handle_answer({"w", "v2", {}}, {}, 0);
+  EXPECT_NE(isolation.isolate(prompt, "w", {1, 2}).header, before);
+  (void)isolation.handle_answer({"w", "v1", {}}, {}, 0);
+  EXPECT_EQ(isolation.isolate(prompt, "w", {1, 2}).header, before);
   prompt.model = "n";
-  EXPECT_NE(isolation.send(prompt, "w", {1, 2}).header, before);
+  EXPECT_NE(isolation.isolate(prompt, "w", {1, 2}).header, before);
   isolation.forget("w");
-  EXPECT_TRUE(isolation.send(prompt, "w", {1, 2}).cold);
+  EXPECT_TRUE(isolation.isolate(prompt, "w", {1, 2}).cold);
 }
 
-TEST(Walls, PublicPartsAreSharedOnlyAtTheBeginning) {
+TEST(PromptIsolation, PublicPartsAreSharedOnlyAtTheBeginning) {
   scheduling::PromptIsolation isolation = isolation_with_secret();
-  (void)isolation.heard({"w", "v1", {}}, {}, 0);
-  std::vector<std::string> const one = ids_of(isolation.send(prompt_of("t", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
-  std::vector<std::string> const other = ids_of(isolation.send(prompt_of("u", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
+  (void)isolation.handle_answer({"w", "v1", {}}, {}, 0);
+  std::vector<std::string> const one = ids_of(isolation.isolate(prompt_of("t", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
+  std::vector<std::string> const other =
+      ids_of(isolation.isolate(prompt_of("u", "p:10,a:20,p:30", {"p"}), "w", {1, 2}));
   EXPECT_EQ(one[0], other[0]);
   EXPECT_NE(one[1], other[1]);
   EXPECT_NE(one[2], other[2]);
-  EXPECT_NE(one[2], one[0]) << "what a worker computed depends on all in front of it";
-  // Who names no tenant shares the public beginning and nothing else.
-  scheduling::IsolatedPrompt const nobody = isolation.send(prompt_of("", "p:10,a:20", {"p"}), "w", {1, 2});
+  EXPECT_NE(one[2], one[0]) << "what a worker computed depends on all parts before it";
+  // A query without a tenant shares the public beginning and nothing else.
+  scheduling::IsolatedPrompt const nobody = isolation.isolate(prompt_of("", "p:10,a:20", {"p"}), "w", {1, 2});
   EXPECT_EQ(ids_of(nobody)[0], one[0]);
   EXPECT_TRUE(nobody.cold);
-  EXPECT_EQ(nobody.most_reused, 10);
-  EXPECT_EQ(isolation.place(prompt_of("", "p:10,a:20", {"p"})).size(), 1u);
+  EXPECT_EQ(nobody.max_reused, 10);
+  EXPECT_EQ(isolation.placement_parts(prompt_of("", "p:10,a:20", {"p"})).size(), 1u);
 }
 
-TEST(Walls, NameWhatCrossesAndWhatWasGivenUp) {
+TEST(PromptIsolation, ReportsViolationsAndEvictions) {
   scheduling::PromptIsolation isolation = isolation_with_secret();
-  scheduling::IsolatedPrompt const cold = isolation.send(prompt_of("t", "a:100"), "w", {1, 2});
-  std::vector<scheduling::IsolationAction> actions = isolation.heard({"w", "v1", 60.0}, cold, 0);
+  scheduling::IsolatedPrompt const cold = isolation.isolate(prompt_of("t", "a:100"), "w", {1, 2});
+  std::vector<scheduling::IsolationAction> actions = isolation.handle_answer({"w", "v1", 60.0}, cold, 0);
   ASSERT_FALSE(actions.empty());
   ASSERT_TRUE(std::holds_alternative<scheduling::IsolationViolated>(actions[0]));
   EXPECT_EQ(std::get<scheduling::IsolationViolated>(actions[0]).tokens, 60);
   EXPECT_EQ(isolation.crossings(), 1u);
-  actions = isolation.heard({"w", "v1", 40.0}, isolation.send(prompt_of("t", "a:100"), "w", {1, 2}), 100);
+  actions = isolation.handle_answer({"w", "v1", 40.0}, isolation.isolate(prompt_of("t", "a:100"), "w", {1, 2}), 100);
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<scheduling::PartsEvicted>(actions[0]));
 }
 
-TEST(Walls, AWorkerThatRanForOtherWeightsIsColdForThatVersion) {
+TEST(PromptIsolation, AWorkerThatRanForOtherWeightsIsColdForThatVersion) {
   scheduling::PromptIsolation isolation = isolation_with_secret();
   scheduling::Prompt const prompt = prompt_of("t", "a:100");
-  (void)isolation.heard({"w", "v1", {}}, {}, 0);
-  scheduling::IsolatedPrompt const keyed = isolation.send(prompt, "w", {1, 2});
+  (void)isolation.handle_answer({"w", "v1", {}}, {}, 0);
+  scheduling::IsolatedPrompt const keyed = isolation.isolate(prompt, "w", {1, 2});
   ASSERT_EQ(keyed.version, "v1");
-  // It ran although it has v2: what it keeps under v1's ids, v2 computed.
-  std::vector<scheduling::IsolationAction> const actions = isolation.heard({"w", "v2", 0.0, true}, keyed, 0);
+  // The worker has v2 and ran the query anyway: what it cached under ids of v1 was computed by v2.
+  std::vector<scheduling::IsolationAction> const actions = isolation.handle_answer({"w", "v2", 0.0, true}, keyed, 0);
   ASSERT_EQ(actions.size(), 2u);
   ASSERT_TRUE(std::holds_alternative<scheduling::RanOtherWeights>(actions[0]));
   EXPECT_EQ(std::get<scheduling::RanOtherWeights>(actions[0]).expected, "v1");
   EXPECT_EQ(isolation.other_weights(), 1u);
-  EXPECT_FALSE(isolation.send(prompt, "w", {1, 2}).cold) << "v2's ids are whole";
-  (void)isolation.heard({"w", "v1", {}}, {}, 0);
-  EXPECT_TRUE(isolation.send(prompt, "w", {1, 2}).cold) << "v1's are not";
-  EXPECT_TRUE(isolation.send(prompt, "other", {1, 2}).cold);
-  (void)isolation.heard({"other", "v1", {}}, {}, 0);
-  EXPECT_FALSE(isolation.send(prompt, "other", {1, 2}).cold);
-  // Turned away, it ran nothing: no alarm.
-  (void)isolation.heard({"other", "v2", {}, false}, isolation.send(prompt, "other", {1, 2}), 0);
+  EXPECT_FALSE(isolation.isolate(prompt, "w", {1, 2}).cold) << "ids of v2 are valid";
+  (void)isolation.handle_answer({"w", "v1", {}}, {}, 0);
+  EXPECT_TRUE(isolation.isolate(prompt, "w", {1, 2}).cold) << "ids of v1 are tainted";
+  EXPECT_TRUE(isolation.isolate(prompt, "other", {1, 2}).cold);
+  (void)isolation.handle_answer({"other", "v1", {}}, {}, 0);
+  EXPECT_FALSE(isolation.isolate(prompt, "other", {1, 2}).cold);
+  // The worker rejected the query and ran nothing: no alarm.
+  (void)isolation.handle_answer({"other", "v2", {}, false}, isolation.isolate(prompt, "other", {1, 2}), 0);
   EXPECT_EQ(isolation.other_weights(), 1u);
 }
 
-TEST(Walls, AWorkerThatTellsNoVersionAnyMoreIsCold) {
+TEST(PromptIsolation, AWorkerThatStopsReportingItsVersionIsCold) {
   scheduling::PromptIsolation isolation = isolation_with_secret();
   scheduling::Prompt const prompt = prompt_of("t", "a:100");
-  (void)isolation.heard({"w", "v1", {}}, {}, 0);
-  scheduling::IsolatedPrompt const keyed = isolation.send(prompt, "w", {1, 2});
-  (void)isolation.heard({"w", "", 0.0, true}, keyed, 0);
-  EXPECT_TRUE(isolation.send(prompt, "w", {1, 2}).cold);
+  (void)isolation.handle_answer({"w", "v1", {}}, {}, 0);
+  scheduling::IsolatedPrompt const keyed = isolation.isolate(prompt, "w", {1, 2});
+  (void)isolation.handle_answer({"w", "", 0.0, true}, keyed, 0);
+  EXPECT_TRUE(isolation.isolate(prompt, "w", {1, 2}).cold);
   EXPECT_EQ(isolation.other_weights(), 1u);
-  // It told none of a prompt that was keyed for none: nothing to alarm of.
-  (void)isolation.heard({"w", "", 0.0, true}, isolation.send(prompt, "w", {1, 2}), 0);
+  // No version reported for a prompt that was keyed for none: no alarm.
+  (void)isolation.handle_answer({"w", "", 0.0, true}, isolation.isolate(prompt, "w", {1, 2}), 0);
   EXPECT_EQ(isolation.other_weights(), 1u);
 }
 
-TEST(Walls, VeryManyPartsAreTakenTogether) {
+TEST(PromptIsolation, VeryManyPartsAreMerged) {
   std::string text;
   for (int index = 0; index < 4000; ++index) {
     text += "a" + std::to_string(index) + ":1,";
@@ -212,66 +213,66 @@
     tokens += part.tokens;
   }
   EXPECT_EQ(tokens, 4000);
-  // Prompts that differ in the last part only differ there still.
+  // Prompts that differ only in the last part still have different ids there.
   EXPECT_NE(scheduling::parse_parts(text + "x:1").back().id, scheduling::parse_parts(text + "y:1").back().id);
-  EXPECT_LT(isolation_with_secret().send(prompt_of("t", text), "w", {1, 2}).header.size(), 4000u);
+  EXPECT_LT(isolation_with_secret().isolate(prompt_of("t", text), "w", {1, 2}).header.size(), 4000u);
   EXPECT_LE(scheduling::parse_parts("a:18446744073709551615").front().tokens, 1e9);
 }
 
-TEST(IsolationRecord, AFloodTakesNothingFromTheOthers) {
-  scheduling::PromptCacheEstimate reuse(100000);
-  std::function<std::vector<scheduling::PromptPart>(std::uint64_t, std::uint64_t)> const parts =
-      [](std::uint64_t holder, std::uint64_t key) {
-        return std::vector<scheduling::PromptPart>{{holder * 1000003, 50, holder}, {key, 50, holder}};
-      };
+TEST(IsolationRecord, AFloodEvictsNothingOfOtherTenants) {
+  scheduling::PromptCacheEstimate estimate(100000);
+  std::function<std::vector<scheduling::PromptPart>(std::uint64_t, std::uint64_t)> const parts = [](std::uint64_t owner,
+                                                                                                    std::uint64_t key) {
+    return std::vector<scheduling::PromptPart>{{owner * 1000003, 50, owner}, {key, 50, owner}};
+  };
   for (std::uint64_t tenant = 100; tenant < 200; ++tenant) {
-    reuse.remember(parts(tenant, tenant));
+    estimate.remember(parts(tenant, tenant));
   }
   for (std::uint64_t key = 0; key < 100000; ++key) {
-    reuse.remember(parts(7, 1000000 + key));
+    estimate.remember(parts(7, 1000000 + key));
   }
   for (std::uint64_t tenant = 100; tenant < 200; ++tenant) {
-    EXPECT_EQ(reuse.match(parts(tenant, tenant)), 100) << tenant;
+    EXPECT_EQ(estimate.match(parts(tenant, tenant)), 100) << tenant;
   }
-  ASSERT_NE(reuse.isolated(), nullptr);
-  EXPECT_LE(reuse.isolated()->tokens(), 100000);
-  EXPECT_EQ(reuse.isolated()->holders(), 101u);
-  EXPECT_EQ(reuse.match(parts(7, 1000000 + 99999)), 100) << "the flood still reuses its newest";
+  ASSERT_NE(estimate.isolated(), nullptr);
+  EXPECT_LE(estimate.isolated()->tokens(), 100000);
+  EXPECT_EQ(estimate.isolated()->owners(), 101u);
+  EXPECT_EQ(estimate.match(parts(7, 1000000 + 99999)), 100) << "the flooding tenant still reuses its newest prompt";
 }
 
 TEST(IsolationRecord, ManyTenantsShareWithinTheBound) {
-  scheduling::PromptCacheEstimate reuse(40000);
+  scheduling::PromptCacheEstimate estimate(40000);
   for (std::uint64_t tenant = 2; tenant < 8602; ++tenant) {
-    reuse.remember({{tenant, 100, tenant}});
+    estimate.remember({{tenant, 100, tenant}});
   }
-  ASSERT_NE(reuse.isolated(), nullptr);
-  EXPECT_LE(reuse.isolated()->tokens(), 40000);
-  EXPECT_LE(reuse.isolated()->size(), 400u);
-  reuse.remember({{99, 0, 99}});
-  EXPECT_EQ(reuse.match({{99, 0, 99}}), 0);
-  reuse.clear_isolated();
-  EXPECT_EQ(reuse.isolated(), nullptr);
+  ASSERT_NE(estimate.isolated(), nullptr);
+  EXPECT_LE(estimate.isolated()->tokens(), 40000);
+  EXPECT_LE(estimate.isolated()->size(), 400u);
+  estimate.remember({{99, 0, 99}});
+  EXPECT_EQ(estimate.match({{99, 0, 99}}), 0);
+  estimate.clear_isolated();
+  EXPECT_EQ(estimate.isolated(), nullptr);
 }
 
-TEST(IsolationRecord, ForgetsWhatWasGivenUpAndWhatIsOlder) {
-  scheduling::PromptCacheEstimate reuse(100000);
-  reuse.remember({{1, 100, 5}});
-  reuse.remember({{2, 100, 6}});
-  reuse.remember({{3, 100, 7}});
-  reuse.record_eviction({{2, 100, 6}}, 0);
-  EXPECT_EQ(reuse.match({{1, 100, 5}}), 0);
-  EXPECT_EQ(reuse.match({{2, 100, 6}}), 0);
-  EXPECT_EQ(reuse.match({{3, 100, 7}}), 100);
+TEST(IsolationRecord, ForgetsEvictedPartsAndOlderOnes) {
+  scheduling::PromptCacheEstimate estimate(100000);
+  estimate.remember({{1, 100, 5}});
+  estimate.remember({{2, 100, 6}});
+  estimate.remember({{3, 100, 7}});
+  estimate.record_eviction({{2, 100, 6}}, 0);
+  EXPECT_EQ(estimate.match({{1, 100, 5}}), 0);
+  EXPECT_EQ(estimate.match({{2, 100, 6}}), 0);
+  EXPECT_EQ(estimate.match({{3, 100, 7}}), 100);
 }
 
 double bytes_in_use() {
   struct mallinfo2 const heap = mallinfo2();
-  return static_cast<double>(heap.uordblks + heap.hblkhd);  // large tables are mapped by themselves
+  return static_cast<double>(heap.uordblks + heap.hblkhd);  // large blocks are allocated by mmap
 }
 
-TEST(Walls, StatePerTenantIsSmall) {
-  // Printed for docs/operating/walls.md; a sanitizer's heap tells nothing.
-  std::function<double(std::size_t)> const of_tallies = [](std::size_t tenants) {
+TEST(PromptIsolation, StatePerTenantIsSmall) {
+  // Figures for docs/operating/walls.md; under a sanitizer the heap sizes are meaningless.
+  std::function<double(std::size_t)> const bytes_of_tallies = [](std::size_t tenants) {
     double const before = bytes_in_use();
     scheduling::PromptIsolation isolation;
     scheduling::Prompt prompt = prompt_of("", "a:100");
@@ -281,32 +282,31 @@
     }
     return bytes_in_use() - before;
   };
-  std::function<double(std::size_t)> const of_records = [](std::size_t tenants) {
+  std::function<double(std::size_t)> const bytes_of_records = [](std::size_t tenants) {
     double const before = bytes_in_use();
-    scheduling::PromptCacheEstimate reuse(1e9);
+    scheduling::PromptCacheEstimate estimate(1e9);
     for (std::uint64_t tenant = 2; tenant < tenants + 2; ++tenant) {
-      reuse.remember({{tenant * 3, 400, tenant}, {tenant * 5, 200, tenant}});
+      estimate.remember({{tenant * 3, 400, tenant}, {tenant * 5, 200, tenant}});
     }
     return bytes_in_use() - before;
   };
-  double const tally = (of_tallies(8600) - of_tallies(100)) / 8500;
-  double const record = (of_records(8600) - of_records(100)) / 8500;
-  std::cout << "bytes for each tenant: told reuse " << tally << ", a record of two parts at one worker " << record
-            << "\n";
+  double const tally = (bytes_of_tallies(8600) - bytes_of_tallies(100)) / 8500;
+  double const record = (bytes_of_records(8600) - bytes_of_records(100)) / 8500;
+  std::cout << "bytes per tenant: counters " << tally << ", a record of two parts at one worker " << record << "\n";
   EXPECT_LT(tally, 400);
   EXPECT_LT(record, 1000);
 }
 
-/// A worker's memory by the platform's rule: a part is not read again when it
-/// and all parts before it are kept; unused longest gives way.
-class Memory {
+/// Prompt cache of a worker by the platform's rule: a part is a hit if it and all parts before it are cached; the least
+/// recently used part is evicted first.
+class WorkerCache {
  public:
   struct Hit {
     std::string writer;
     std::string id;
     double tokens;
   };
-  std::vector<Hit> read(std::string const& reader, std::vector<scheduling::NamedPart> const& parts, double most,
+  std::vector<Hit> read(std::string const& reader, std::vector<scheduling::NamedPart> const& parts, double capacity,
                         std::size_t& own) {
     std::vector<Hit> crossed;
     bool kept = true;
@@ -320,12 +320,12 @@
         } else {
           crossed.push_back(Hit{found->second.first, part.id, part.tokens});
         }
-        found->second.second = ++use_;
+        found->second.second = ++uses_;
       } else {
-        kept_[part.id] = {reader, ++use_};
+        kept_[part.id] = {reader, ++uses_};
       }
     }
-    while (static_cast<double>(kept_.size()) > most) {
+    while (static_cast<double>(kept_.size()) > capacity) {
       std::map<std::string, std::pair<std::string, std::uint64_t>>::iterator oldest = kept_.begin();
       for (std::map<std::string, std::pair<std::string, std::uint64_t>>::iterator entry = kept_.begin();
            entry != kept_.end(); ++entry) {
@@ -340,50 +340,50 @@
     reused_ = 0;
     return value;
   }
-  void lose() { kept_.clear(); }
+  void clear() { kept_.clear(); }
 
  private:
   std::map<std::string, std::pair<std::string, std::uint64_t>> kept_;
-  std::uint64_t use_ = 0;
+  std::uint64_t uses_ = 0;
   double reused_ = 0;
 };
 
-struct Played {
-  std::size_t crossed = 0;  ///< hits on what another tenant, or other weights, wrote
-  std::size_t own = 0;
-  std::uint64_t named = 0;  ///< crossings that the walls saw themselves
+struct RunResult {
+  std::size_t crossed = 0;     ///< hits on parts that another tenant or other weights wrote
+  std::size_t own = 0;         ///< hits on the tenant's own parts
+  std::uint64_t reported = 0;  ///< isolation violations that the proxies detected
   std::size_t queries = 0;
 };
 
-/// Furrows, workers and tenants that all send the same prompts, with moves,
-/// restarts, new weights, lost memory and rotating secrets, by seed.
-Played play(std::uint64_t seed, scheduling::IsolationGuards guards) {
+/// Runs proxies, workers and tenants that all send the same prompts, with restarts of proxies, new weights, lost caches
+/// and rotating secrets, from a seed.
+RunResult run(std::uint64_t seed, scheduling::IsolationGuards guards) {
   std::mt19937_64 random(seed);
   std::vector<scheduling::PromptIsolation> proxies(3, scheduling::PromptIsolation(guards));
-  std::vector<Memory> memories(4);
+  std::vector<WorkerCache> caches(4);
   std::vector<std::string> versions(4, "v1");
   scheduling::Secrets secrets{first_secret, "", 100};
   std::uint64_t nonce = 0;
-  Played played;
+  RunResult result;
   for (int step = 0; step < 4000; ++step) {
-    if (step % 500 == 250) {  // a rotation, which furrows learn of one by one
+    if (step % 500 == 250) {  // a rotation, which proxies learn of one by one
       secrets = secrets.previous.empty()
                     ? scheduling::Secrets{std::string(32, static_cast<char>('c' + step / 500)), secrets.current, 40}
                     : scheduling::Secrets{secrets.current, "", 100};
     }
     std::size_t const at = random() % proxies.size();
-    std::size_t const worker = random() % memories.size();
+    std::size_t const worker = random() % caches.size();
     if (random() % 40 == 0 || step < 3) {
-      proxies[at].take(secrets);
+      proxies[at].set_secrets(secrets);
     }
     if (random() % 200 == 0) {
-      proxies[at] = scheduling::PromptIsolation(guards);  // restarted, for a while without secrets
+      proxies[at] = scheduling::PromptIsolation(guards);  // restarted, without secrets for a while
     }
     if (random() % 150 == 0) {
-      memories[worker].lose();
+      caches[worker].clear();
     }
     if (random() % 300 == 0) {
-      versions[worker] = "v" + std::to_string(1 + random() % 3);  // and it keeps what the old weights computed
+      versions[worker] = "v" + std::to_string(1 + random() % 3);  // the cache keeps what the old weights computed
     }
     std::string const tenant = random() % 20 == 0 ? "" : "t" + std::to_string(random() % 12);
     std::string const reader = tenant.empty() ? "nobody-" + std::to_string(step) : tenant;
@@ -391,52 +391,52 @@
         prompt_of(tenant, "a:400,b" + std::to_string(random() % 3) + ":200,c" + std::to_string(random() % 5) + ":100");
     std::string const name = "w" + std::to_string(worker);
     ++nonce;
-    scheduling::IsolatedPrompt const isolated = proxies[at].send(prompt, name, {nonce, seed << 20u});
+    scheduling::IsolatedPrompt const isolated = proxies[at].isolate(prompt, name, {nonce, seed << 20u});
     bool const expected = isolated.version.empty() || isolated.version == versions[worker];
     double reused = 0;
-    if (expected) {  // other weights: 421, nothing ran
-      ++played.queries;
+    if (expected) {  // else other weights: status 421, nothing ran
+      ++result.queries;
       std::size_t own = 0;
-      played.crossed += memories[worker]
+      result.crossed += caches[worker]
                             .read(reader + "@" + versions[worker], scheduling::parse_parts(isolated.header), 60, own)
                             .size();
-      played.own += own;
-      reused = memories[worker].reused();
+      result.own += own;
+      reused = caches[worker].reused();
     }
-    (void)proxies[at].heard({name, versions[worker], expected ? std::optional<double>(reused) : std::nullopt, expected},
-                            isolated, 0);
+    (void)proxies[at].handle_answer(
+        {name, versions[worker], expected ? std::optional<double>(reused) : std::nullopt, expected}, isolated, 0);
   }
   for (scheduling::PromptIsolation const& isolation : proxies) {
-    played.named += isolation.crossings();
+    result.reported += isolation.crossings();
   }
-  return played;
+  return result;
 }
 
-TEST(Walls, NoHitCrossesAndEachReusesItsOwn) {
+TEST(PromptIsolation, NoTenantHitsPartsOfAnotherAndEachReusesItsOwn) {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Played const played = play(seed, {});
-    EXPECT_EQ(played.crossed, 0u) << "seed " << seed;
-    EXPECT_EQ(played.named, 0u) << "seed " << seed;
-    EXPECT_GT(played.own, played.queries / 10) << "seed " << seed;
+    RunResult const result = run(seed, {});
+    EXPECT_EQ(result.crossed, 0u) << "seed " << seed;
+    EXPECT_EQ(result.reported, 0u) << "seed " << seed;
+    EXPECT_GT(result.own, result.queries / 10) << "seed " << seed;
   }
 }
 
-TEST(Walls, WithoutTheTenantInTheKeyHitsCross) {
+TEST(PromptIsolation, WithoutTheTenantInTheKeyTenantsHitPartsOfOthers) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     scheduling::IsolationGuards guards;
     guards.tenant_in_key = false;
-    Played const played = play(seed, guards);
-    EXPECT_GT(played.crossed, 1000u) << "seed " << seed;
-    EXPECT_GT(played.named, 0u) << "cold queries that reuse are named, seed " << seed;
+    RunResult const result = run(seed, guards);
+    EXPECT_GT(result.crossed, 1000u) << "seed " << seed;
+    EXPECT_GT(result.reported, 0u) << "cold queries with cached tokens are reported, seed " << seed;
   }
 }
 
-TEST(Walls, WithoutTheVersionWhatOtherWeightsComputedIsReused) {
+TEST(PromptIsolation, WithoutTheVersionInTheKeyResultsOfOtherWeightsAreReused) {
   std::size_t crossed = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     scheduling::IsolationGuards guards;
     guards.version_in_key = false;
-    crossed += play(seed, guards).crossed;
+    crossed += run(seed, guards).crossed;
   }
   EXPECT_GT(crossed, 0u);
 }
--- a/source/tests/scheduling/split_test.cpp
+++ b/source/tests/scheduling/split_test.cpp
@@ -7,7 +7,8 @@
 #include "scheduling/scaler/pools.hpp"
 #include "scheduling/scaler/scaler.hpp"
 
-// The split on the relay's ordinary path (docs/design.md section 13.11).
+// The split of workers into prefill and decode on the relay's query path (docs/design.md section 13.11): pools,
+// observed times, the scaler's decisions and placement by them.
 namespace finchlink {
 namespace {
 
@@ -24,7 +25,7 @@
 }
 
 schema::Charter routing_config() {
-  schema::Charter made;
+  schema::Charter result;
   schema::Service text;
   text.name = "text";
   text.model = true;
@@ -32,8 +33,8 @@
   text.stride = 5;
   schema::Service plain;
   plain.name = "plain";
-  made.services = {text, plain};
-  return made;
+  result.services = {text, plain};
+  return result;
 }
 
 std::map<std::string, std::string> const regions{{"north", "r1"}, {"south", "r1"}, {"west", "r2"}};
@@ -57,7 +58,7 @@
   return sighting;
 }
 
-TEST(Pools, AreTheModelServicesOfEachRegionThatTakeQueries) {
+TEST(Pools, AreTheModelServicesOfEachRegion) {
   schema::PlatformList list;
   list.workers = {worker("a", "north"),   worker("b", "south"), worker("c", "west"), worker("d", "north", "plain"),
                   worker("e", "nowhere"), worker("f", "north"), worker("g", "south")};
@@ -71,7 +72,7 @@
   EXPECT_EQ(one.fixed, (std::map<std::string, std::string>{{"g", "decode"}}));
   EXPECT_EQ(one.capacity, 48u);
   EXPECT_EQ(pools.at("r2/text").workers, std::vector<std::string>{"c"});
-  // An evacuated hall's workers take none, and stay in the split meanwhile.
+  // Workers of an evacuated zone accept no queries, but stay listed and so keep their place in the split.
   std::map<std::string, scheduling::Pool> const evacuated =
       scheduling::build_pools(list, routing_config(), regions, {"north"});
   EXPECT_EQ(evacuated.at("r1/text").listed.count("a"), 1u);
@@ -80,7 +81,7 @@
   }
 }
 
-TEST(Observer, SumsByPoolAndPhaseAndGivesRowsUntilFrozen) {
+TEST(Observer, SumsByPoolAndPhaseAndReportsSamplesUntilFrozen) {
   scheduling::Observer observer;
   schema::FurrowReport report;
   EXPECT_FALSE(observer.take(1, common::seconds(2), report));
@@ -94,7 +95,7 @@
   EXPECT_EQ(rest.phase, "decode");
   EXPECT_EQ(rest.queries, 2);
   EXPECT_EQ(rest.uncached, 600);
-  EXPECT_EQ(rest.iterations, 2 * 4 * 5);  // events hold five tokens; the first one's came with the prefill
+  EXPECT_EQ(rest.iterations, 2 * 4 * 5);  // an event holds five tokens; the prefill produced the first event
   schema::WorkerFigures const& longs = report.figures[1];
   EXPECT_EQ(longs.phase, "prefill");
   EXPECT_EQ(longs.cached, 13000);
@@ -103,7 +104,7 @@
   for (schema::Sample const& sample : report.samples) {
     EXPECT_NEAR(sample.seconds, sample.decode ? 0.006 : sample.worker == "b" ? 0.06 : 0.06, 1e-9);
   }
-  // Frozen: figures go on, rows do not.
+  // Once frozen, figures are still reported, but no samples.
   observer.freeze({"r1/text"});
   observer.record_stream(stream("a", true, common::milliseconds(200), common::milliseconds(30), 10), 5, 0.03);
   ASSERT_TRUE(observer.take(2, common::seconds(2), report));
@@ -111,7 +112,7 @@
   EXPECT_TRUE(report.samples.empty());
 }
 
-TEST(Observer, TakesNoPrefillTimeOfWhatWaitedAndBoundsItsRows) {
+TEST(Observer, IgnoresPrefillTimesOfQueriesThatWaitedAndBoundsItsSamples) {
   scheduling::Observer observer;
   scheduling::StreamObservation waited = stream("a", true, common::milliseconds(900), common::milliseconds(30), 2);
   waited.alone = false;
@@ -137,22 +138,22 @@
   EXPECT_NEAR(sighting.gaps[0], 0.03, 1e-9);
 }
 
-/// A scaler that two kinds of queries come to, as furrows report them.
-struct Fed {
+/// A scaler with six workers, fed with reports of long and short prompts.
+struct ScalerBench {
   std::vector<std::string> const workers{"a", "b", "c", "d", "e", "f"};
   schema::ScalerAims aims;
   schema::WorkerBounds bounds;
   scheduling::Scaler scaler;
   common::Moment now = common::seconds(100);
 
-  Fed() {
+  ScalerBench() {
     aims.window_ms = 10000;
     aims.hold_ms = 3000;
     aims.warm_up_ms = 4000;
     aims.prefill_batch = 24;
     bounds.limit = 48;
   }
-  /// One slice; times follow the source's equations without noise.
+  /// Reports one interval of queries; times follow the cost model without noise.
   void slice(double longs, double shorts) {
     scheduling::Observer observer;
     for (int index = 0; index < 200; ++index) {
@@ -185,68 +186,69 @@
 }
 
 TEST(Split, WarmUpThenFrozenThenFollowsTheTraffic) {
-  Fed fed;
+  ScalerBench bench;
   schema::Split split;
-  fed.slice(10, 100);
-  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(split, 0)));  // warm-up: nobody is set apart
+  bench.slice(10, 100);
+  EXPECT_TRUE(
+      std::holds_alternative<scheduling::NoChange>(bench.tick(split, 0)));  // warm-up: no worker is assigned a phase
   for (int index = 0; index < 10; ++index) {
-    fed.slice(10, 100);
+    bench.slice(10, 100);
   }
-  scheduling::ScalerAction const first = fed.tick(split, 0);
+  scheduling::ScalerAction const first = bench.tick(split, 0);
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
   split = std::get<scheduling::WriteSplit>(first).split;
   EXPECT_TRUE(split.frozen);
   EXPECT_EQ(split.phases.size(), 6u);
   std::size_t const before = prefills(split);
-  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(split, 1)));  // held
-  // Traffic turns to long prompts: more workers are fed them, and none switch in the hold.
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(bench.tick(split, 1)));  // held
+  // Traffic shifts to long prompts: more workers get them, and none switch during the hold time.
   for (int index = 0; index < 12; ++index) {
-    fed.slice(80, 40);
+    bench.slice(80, 40);
   }
-  scheduling::ScalerAction const next = fed.tick(split, 1);
+  scheduling::ScalerAction const next = bench.tick(split, 1);
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(next));
   EXPECT_GT(prefills(std::get<scheduling::WriteSplit>(next).split), before);
   split = std::get<scheduling::WriteSplit>(next).split;
-  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(split, 2)));
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(bench.tick(split, 2)));
 }
 
 TEST(Split, WorkersWithOnePhaseNeverSwitch) {
-  Fed fed;
+  ScalerBench bench;
   for (int index = 0; index < 12; ++index) {
-    fed.slice(10, 100);
+    bench.slice(10, 100);
   }
   std::map<std::string, std::string> const fixed{{"a", "decode"}, {"b", "decode"}};
   scheduling::ScalerAction const action =
-      fed.scaler.tick(schema::Split(), 0, fed.workers, fed.aims, fed.bounds, fed.now, fixed);
+      bench.scaler.tick(schema::Split(), 0, bench.workers, bench.aims, bench.bounds, bench.now, fixed);
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(action));
   schema::Split split = std::get<scheduling::WriteSplit>(action).split;
   EXPECT_EQ(split.phases.at("a"), "decode");
   EXPECT_EQ(split.phases.at("b"), "decode");
   EXPECT_GE(prefills(split), 1u);
-  // All of them with one phase: nothing to decide, and nothing written again and again.
+  // All workers support a single phase: there is nothing to decide, and the split isn't rewritten on each tick.
   std::map<std::string, std::string> all;
-  for (std::string const& id : fed.workers) {
+  for (std::string const& id : bench.workers) {
     all[id] = "decode";
   }
   EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(
-      fed.scaler.tick(split, 1, fed.workers, fed.aims, fed.bounds, fed.now, all)));
+      bench.scaler.tick(split, 1, bench.workers, bench.aims, bench.bounds, bench.now, all)));
 }
 
-TEST(Split, ALostScalerLeavesAWholeOneAndItsSuccessorHolds) {
-  Fed fed;
+TEST(Split, ALostScalerLeavesAWholeSplitAndItsSuccessorHolds) {
+  ScalerBench bench;
   for (int index = 0; index < 12; ++index) {
-    fed.slice(10, 100);
+    bench.slice(10, 100);
   }
-  scheduling::ScalerAction const first = fed.tick(schema::Split(), 0);
+  scheduling::ScalerAction const first = bench.tick(schema::Split(), 0);
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
   schema::Value kept;
   consensus::Proposal const desired =
       consensus::replace_at(0, scheduling::print_split(std::get<scheduling::WriteSplit>(first).split))(kept);
   ASSERT_TRUE(std::holds_alternative<schema::Value>(desired));
   kept = std::get<schema::Value>(desired);
-  // Whoever lost the lease meanwhile builds on what is no longer there.
+  // A write by a scaler that lost the lease meanwhile is based on a stale revision and fails.
   EXPECT_FALSE(std::holds_alternative<schema::Value>(consensus::replace_at(kept.revision + 7, "other")(kept)));
-  // The successor reads it back whole; it has seen no report and decides nothing.
+  // The successor reads back the whole split; it has seen no report and changes nothing.
   absl::StatusOr<schema::Split> const read = scheduling::read_split(kept.content);
   ASSERT_TRUE(read.ok());
   EXPECT_EQ(read->phases, std::get<scheduling::WriteSplit>(first).split.phases);
@@ -254,27 +256,27 @@
   EXPECT_EQ(read->coefficients.size(), 6u);
   scheduling::Scaler successor;
   EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(
-      successor.tick(*read, kept.revision, fed.workers, fed.aims, fed.bounds, fed.now)));
-  // Workers that the platform lists no longer leave it.
+      successor.tick(*read, kept.revision, bench.workers, bench.aims, bench.bounds, bench.now)));
+  // Workers that the platform no longer lists are pruned.
   EXPECT_EQ(scheduling::prune_split(*read, {"a", "b"}).phases.size(), 2u);
   EXPECT_FALSE(scheduling::read_split("{\"phases\":").ok());
 }
 
 scheduling::WorkerSpec spec(std::string const& id, std::string const& phase) {
-  scheduling::WorkerSpec made;
-  made.id = id;
-  made.address = "10.0.0.1:80";
-  made.service = "text";
-  made.hall = "north";
-  made.region = "r1";
-  made.model = true;
-  made.capacity = 48;
-  made.kept_tokens = 300000;
-  made.phase = phase;
-  return made;
+  scheduling::WorkerSpec result;
+  result.id = id;
+  result.address = "10.0.0.1:80";
+  result.service = "text";
+  result.hall = "north";
+  result.region = "r1";
+  result.model = true;
+  result.capacity = 48;
+  result.kept_tokens = 300000;
+  result.phase = phase;
+  return result;
 }
 
-std::set<std::string> fed(LoadBalancer& balancer, double tokens, int count, common::Moment now) {
+std::set<std::string> workers_used(LoadBalancer& balancer, double tokens, int count, common::Moment now) {
   std::set<std::string> used;
   for (int index = 0; index < count; ++index) {
     scheduling::PlacementRequest wanted;
@@ -292,46 +294,46 @@
   return used;
 }
 
-scheduling::LoadBalancerContext terms() {
-  scheduling::LoadBalancerContext made;
-  made.hall = "north";
-  made.region = "r1";
-  made.self = "f1";
-  made.proxies = {"f1"};
-  return made;
+scheduling::LoadBalancerContext context() {
+  scheduling::LoadBalancerContext result;
+  result.hall = "north";
+  result.region = "r1";
+  result.self = "f1";
+  result.proxies = {"f1"};
+  return result;
 }
 
-TEST(Split, PlacementFeedsLongPromptsAndTheRestByIt) {
+TEST(Split, PlacementFollowsItForLongPromptsAndTheRest) {
   LoadBalancer balancer;
   balancer.update(
       {spec("a", "prefill"), spec("b", "prefill"), spec("c", "decode"), spec("d", "decode"), spec("e", "both")},
-      terms(), 0);
-  std::set<std::string> const longs = fed(balancer, 16000, 60, common::seconds(1));
+      context(), 0);
+  std::set<std::string> const longs = workers_used(balancer, 16000, 60, common::seconds(1));
   EXPECT_EQ(longs.count("c") + longs.count("d"), 0u);
   EXPECT_EQ(longs.count("a") + longs.count("b"), 2u);
-  std::set<std::string> const rest = fed(balancer, 300, 60, common::seconds(1));
+  std::set<std::string> const rest = workers_used(balancer, 300, 60, common::seconds(1));
   EXPECT_EQ(rest.count("a") + rest.count("b"), 0u);
   EXPECT_FALSE(rest.empty());
 }
 
-TEST(Split, APhaseWithoutAWorkerThatTakesQueriesLeavesItToTheEstimate) {
+TEST(Split, APhaseWithoutAUsableWorkerLeavesPlacementToTheEstimate) {
   LoadBalancer balancer;
   std::vector<scheduling::WorkerSpec> specs{spec("a", "prefill"), spec("b", "decode"), spec("c", "decode")};
   specs[0].draining = true;
-  balancer.update(specs, terms(), 0);
-  EXPECT_FALSE(fed(balancer, 16000, 10, common::seconds(1)).empty());
-  EXPECT_FALSE(fed(balancer, 300, 10, common::seconds(1)).empty());
+  balancer.update(specs, context(), 0);
+  EXPECT_FALSE(workers_used(balancer, 16000, 10, common::seconds(1)).empty());
+  EXPECT_FALSE(workers_used(balancer, 300, 10, common::seconds(1)).empty());
 }
 
-TEST(Split, FurrowsWithDifferentViewsBothPlaceAll) {
+TEST(Split, ProxiesWithDifferentViewsBothPlaceAll) {
   LoadBalancer older;
   LoadBalancer newer;
-  older.update({spec("a", "prefill"), spec("b", "decode"), spec("c", "decode")}, terms(), 0);
-  newer.update({spec("a", "prefill"), spec("b", "prefill"), spec("c", "decode")}, terms(), 0);
-  EXPECT_EQ(fed(older, 16000, 40, common::seconds(1)), std::set<std::string>{"a"});
-  EXPECT_EQ(fed(newer, 16000, 40, common::seconds(1)), (std::set<std::string>{"a", "b"}));
-  EXPECT_EQ(fed(newer, 300, 40, common::seconds(1)), std::set<std::string>{"c"});
-  // What runs on a worker that switches stays there; only what comes goes elsewhere.
+  older.update({spec("a", "prefill"), spec("b", "decode"), spec("c", "decode")}, context(), 0);
+  newer.update({spec("a", "prefill"), spec("b", "prefill"), spec("c", "decode")}, context(), 0);
+  EXPECT_EQ(workers_used(older, 16000, 40, common::seconds(1)), std::set<std::string>{"a"});
+  EXPECT_EQ(workers_used(newer, 16000, 40, common::seconds(1)), (std::set<std::string>{"a", "b"}));
+  EXPECT_EQ(workers_used(newer, 300, 40, common::seconds(1)), std::set<std::string>{"c"});
+  // Queries that run on a worker that switches stay there; only new ones go elsewhere.
   scheduling::PlacementRequest wanted;
   wanted.shares = {schema::Share{"text", 1}};
   wanted.tokens = 300;
@@ -340,35 +342,35 @@
   ASSERT_TRUE(std::holds_alternative<scheduling::Assignment>(before));
   scheduling::Assignment const assignment = std::get<scheduling::Assignment>(before);
   std::vector<scheduling::WorkerSpec> switched{spec("a", "decode"), spec("b", "prefill"), spec("c", "prefill")};
-  older.update(switched, terms(), common::seconds(2));
+  older.update(switched, context(), common::seconds(2));
   EXPECT_TRUE(older.usable(assignment.worker));
   EXPECT_EQ(older.running_on(assignment.worker, common::seconds(2)), 1);
-  EXPECT_EQ(fed(older, 300, 10, common::seconds(2)), std::set<std::string>{"a"});
+  EXPECT_EQ(workers_used(older, 300, 10, common::seconds(2)), std::set<std::string>{"a"});
 }
 
-TEST(Split, AllMixedTrafficOfOneKindIsNotSetApart) {
-  Fed fed;
+TEST(Split, TrafficOfOneKindIsNotSplit) {
+  ScalerBench bench;
   for (int index = 0; index < 12; ++index) {
-    fed.slice(40, 0);
+    bench.slice(40, 0);
   }
-  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(fed.tick(schema::Split(), 0)));
+  EXPECT_TRUE(std::holds_alternative<scheduling::NoChange>(bench.tick(schema::Split(), 0)));
 }
 
 TEST(Split, CandidatesStayWithinTheShares) {
   for (double const least : {0.0, 0.5}) {
-    Fed fed;
-    fed.scaler.set_targets(0.8, least, 0.8);
+    ScalerBench bench;
+    bench.scaler.set_targets(0.8, least, 0.8);
     for (int index = 0; index < 12; ++index) {
-      fed.slice(6, 140);
+      bench.slice(6, 140);
     }
-    scheduling::ScalerAction const first = fed.tick(schema::Split(), 0);
+    scheduling::ScalerAction const first = bench.tick(schema::Split(), 0);
     ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(first));
     EXPECT_EQ(prefills(std::get<scheduling::WriteSplit>(first).split) >= 3,
-              least > 0);  // the bound is what keeps it up
+              least > 0);  // only the minimum share forces three or more
   }
 }
 
-TEST(Split, ASetPointCountsWhatAWorkerBearsWithinIt) {
+TEST(Split, ASetPointLowersTheRatedThroughput) {
   schema::ScalerAims aims;
   aims.prefill_batch = 24;
   std::map<std::string, scheduling::WorkerModel> models;
@@ -376,24 +378,24 @@
   models.emplace("a", scheduling::WorkerModel(fitted));
   models.emplace("b", scheduling::WorkerModel(fitted));
   std::map<std::string, std::string> const phases{{"a", "prefill"}, {"b", "decode"}};
-  scheduling::SliceWork work;
+  scheduling::IntervalWork work;
   work.prefill = scheduling::PhaseWork{100, 100 * 5000.0, 0, 0, 100 * 100.0, 100};
   work.decode = scheduling::PhaseWork{100, 100 * 300.0, 0, 0, 100 * 100.0, 100};
   double const plain = scheduling::throughput(phases, models, work, aims, 24);
   double const within = scheduling::throughput(phases, models, work, aims, 24, 0.8);
-  double const tight = scheduling::throughput(phases, models, work, aims, 24, 0.4);
+  double const tighter = scheduling::throughput(phases, models, work, aims, 24, 0.4);
   EXPECT_LT(within, plain);
-  EXPECT_LT(tight, within);
-  // One that no load keeps tells nothing: the plain rating counts.
+  EXPECT_LT(tighter, within);
+  // A set point that no load can meet is ignored: the rating without one applies.
   EXPECT_EQ(scheduling::throughput(phases, models, work, aims, 24, 0.09), plain);
-  // What was seen to take longer than the work explains counts as it was seen.
+  // A measured prefill time that exceeds what the work explains is used instead.
   work.prefill.prefill_seconds = 100 * 0.5;
   EXPECT_LT(scheduling::throughput(phases, models, work, aims, 24, 0.8), within);
   EXPECT_EQ(scheduling::throughput(phases, models, work, aims, 24), plain);
 }
 
-TEST(Split, OneSizeOfPromptsDoesNotTellTheCostOfAToken) {
-  // Worker "s" saw short prompts only and is a third slower than the others.
+TEST(Split, OneSizeOfPromptsDoesNotDetermineTheCostPerToken) {
+  // Worker "s" got only short prompts and is a third slower than the others.
   scheduling::Scaler scaler;
   scaler.set_targets(0.8, 0, 1);
   schema::ScalerAims aims;
@@ -433,25 +435,25 @@
   EXPECT_NEAR(split.coefficients.at("s").prefill[1], 0.000026, 0.000004);
 }
 
-TEST(Split, NewcomersAreAssignedInOneWrite) {
-  Fed fed;
+TEST(Split, NewWorkersAreAssignedInOneWrite) {
+  ScalerBench bench;
   for (int index = 0; index < 12; ++index) {
-    fed.slice(10, 100);
+    bench.slice(10, 100);
   }
-  schema::Split split = std::get<scheduling::WriteSplit>(fed.tick(schema::Split(), 0)).split;
+  schema::Split split = std::get<scheduling::WriteSplit>(bench.tick(schema::Split(), 0)).split;
   std::vector<std::string> const workers{"a", "b", "c", "x", "y", "z"};
-  scheduling::ScalerAction const action = fed.scaler.tick(split, 1, workers, fed.aims, fed.bounds, fed.now);
+  scheduling::ScalerAction const action = bench.scaler.tick(split, 1, workers, bench.aims, bench.bounds, bench.now);
   ASSERT_TRUE(std::holds_alternative<scheduling::WriteSplit>(action));
   schema::Split const next = std::get<scheduling::WriteSplit>(action).split;
   for (std::string const id : {"x", "y", "z"}) {
     EXPECT_EQ(next.phases.count(id), 1u) << id;
   }
   for (std::string const id : {"a", "b", "c"}) {
-    EXPECT_EQ(next.phases.at(id), split.phases.at(id));  // nobody at work switches by it
+    EXPECT_EQ(next.phases.at(id), split.phases.at(id));  // assigned workers don't switch
   }
 }
 
-TEST(Split, OptionsKeepTheSourcesDefaults) {
+TEST(Split, SettingsHaveTheScalersDefaults) {
   schema::Settings settings;
   EXPECT_EQ(settings.scaler, "on");
   EXPECT_EQ(scheduling::report_interval_ms(settings), 10000u);
@@ -461,11 +463,11 @@
   EXPECT_EQ(aims.hold_ms, 120000u);
   EXPECT_EQ(aims.refit_ms, 0u);
   settings.scaler_window_ms = 100000;
-  EXPECT_EQ(scheduling::report_interval_ms(settings), 5000u);  // half a slice
+  EXPECT_EQ(scheduling::report_interval_ms(settings), 5000u);  // half a reporting interval
   settings.scaler_window_ms = 10000;
   EXPECT_EQ(scheduling::report_interval_ms(settings), 500u);
   settings.scaler = "off";
-  EXPECT_EQ(scheduling::report_interval_ms(settings), 0u);  // nobody reports
+  EXPECT_EQ(scheduling::report_interval_ms(settings), 0u);  // no reports
 }
 
 }  // namespace
