--- a/examples/graft/main.cpp
+++ b/examples/graft/main.cpp
@@ -34,7 +34,7 @@
                 std::get<schema::FoundingAnswer>(*holders[other].receive(schema::FoundingAsk{}, 0).reply));
           }
         }
-        (void)holders[index].founding(answers, 0);
+        (void)holders[index].bootstrap(answers, 0);
       }
     }
   }
--- a/source/consensus/acceptor/acceptor.cpp
+++ b/source/consensus/acceptor/acceptor.cpp
@@ -309,11 +309,11 @@
   return outcome;
 }
 
-bool Acceptor::wants_founding() const {
+bool Acceptor::needs_bootstrap() const {
   return blank() && std::find(founders_.begin(), founders_.end(), address_) != founders_.end();
 }
 
-schema::FoundingAsk Acceptor::founding_ask() const {
+schema::FoundingAsk Acceptor::bootstrap_request() const {
   return schema::FoundingAsk{founding_.incarnation, address_};
 }
 
@@ -349,7 +349,7 @@
 
 Outcome Acceptor::founding(std::vector<schema::FoundingAnswer> const& answers, common::Moment now) {
   Outcome outcome;
-  if (!wants_founding()) {
+  if (!needs_bootstrap()) {
     return outcome;
   }
   // Section 5.4: a founded colleague's set is taken over, whatever was pledged.
--- a/source/consensus/acceptor/acceptor.hpp
+++ b/source/consensus/acceptor/acceptor.hpp
@@ -45,18 +45,18 @@
   [[nodiscard]] Outcome receive(schema::Message const& message, common::Moment now);
 
   /// What founding asks for next: the colleagues to ask, when still blank.
-  [[nodiscard]] bool wants_founding() const;
-  [[nodiscard]] schema::FoundingAsk founding_ask() const;
+  [[nodiscard]] bool needs_bootstrap() const;
+  [[nodiscard]] schema::FoundingAsk bootstrap_request() const;
   /// The answers of all founders but this one, got in one look around.
   [[nodiscard]] Outcome founding(std::vector<schema::FoundingAnswer> const& answers, common::Moment now);
 
   /// Enrolment: which holders to ask for images, when one is wanted. One that
   /// was left out before it had its data wants them still: others may need them.
-  [[nodiscard]] bool wants_image() const { return span_without_data().has_value(); }
-  [[nodiscard]] std::vector<Voter> image_sources() const;
-  [[nodiscard]] schema::ImageAsk image_ask() const { return schema::ImageAsk{set_.epoch}; }
+  [[nodiscard]] bool needs_snapshot() const { return span_without_data().has_value(); }
+  [[nodiscard]] std::vector<Voter> snapshot_sources() const;
+  [[nodiscard]] schema::ImageAsk snapshot_request() const { return schema::ImageAsk{set_.epoch}; }
   /// Whether these images hold all that the vote will stand for (voter_history.hpp).
-  [[nodiscard]] bool images_suffice(std::vector<schema::Image> const& images) const;
+  [[nodiscard]] bool snapshots_suffice(std::vector<schema::Image> const& images) const;
   /// Takes images that suffice; nothing while a value that they name is missing.
   [[nodiscard]] Outcome enrol(std::vector<schema::Image> const& images, common::Moment now);
   /// What enrol() still lacks of these images.
@@ -140,7 +140,7 @@
 };
 
 /// Puts a value that was fetched into the images that name it.
-void supply(std::vector<schema::Image>& images, std::string const& name, std::string const& digest,
-            schema::Value const& value);
+void insert_fetched_value(std::vector<schema::Image>& images, std::string const& name, std::string const& digest,
+                          schema::Value const& value);
 
 }  // namespace finchlink::consensus
--- a/source/consensus/acceptor/enrolment.cpp
+++ b/source/consensus/acceptor/enrolment.cpp
@@ -43,7 +43,7 @@
   return wanted && (named || guards_.earlier_sets_give_images) ? span : std::nullopt;
 }
 
-std::vector<Voter> Acceptor::image_sources() const {
+std::vector<Voter> Acceptor::snapshot_sources() const {
   std::vector<schema::PastVoterSet> const sets = sets_told_by(set_);
   std::vector<Voter> sources;
   std::set<std::string> addresses{address_};
@@ -70,7 +70,7 @@
   return usable;
 }
 
-bool Acceptor::images_suffice(std::vector<schema::Image> const& images) const {
+bool Acceptor::snapshots_suffice(std::vector<schema::Image> const& images) const {
   std::optional<EpochSpan> const span = span_without_data();
   return span.has_value() && whole_through(usable(images), sets_told_by(set_), *span).has_value();
 }
@@ -108,8 +108,8 @@
   return missing;
 }
 
-void supply(std::vector<schema::Image>& images, std::string const& name, std::string const& digest,
-            schema::Value const& value) {
+void insert_fetched_value(std::vector<schema::Image>& images, std::string const& name, std::string const& digest,
+                          schema::Value const& value) {
   for (schema::Image& image : images) {
     std::map<std::string, schema::Withheld>::const_iterator const withheld = image.withheld.find(name);
     if (withheld != image.withheld.end() && withheld->second.digest == digest) {
@@ -135,7 +135,7 @@
 Outcome Acceptor::enrol(std::vector<schema::Image> const& images, common::Moment now) {
   Outcome outcome;
   // A value that was left out is no empty value: without it there is no vote.
-  if (!images_suffice(images) || (guards_.values_whole && !missing(images).empty())) {
+  if (!snapshots_suffice(images) || (guards_.values_whole && !missing(images).empty())) {
     return outcome;
   }
   common::check(common::Invariant::vote_is_complete, missing(images).empty(), [&] {
--- a/source/consensus/ballot/ballot.hpp
+++ b/source/consensus/ballot/ballot.hpp
@@ -38,7 +38,7 @@
 }
 
 /// Name of the register that holds the holder set itself.
-inline constexpr char const* holders_register = "holders";
+inline constexpr char const* voter_set_register = "holders";
 inline constexpr char const* setup_register = "setup";
 /// Of a region or, under a charter, of a pool of one.
 inline constexpr char const* split_prefix = "split/";
--- a/source/consensus/majority_reader/majority_reader.cpp
+++ b/source/consensus/majority_reader/majority_reader.cpp
@@ -42,7 +42,7 @@
 
 bool lacks(std::vector<Voter> const& voters, HalfAccepted const& half, std::uint64_t incarnation) {
   bool const accepted = std::find(half.sources.begin(), half.sources.end(), incarnation) != half.sources.end();
-  return names(voters, incarnation) && !accepted;
+  return contains_voter(voters, incarnation) && !accepted;
 }
 
 std::vector<MajorityReaderAction> MajorityReader::begin(VoterSet const& set, common::Moment now) {
@@ -97,7 +97,7 @@
   }
   schema::ReadAnswer const* const answer = std::get_if<schema::ReadAnswer>(&message);
   if (answer == nullptr || !open_ || answer->round != round_ || answer->epoch != set_.epoch ||
-      !names(set_.holders, answer->incarnation) || !answered_.insert(answer->incarnation).second) {
+      !contains_voter(set_.holders, answer->incarnation) || !answered_.insert(answer->incarnation).second) {
     return actions;
   }
   for (std::pair<std::string const, schema::Cell> const& entry : answer->cells) {
--- a/source/consensus/proposer/proposer.cpp
+++ b/source/consensus/proposer/proposer.cpp
@@ -56,7 +56,7 @@
         using Kind = std::decay_t<decltype(entry)>;
         if constexpr (std::is_same_v<Kind, schema::Promise> || std::is_same_v<Kind, schema::Accepted> ||
                       std::is_same_v<Kind, schema::Refused>) {
-          if (!(entry.ballot == ballot_) || !names(set_.holders, from)) {
+          if (!(entry.ballot == ballot_) || !contains_voter(set_.holders, from)) {
             return {};
           }
           return on(from, entry);
--- a/source/control_plane/acceptor/acceptor_service.cpp
+++ b/source/control_plane/acceptor/acceptor_service.cpp
@@ -83,7 +83,7 @@
   if (records->empty()) {
     holder_.emplace(common::random_identity(), address_, founders_, now);
     common::note(common::Event::HolderBlank, "incarnation " + std::to_string(holder_->incarnation()));
-    std::vector<schema::Record> const image = holder_->image();
+    std::vector<schema::Record> const image = holder_->snapshot_records();
     if (!ring_->append(image, [&image] { return image; }).ok()) {
       holder_.reset();
       failure_ = "the first record can't be written";
@@ -92,7 +92,7 @@
   } else {
     holder_.emplace(*records, address_, founders_, now);
     synced_ballots_.check_recovered(*holder_);
-    absl::Status const renewed = ring_->renew(holder_->image());
+    absl::Status const renewed = ring_->renew(holder_->snapshot_records());
     if (!renewed.ok()) {
       holder_.reset();
       failure_ = std::string(renewed.message());
@@ -102,7 +102,7 @@
                                                      std::to_string(holder_->set().epoch) +
                                                      (holder_->voting() ? " voting" : " without a vote"));
   }
-  changes_.recovered();
+  changes_.mark_recovered();
   silent_ = false;
   return true;
 }
@@ -149,13 +149,13 @@
     if (!records.empty()) {
       status = ring_->append(records, [this] {
         std::lock_guard<std::mutex> const guard(lock_);
-        return holder_->image();
+        return holder_->snapshot_records();
       });
     }
     std::lock_guard<std::mutex> const guard(lock_);
     if (status.ok()) {
-      changes_.synced(jobs.back().change);
-      synced_ballots_.take(holder_->incarnation(), records);
+      changes_.mark_synced(jobs.back().change);
+      synced_ballots_.record_synced(holder_->incarnation(), records);
     } else {
       silent_ = true;
       failure_ = std::string(status.message());
@@ -200,7 +200,7 @@
     }
     // Even a reply without records waits for what is being synced: it may tell
     // of state that is not lasting yet.
-    change = changes_.step(!outcome.records.empty());
+    change = changes_.count_step(!outcome.records.empty());
     if (outcome.records.empty() && open_jobs_ == 0) {
       changes_.check_reply(change);
       return outcome;
@@ -252,15 +252,15 @@
     if (silent_ || !holder_.has_value()) {
       return;
     }
-    if (holder_->wants_founding()) {
+    if (holder_->needs_bootstrap()) {
       for (std::string const& founder : founders_) {
         if (founder != address_) {
-          founding.emplace_back(founder, holder_->founding_ask());
+          founding.emplace_back(founder, holder_->bootstrap_request());
         }
       }
-    } else if (holder_->wants_image()) {
-      sources = holder_->image_sources();
-      image = holder_->image_ask();
+    } else if (holder_->needs_snapshot()) {
+      sources = holder_->snapshot_sources();
+      image = holder_->snapshot_request();
     }
   }
   if (!founding.empty()) {
@@ -284,15 +284,15 @@
       },
       yield);
   std::optional<consensus::Outcome> const outcome =
-      apply([&answers](consensus::Acceptor& holder) { return holder.founding(answers, common::boot_now()); }, yield);
+      apply([&answers](consensus::Acceptor& holder) { return holder.bootstrap(answers, common::boot_now()); }, yield);
   if (outcome.has_value() && !outcome->records.empty() && this->set().epoch > 0) {
     common::note(common::Event::HolderFounded, "epoch 1");
   }
 }
 
-bool AcceptorService::images_suffice() {
+bool AcceptorService::snapshots_suffice() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return holder_.has_value() && holder_->images_suffice(images_);
+  return holder_.has_value() && holder_->snapshots_suffice(images_);
 }
 
 void AcceptorService::ask_images(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask,
@@ -311,7 +311,7 @@
             images_.push_back(*taken);
           }
         }
-        return images_suffice();  // one that stays silent is not waited for
+        return snapshots_suffice();  // one that stays silent is not waited for
       },
       yield);
 }
@@ -320,7 +320,7 @@
                             common::Yield yield) {
   // An image stays true while the epoch does: what is chosen later, this holder
   // is not needed for. So a change made meanwhile does not end a transfer.
-  if (!images_suffice()) {
+  if (!snapshots_suffice()) {
     ask_images(sources, ask, yield);
   }
   std::vector<consensus::MissingValue> missing;
@@ -332,14 +332,14 @@
     missing = holder_->missing(images_);
   }
   if (!missing.empty()) {
-    if (!images_suffice() || !fetch(sources, missing.front(), yield)) {
+    if (!snapshots_suffice() || !fetch(sources, missing.front(), yield)) {
       images_.clear();
     }
     return;
   }
   std::size_t const count = images_.size();
   std::optional<consensus::Outcome> const outcome =
-      apply([this](consensus::Acceptor& holder) { return holder.enrol(images_, common::boot_now()); }, yield);
+      apply([this](consensus::Acceptor& holder) { return holder.join(images_, common::boot_now()); }, yield);
   images_.clear();
   if (outcome.has_value() && !outcome->records.empty() && voting()) {
     common::note(common::Event::HolderEnrolled, "images of " + std::to_string(count) + " holders taken");
@@ -369,7 +369,7 @@
   if (!value.ok()) {
     return false;
   }
-  consensus::supply(images_, missing.name, missing.digest, *value);
+  consensus::insert_fetched_value(images_, missing.name, missing.digest, *value);
   return true;
 }
 
@@ -385,9 +385,9 @@
   std::lock_guard<std::mutex> const guard(lock_);
   return holder_.has_value() ? holder_->set() : schema::VoterSet{};
 }
-bool AcceptorService::wants_image() {
+bool AcceptorService::needs_snapshot() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return holder_.has_value() && holder_->wants_image();
+  return holder_.has_value() && holder_->needs_snapshot();
 }
 bool AcceptorService::silent() {
   std::lock_guard<std::mutex> const guard(lock_);
--- a/source/control_plane/acceptor/acceptor_service.hpp
+++ b/source/control_plane/acceptor/acceptor_service.hpp
@@ -42,7 +42,7 @@
   [[nodiscard]] std::uint64_t incarnation();
   [[nodiscard]] bool voting();
   /// It was named a voter and has no data yet.
-  [[nodiscard]] bool wants_image();
+  [[nodiscard]] bool needs_snapshot();
   [[nodiscard]] schema::VoterSet set();
   [[nodiscard]] bool silent();
 
@@ -68,7 +68,7 @@
   /// leave out are fetched (section 5.9).
   void enrol(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, common::Yield yield);
   void ask_images(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask, common::Yield yield);
-  [[nodiscard]] bool images_suffice();
+  [[nodiscard]] bool snapshots_suffice();
   /// Fetches the value; false when nobody gives it.
   [[nodiscard]] bool fetch(std::vector<schema::Voter> const& sources, consensus::MissingValue const& missing,
                            common::Yield yield);
--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -112,8 +112,8 @@
         schema::VoterSet const set = register_.set();
         std::lock_guard<std::mutex> const guard(*tenant_lock);
         for (lease::LeaseHolderAction const& action : tenant->tick(set, common::boot_now())) {
-          if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
-            calls.emplace_back(send->to.address, send->ask);
+          if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
+            calls.emplace_back(send->to.address, send->request);
           } else if (std::holds_alternative<lease::Lost>(action)) {
             common::note(common::Event::LeaseLost, name);
           }
@@ -339,7 +339,7 @@
     (void)holder_->receive(schema::Adopt{set}, yield);
   }
   // A holders register that was chosen but told to no one yet (section 5.5).
-  schema::Value const value = register_.value(consensus::holders_register);
+  schema::Value const value = register_.value(consensus::voter_set_register);
   absl::StatusOr<common::Tree> const tree = common::read_tree(value.content);
   if (value.revision == 0 || !tree.ok()) {
     return;
@@ -374,7 +374,7 @@
 void LeasedTasks::join(common::Yield yield) {
   schema::VoterSet const set = register_.set();
   schema::Voter const self{holder_->silent() ? 0 : holder_->incarnation(), address_};
-  if (set.epoch == 0 || self.incarnation == 0 || consensus::names(set.holders, self.incarnation) ||
+  if (set.epoch == 0 || self.incarnation == 0 || consensus::contains_voter(set.holders, self.incarnation) ||
       updates_.leaving()) {
     looks_.clear();
     return;
@@ -386,7 +386,7 @@
   }
   // Named again, it would no longer owe the data of the epochs that named it
   // before; another may need just these.
-  if (holder_->wants_image()) {
+  if (holder_->needs_snapshot()) {
     return;
   }
   std::vector<std::pair<std::string, schema::Message>> calls;
@@ -416,8 +416,9 @@
   common::note(common::Event::RepairProposed, "epoch " + std::to_string(next->epoch));
   // No lease is needed: of all who want a place, what they expect of the
   // register lets one of them have it (section 5.5).
-  RegisterClient::Result const result = register_.change(
-      consensus::holders_register, membership::reconfiguration_proposal(set, *next), constants::change_deadline, yield);
+  RegisterClient::Result const result =
+      register_.change(consensus::voter_set_register, membership::reconfiguration_proposal(set, *next),
+                       constants::change_deadline, yield);
   if (!std::holds_alternative<consensus::Chosen>(result)) {
     common::note(common::Event::RepairDefect, "not chosen");
   }
@@ -434,8 +435,8 @@
   for (Tenant const& tenant : tenants) {
     std::lock_guard<std::mutex> const guard(*tenant.lock);
     for (lease::LeaseHolderAction const& action : tenant.lease->release()) {
-      if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
-        calls.emplace_back(send->to.address, send->ask);
+      if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
+        calls.emplace_back(send->to.address, send->request);
       }
     }
   }
--- a/source/lease/lease_holder.cpp
+++ b/source/lease/lease_holder.cpp
@@ -53,7 +53,8 @@
 
 std::vector<LeaseHolderAction> LeaseHolder::receive(schema::LeaseAnswer const& answer, common::Moment now) {
   std::vector<LeaseHolderAction> actions;
-  if (answer.round != round_ || !answer.granted || releasing_ || !consensus::names(set_.holders, answer.incarnation)) {
+  if (answer.round != round_ || !answer.granted || releasing_ ||
+      !consensus::contains_voter(set_.holders, answer.incarnation)) {
     return actions;
   }
   granted_.insert(answer.incarnation);
--- a/source/membership/departure/departure.cpp
+++ b/source/membership/departure/departure.cpp
@@ -37,8 +37,8 @@
   }
   last_ = now;
   note_votes(set, peers);
-  bool const voter = consensus::names(set.holders, incarnation_);
-  bool const source = consensus::names(set.previous, incarnation_);
+  bool const voter = consensus::contains_voter(set.holders, incarnation_);
+  bool const source = consensus::contains_voter(set.previous, incarnation_);
   if (incarnation_ == 0 || (!voter && !source)) {
     return DepartureStep::go_no_voter;
   }
@@ -65,7 +65,7 @@
 bool Departure::spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const {
   for (Peer const& peer : peers) {
     bool const spare = peer.entry.disk && peer.entry.holder != 0 && !peer.entry.leaving &&
-                       !consensus::names(set.holders, peer.entry.holder);
+                       !consensus::contains_voter(set.holders, peer.entry.holder);
     if (spare && in_contact(peer, now)) {
       return true;
     }
@@ -87,7 +87,7 @@
 
 bool Departure::vote_missing(schema::VoterSet const& set) const {
   for (schema::Voter const& voter : set.holders) {
-    bool const newcomer = !consensus::names(set.previous, voter.incarnation);
+    bool const newcomer = !consensus::contains_voter(set.previous, voter.incarnation);
     if (newcomer && voter.incarnation != incarnation_ && voted_.count(voter.incarnation) == 0) {
       return true;
     }
--- a/source/membership/reconfiguration/reconfiguration.cpp
+++ b/source/membership/reconfiguration/reconfiguration.cpp
@@ -89,7 +89,7 @@
 
 std::optional<schema::VoterSet> plan_joining(schema::VoterSet const& set, JoiningView const& view,
                                              schema::Voter const& self, std::size_t wanted, JoiningGuards guards) {
-  if (set.epoch == 0 || self.incarnation == 0 || consensus::names(set.holders, self.incarnation) ||
+  if (set.epoch == 0 || self.incarnation == 0 || consensus::contains_voter(set.holders, self.incarnation) ||
       view.leaving.count(self.incarnation) > 0) {
     return std::nullopt;
   }
--- a/source/simulator/control/acceptors.cpp
+++ b/source/simulator/control/acceptors.cpp
@@ -73,7 +73,7 @@
     machine.acceptor.emplace(claimed, machine.address, founders_, now, options_.guards);
   } else if (records->empty()) {
     machine.acceptor.emplace(draw_identity(kernel_), machine.address, founders_, now, options_.guards);
-    std::vector<schema::Record> const image = machine.acceptor->image();
+    std::vector<schema::Record> const image = machine.acceptor->snapshot_records();
     machine.silent = !machine.log->append(image, [&image] { return image; }).ok();
   } else {
     machine.acceptor.emplace(*records, machine.address, founders_, now, options_.guards);
@@ -156,7 +156,7 @@
   machine.disk_jobs.pop_front();
   absl::Status status = absl::OkStatus();
   if (!job.records.empty()) {
-    status = machine.log->append(job.records, [&machine] { return machine.acceptor->image(); });
+    status = machine.log->append(job.records, [&machine] { return machine.acceptor->snapshot_records(); });
   }
   if (!status.ok()) {
     machine.silent = true;
@@ -174,9 +174,9 @@
     if (machine.silent || !machine.acceptor.has_value()) {
       return;
     }
-    if (machine.acceptor->wants_founding()) {
+    if (machine.acceptor->needs_bootstrap()) {
       ask_founders(machine);
-    } else if (machine.acceptor->wants_image()) {
+    } else if (machine.acceptor->needs_snapshot()) {
       ask_images(machine);
     }
   });
@@ -188,12 +188,12 @@
   Reply const take = [this, &machine, answers](std::optional<schema::Message> const& answer) {
     if (answer.has_value() && std::holds_alternative<schema::FoundingAnswer>(*answer)) {
       answers->push_back(std::get<schema::FoundingAnswer>(*answer));
-      submit(machine, machine.acceptor->founding(*answers, network_.local_time(machine.process)), ignore_reply);
+      submit(machine, machine.acceptor->bootstrap(*answers, network_.local_time(machine.process)), ignore_reply);
     }
   };
   for (std::string const& founder : founders_) {
     if (founder != machine.address) {
-      network_.call(machine.process, machine.address, founder, machine.acceptor->founding_ask(),
+      network_.call(machine.process, machine.address, founder, machine.acceptor->bootstrap_request(),
                     constants::holder_deadline, take);
     }
   }
@@ -207,8 +207,8 @@
       enrol(machine, images);
     }
   };
-  for (schema::Voter const& source : machine.acceptor->image_sources()) {
-    network_.call(machine.process, machine.address, source.address, machine.acceptor->image_ask(),
+  for (schema::Voter const& source : machine.acceptor->snapshot_sources()) {
+    network_.call(machine.process, machine.address, source.address, machine.acceptor->snapshot_request(),
                   constants::holder_deadline, take);
   }
 }
@@ -219,10 +219,10 @@
   }
   std::vector<consensus::MissingValue> const missing = machine.acceptor->missing(*images);
   if (missing.empty() || !options_.guards.values_whole) {
-    submit(machine, machine.acceptor->enrol(*images, network_.local_time(machine.process)), ignore_reply);
+    submit(machine, machine.acceptor->join(*images, network_.local_time(machine.process)), ignore_reply);
     return;
   }
-  if (machine.fetching_image || !machine.acceptor->images_suffice(*images)) {
+  if (machine.fetching_image || !machine.acceptor->snapshots_suffice(*images)) {
     return;
   }
   fetch_image_value(machine, missing.front(), images);
@@ -232,7 +232,7 @@
                               std::shared_ptr<std::vector<schema::Image>> const& images) {
   machine.fetching_image = true;
   std::vector<std::string> sources;
-  for (schema::Voter const& source : machine.acceptor->image_sources()) {
+  for (schema::Voter const& source : machine.acceptor->snapshot_sources()) {
     for (std::uint64_t const incarnation : missing.sources) {
       if (source.incarnation == incarnation) {
         sources.push_back(source.address);
@@ -245,7 +245,8 @@
         [this, &machine, images, missing](std::optional<std::string> const& bytes) {
           machine.fetching_image = false;
           if (bytes.has_value()) {
-            consensus::supply(*images, missing.name, missing.digest, *common::unpack<schema::Value>(*bytes));
+            consensus::insert_fetched_value(*images, missing.name, missing.digest,
+                                            *common::unpack<schema::Value>(*bytes));
             enrol(machine, images);
           }
         });
--- a/source/simulator/control/controller_loops.cpp
+++ b/source/simulator/control/controller_loops.cpp
@@ -151,7 +151,7 @@
 /// Tells the voters of a set that was chosen, and those before, that it stands.
 void World::spread_chosen_voters(Machine& machine) {
   // A refused change settles what it found, and that is nothing before the first one.
-  schema::Value const value = newest_known(machine, consensus::holders_register);
+  schema::Value const value = newest_known(machine, consensus::voter_set_register);
   if (value.revision == 0) {
     return;
   }
@@ -180,15 +180,15 @@
     lease_loop(machine);
     Moment const now = network_.local_time(machine.process);
     for (lease::LeaseHolderAction const& action : machine.lease->tick(machine.voters, now)) {
-      if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
+      if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
         ask_lease(machine, *send);
       }
     }
   });
 }
 
-void World::ask_lease(Machine& machine, lease::SendAsk const& send) {
-  network_.call(machine.process, machine.address, send.to.address, send.ask, constants::holder_deadline,
+void World::ask_lease(Machine& machine, lease::SendLeaseRequest const& send) {
+  network_.call(machine.process, machine.address, send.to.address, send.request, constants::holder_deadline,
                 [this, &machine](std::optional<schema::Message> const& answer) {
                   if (answer.has_value() && std::holds_alternative<schema::LeaseAnswer>(*answer)) {
                     (void)machine.lease->receive(std::get<schema::LeaseAnswer>(*answer),
--- a/source/simulator/control/machine_faults.cpp
+++ b/source/simulator/control/machine_faults.cpp
@@ -38,7 +38,7 @@
   torn.sync = [](std::size_t) { return absl::OkStatus(); };
   consensus::WriteAheadLog log(torn, log_files, log_bytes);
   if (log.recover().ok()) {
-    (void)log.append(machine.disk_jobs.front().records, [&machine] { return machine.acceptor->image(); });
+    (void)log.append(machine.disk_jobs.front().records, [&machine] { return machine.acceptor->snapshot_records(); });
   }
 }
 
@@ -69,7 +69,7 @@
       newest = machine->acceptor->set();
     }
     std::map<std::string, schema::Value>::const_iterator const chosen =
-        machine->reader.values().find(consensus::holders_register);
+        machine->reader.values().find(consensus::voter_set_register);
     if (chosen != machine->reader.values().end() && chosen->second.revision + 1 > newest.epoch) {
       newest.epoch = chosen->second.revision + 1;  // adopted by none of those so far
       newest.holders.clear();
@@ -79,7 +79,7 @@
   for (std::unique_ptr<Machine> const& machine : machines_) {
     voting += machine->process.alive && !machine->silent && machine->acceptor.has_value() &&
                       machine->acceptor->voting() && machine->acceptor->set().epoch == newest.epoch &&
-                      consensus::names(newest.holders, machine->acceptor->incarnation())
+                      consensus::contains_voter(newest.holders, machine->acceptor->incarnation())
                   ? 1
                   : 0;
   }
--- a/source/simulator/control/membership.cpp
+++ b/source/simulator/control/membership.cpp
@@ -27,7 +27,7 @@
 
 void World::look_at_voters(Machine& machine, Span look, std::function<void()> const& again) {
   if (machine.voters.epoch == 0 || machine.silent || !machine.acceptor.has_value() || machine.departure.has_value() ||
-      consensus::names(machine.voters.holders, machine.acceptor->incarnation())) {
+      consensus::contains_voter(machine.voters.holders, machine.acceptor->incarnation())) {
     machine.voter_looks.clear();
     again();
     return;
@@ -51,7 +51,7 @@
 }
 
 void World::take_place(Machine& machine) {
-  if (machine.silent || !machine.acceptor.has_value() || machine.acceptor->wants_image() ||
+  if (machine.silent || !machine.acceptor.has_value() || machine.acceptor->needs_snapshot() ||
       (machine.voters.epoch > 1 && machine.acceptor->set().epoch < machine.voters.epoch)) {
     return;
   }
@@ -68,14 +68,14 @@
 }
 
 void World::propose_voters(Machine& machine, schema::VoterSet const& plan) {
-  std::uint64_t const newest = newest_known(machine, consensus::holders_register).revision;
+  std::uint64_t const newest = newest_known(machine, consensus::voter_set_register).revision;
   // The guard off: it expects what the register holds, not what it replaces.
   consensus::ProposalFunction const propose =
       options_.repair_fenced
           ? membership::reconfiguration_proposal(machine.voters, plan)
           : consensus::replace_at(newest, common::print_tree(common::Tree(schema::write(plan)).get()));
   Moment const began = kernel_.now();
-  start_change(machine, consensus::holders_register, propose, constants::change_deadline,
+  start_change(machine, consensus::voter_set_register, propose, constants::change_deadline,
                [this, began](ChangeEnd const& result) {
                  if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&result)) {
                    note_reconfiguration(*chosen, began);
@@ -87,7 +87,7 @@
   ++report_.repairs;
   kernel_.trace("repair chosen");
   if (orders_ != nullptr) {
-    orders_->record(consensus::holders_register,
+    orders_->record(consensus::voter_set_register,
                     HistoryEntry{HistoryEntry::Kind::write, chosen.value.revision, began, kernel_.now()});
   }
 }
@@ -134,8 +134,8 @@
   machine.departure.emplace(votes ? machine.acceptor->incarnation() : 0,
                             network_.local_time(machine.process) + departure_grace, options_.departure_guards);
   for (lease::LeaseHolderAction const& action : machine.lease->release()) {
-    if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
-      network_.call(machine.process, machine.address, send->to.address, send->ask, constants::holder_deadline,
+    if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
+      network_.call(machine.process, machine.address, send->to.address, send->request, constants::holder_deadline,
                     ignore_reply);
     }
   }
--- a/source/simulator/control/recovery_checks.cpp
+++ b/source/simulator/control/recovery_checks.cpp
@@ -67,8 +67,8 @@
   network_.later(machine.process, catch_up_look_pause, [this, &machine, revision, since] {
     std::map<std::string, schema::Value>::const_iterator const setup =
         machine.reader.values().find(consensus::setup_register);
-    bool const named =
-        machine.acceptor.has_value() && consensus::names(machine.voters.holders, machine.acceptor->incarnation());
+    bool const named = machine.acceptor.has_value() &&
+                       consensus::contains_voter(machine.voters.holders, machine.acceptor->incarnation());
     Span const took = kernel_.now() - since;
     if (setup != machine.reader.values().end() && setup->second.revision >= revision &&
         (!named || machine.acceptor->voting() || machine.silent)) {
--- a/source/simulator/control/world.hpp
+++ b/source/simulator/control/world.hpp
@@ -150,7 +150,7 @@
   void adopt_own(Machine& machine);
   void spread_chosen_voters(Machine& machine);
   void lease_loop(Machine& machine);
-  void ask_lease(Machine& machine, lease::SendAsk const& send);
+  void ask_lease(Machine& machine, lease::SendLeaseRequest const& send);
   void answer_ask(Machine& machine, schema::NewsAsk const& ask, common::Moment arrival, Reply const& reply);
   /// Calls back once a majority confirmed all registers after now.
   void when_confirmed(Machine& machine, std::function<void()> const& done);
--- a/source/simulator/membership_model/actions.cpp
+++ b/source/simulator/membership_model/actions.cpp
@@ -26,7 +26,7 @@
 
 /// The records of a file are folded, as the ring does when a file is full.
 std::vector<schema::Record> folded(World const& world, Machine const& machine, std::vector<schema::Record> records) {
-  return Acceptor(records, machine.address, world.founder_addresses, 0).image();
+  return Acceptor(records, machine.address, world.founder_addresses, 0).snapshot_records();
 }
 
 void sync(World const& world, Machine& machine, std::vector<schema::Record> const& records) {
@@ -66,7 +66,7 @@
     Acceptor const& acceptor = *world.machine(index).acceptor;
     std::optional<schema::Cell> const theirs = cell_of(world, index, name);
     bool const answers = acceptor.voting() && acceptor.set().epoch == epoch &&
-                         consensus::names(set->second.holders, acceptor.incarnation());
+                         consensus::contains_voter(set->second.holders, acceptor.incarnation());
     bool const same = theirs.has_value() && theirs->accepted == cell.accepted && !acceptor.inherited(name);
     accepted += answers && same ? 1 : 0;
   }
@@ -104,7 +104,7 @@
     note_answer(world, *machine.acceptor, *outcome.reply);
   }
   if (bounds.guards.sync_before_reply && !outcome.records.empty() &&
-      common::pack(machine.synced) != common::pack(machine.acceptor->image())) {
+      common::pack(machine.synced) != common::pack(machine.acceptor->snapshot_records())) {
     world.history.violations.push_back("the synced records don't make the state that answered");
   }
   world.put(index, std::move(machine));
@@ -186,7 +186,7 @@
 void take_chosen(World& world, std::string const& name, consensus::Chosen const& chosen) {
   note_chosen(world, name, ChosenValue{chosen.ballot, chosen.value});
   std::optional<schema::VoterSet> const set =
-      name == consensus::holders_register ? voter_set_in(chosen.value) : std::optional<schema::VoterSet>();
+      name == consensus::voter_set_register ? voter_set_in(chosen.value) : std::optional<schema::VoterSet>();
   if (set.has_value()) {
     note_set(world, *set);
   }
@@ -276,7 +276,7 @@
   if (bounds.adopt_before_join) {
     (void)send(world, bounds, address, schema::Adopt{set});
   }
-  if (bounds.complete_before_join && world.machine(index).acceptor->wants_image()) {
+  if (bounds.complete_before_join && world.machine(index).acceptor->needs_snapshot()) {
     return false;
   }
   membership::VoterLooks const looks = look(world, bounds, set, address, seems_lost);
@@ -294,7 +294,7 @@
       return propose(anything);
     };
   }
-  start(world, index, consensus::holders_register, "", propose, bounds.guards);
+  start(world, index, consensus::voter_set_register, "", propose, bounds.guards);
   Operation operation = *world.operations.back();
   operation.proposes = *next;
   world.operations.back() = std::make_shared<Operation const>(std::move(operation));
@@ -370,7 +370,8 @@
 }
 
 void ask_image(World& world, Bounds const& bounds, std::size_t index, std::string const& source) {
-  std::optional<schema::Message> const answer = send(world, bounds, source, world.machine(index).acceptor->image_ask());
+  std::optional<schema::Message> const answer =
+      send(world, bounds, source, world.machine(index).acceptor->snapshot_request());
   schema::Image const* const image = answer.has_value() ? std::get_if<schema::Image>(&*answer) : nullptr;
   if (image == nullptr) {
     return;
@@ -383,7 +384,7 @@
   }
   world.put(index, std::move(machine));
   std::uint64_t const complete = world.machine(index).acceptor->complete();
-  (void)step(world, bounds, index, [&images](Acceptor& acceptor) { return acceptor.enrol(images, 0); });
+  (void)step(world, bounds, index, [&images](Acceptor& acceptor) { return acceptor.join(images, 0); });
   machine = world.machine(index);
   if (machine.acceptor->complete() > complete) {
     std::uint64_t const incarnation = machine.acceptor->incarnation();
@@ -396,7 +397,7 @@
 void ask_founding(World& world, Bounds const& bounds, std::size_t index, std::size_t founder) {
   std::string const address = world.founder_addresses[founder];
   std::optional<schema::Message> const answer =
-      send(world, bounds, address, world.machine(index).acceptor->founding_ask());
+      send(world, bounds, address, world.machine(index).acceptor->bootstrap_request());
   if (answer.has_value()) {
     Machine machine = world.machine(index);
     machine.founding_answers[address] = std::get<schema::FoundingAnswer>(*answer);
@@ -412,7 +413,7 @@
   }
   machine.founding_answers.clear();
   world.put(index, std::move(machine));
-  (void)step(world, bounds, index, [&answers](Acceptor& acceptor) { return acceptor.founding(answers, 0); });
+  (void)step(world, bounds, index, [&answers](Acceptor& acceptor) { return acceptor.bootstrap(answers, 0); });
   Acceptor const& acceptor = *world.machine(index).acceptor;
   if (acceptor.voting()) {
     note_data(world, acceptor.incarnation(), 1);
--- a/source/simulator/membership_model/closing.cpp
+++ b/source/simulator/membership_model/closing.cpp
@@ -43,7 +43,7 @@
 }
 
 void found_or_catch_up(World& world, Bounds const& bounds, std::size_t index) {
-  if (world.machine(index).acceptor->wants_founding()) {
+  if (world.machine(index).acceptor->needs_bootstrap()) {
     for (std::size_t founder = 0; founder < world.founder_addresses.size(); ++founder) {
       if (world.founder_addresses[founder] != world.machine(index).address) {
         ask_founding(world, bounds, index, founder);
@@ -51,8 +51,8 @@
     }
     conclude_founding(world, bounds, index);
   }
-  if (world.machine(index).acceptor->wants_image()) {
-    std::vector<schema::Voter> const sources = world.machine(index).acceptor->image_sources();
+  if (world.machine(index).acceptor->needs_snapshot()) {
+    std::vector<schema::Voter> const sources = world.machine(index).acceptor->snapshot_sources();
     for (schema::Voter const& source : sources) {
       ask_image(world, bounds, index, source.address);
     }
@@ -69,7 +69,7 @@
 
 void join_if_left_out(World& world, Bounds const& bounds, std::size_t index) {
   Machine const& machine = world.machine(index);
-  if (machine.known.epoch == 0 || consensus::names(machine.known.holders, machine.acceptor->incarnation())) {
+  if (machine.known.epoch == 0 || consensus::contains_voter(machine.known.holders, machine.acceptor->incarnation())) {
     return;
   }
   std::uint64_t const identity = world.next_identity;
@@ -80,7 +80,7 @@
 
 bool close_round(World& world, Bounds const& bounds) {
   spread(world, bounds, newest_known(world));
-  if (world.machine(0).known.epoch > 0 && settle(world, bounds, consensus::holders_register)) {
+  if (world.machine(0).known.epoch > 0 && settle(world, bounds, consensus::voter_set_register)) {
     schema::VoterSet const newest = world.history.sets.rbegin()->second;
     spread(world, bounds, newest);
     if (settle(world, bounds, data_register)) {
@@ -107,7 +107,7 @@
       schema::SetRecord const* const set = std::get_if<schema::SetRecord>(&record);
       schema::CellRecord const* const cell = std::get_if<schema::CellRecord>(&record);
       voting += set != nullptr && set->voting && set->set.epoch == newest.epoch ? 1 : 0;
-      if (cell != nullptr && cell->name == consensus::holders_register && cell->cell.value.revision >= newest.epoch) {
+      if (cell != nullptr && cell->name == consensus::voter_set_register && cell->cell.value.revision >= newest.epoch) {
         return false;
       }
     }
--- a/source/simulator/membership_model/invariants.cpp
+++ b/source/simulator/membership_model/invariants.cpp
@@ -78,7 +78,7 @@
 
 void add_accepted(schema::Message const& message, std::vector<schema::VoterSet>& sets) {
   schema::Accept const* const accept = std::get_if<schema::Accept>(&message);
-  if (accept != nullptr && accept->name == consensus::holders_register) {
+  if (accept != nullptr && accept->name == consensus::voter_set_register) {
     std::optional<schema::VoterSet> const set = voter_set_in(accept->value);
     sets.insert(sets.end(), set.value_or(schema::VoterSet{}));
   }
@@ -99,7 +99,7 @@
   for (std::shared_ptr<Machine const> const& machine : world.machines()) {
     for (schema::Record const& record : machine->synced) {
       schema::CellRecord const* const cell = std::get_if<schema::CellRecord>(&record);
-      if (cell != nullptr && cell->name == consensus::holders_register) {
+      if (cell != nullptr && cell->name == consensus::voter_set_register) {
         sets.insert(sets.end(), voter_set_in(cell->cell.value).value_or(schema::VoterSet{}));
       }
     }
@@ -221,7 +221,7 @@
   }
   for (std::uint64_t each = since->second; each <= epoch; ++each) {
     std::map<std::uint64_t, schema::VoterSet>::const_iterator const set = world.history.sets.find(each);
-    if (set == world.history.sets.end() || !consensus::names(set->second.holders, incarnation)) {
+    if (set == world.history.sets.end() || !consensus::contains_voter(set->second.holders, incarnation)) {
       return false;
     }
   }
@@ -232,7 +232,7 @@
   std::uint64_t first = last;
   while (first > 1) {
     std::map<std::uint64_t, schema::VoterSet>::const_iterator const before = world.history.sets.find(first - 1);
-    if (before == world.history.sets.end() || !consensus::names(before->second.holders, incarnation)) {
+    if (before == world.history.sets.end() || !consensus::contains_voter(before->second.holders, incarnation)) {
       break;
     }
     --first;
@@ -298,7 +298,8 @@
 
 void note_data(World& world, std::uint64_t incarnation, std::uint64_t epoch) {
   world.history.data_since[incarnation] = epoch;
-  if (world.history.sets.empty() || !consensus::names(world.history.sets.rbegin()->second.holders, incarnation)) {
+  if (world.history.sets.empty() ||
+      !consensus::contains_voter(world.history.sets.rbegin()->second.holders, incarnation)) {
     return;  // it has the data, and no vote
   }
   std::optional<std::size_t> const place = place_in_sets(world, incarnation);
--- a/source/simulator/membership_model/steps.cpp
+++ b/source/simulator/membership_model/steps.cpp
@@ -31,7 +31,7 @@
 void add_joins(World const& world, std::size_t index, Steps& steps) {
   Machine const& machine = world.machine(index);
   if (world.budget.joins == 0 || proposes(world, index) ||
-      consensus::names(machine.known.holders, machine.acceptor->incarnation())) {
+      consensus::contains_voter(machine.known.holders, machine.acceptor->incarnation())) {
     return;
   }
   steps.push_back(Step{StepKind::Join, index, 0});
@@ -97,14 +97,14 @@
 
 void add_images(World const& world, Bounds const& bounds, std::size_t index, Steps& steps) {
   Machine const& machine = world.machine(index);
-  if (!machine.acceptor->wants_image()) {
+  if (!machine.acceptor->needs_snapshot()) {
     return;
   }
   if (!bounds.single_messages) {
     steps.push_back(Step{StepKind::AskImage, index, 0});
     return;
   }
-  for (schema::Voter const& source : machine.acceptor->image_sources()) {
+  for (schema::Voter const& source : machine.acceptor->snapshot_sources()) {
     if (machine.images.count(source.incarnation) == 0 && source.address != machine.address) {
       steps.push_back(Step{StepKind::AskImage, index, source.incarnation});
     }
@@ -121,7 +121,7 @@
     if (answers && offers(world, other, index, data_register)) {
       steps.push_back(Step{StepKind::TakeOver, index, other * 2});
     }
-    if (answers && offers(world, other, index, consensus::holders_register)) {
+    if (answers && offers(world, other, index, consensus::voter_set_register)) {
       steps.push_back(Step{StepKind::TakeOver, index, other * 2 + 1});
     }
   }
@@ -129,7 +129,7 @@
 
 void add_founding(World const& world, std::size_t index, Steps& steps) {
   Machine const& machine = world.machine(index);
-  if (!machine.acceptor->wants_founding() || world.history.sets.size() > 1) {
+  if (!machine.acceptor->needs_bootstrap() || world.history.sets.size() > 1) {
     return;
   }
   for (std::size_t founder = 0; founder < world.founder_addresses.size(); ++founder) {
@@ -191,7 +191,7 @@
     start_write(world, bounds, step.subject);
   } else if (step.kind == StepKind::StartSettle) {
     --world.budget.settles;
-    start_settle(world, bounds, step.subject, step.object == 0 ? consensus::holders_register : data_register);
+    start_settle(world, bounds, step.subject, step.object == 0 ? consensus::voter_set_register : data_register);
   } else if (join(world, bounds, step.subject, step.object)) {
     --world.budget.joins;
     world.budget.suspicions -= step.object == 0 ? 0 : 1;
@@ -200,7 +200,7 @@
 }
 
 void ask_images(World& world, Bounds const& bounds, Step const& step) {
-  std::vector<schema::Voter> const sources = world.machine(step.subject).acceptor->image_sources();
+  std::vector<schema::Voter> const sources = world.machine(step.subject).acceptor->snapshot_sources();
   for (schema::Voter const& source : sources) {
     if (step.object == 0 || source.incarnation == step.object) {
       ask_image(world, bounds, step.subject, source.address);
@@ -264,7 +264,7 @@
     case StepKind::TakeOver:
       --world.budget.taken_over;
       take_over(world, bounds, step.object / 2, step.subject,
-                step.object % 2 == 0 ? data_register : consensus::holders_register);
+                step.object % 2 == 0 ? data_register : consensus::voter_set_register);
       break;
     default:
       strike(world, bounds, step);
--- a/source/simulator/membership_model/world.cpp
+++ b/source/simulator/membership_model/world.cpp
@@ -20,8 +20,8 @@
   digest.add(packed_digest(machine.unsynced));
   digest.add(packed_digest(machine.images));
   if (machine.acceptor.has_value()) {
-    digest.add(packed_digest(machine.acceptor->image()));
-    for (char const* const name : {data_register, consensus::holders_register}) {
+    digest.add(packed_digest(machine.acceptor->snapshot_records()));
+    for (char const* const name : {data_register, consensus::voter_set_register}) {
       digest.add(machine.acceptor->inherited(name) ? 1u : 0u);
     }
   }
@@ -146,7 +146,7 @@
   Machine machine;
   machine.address = address;
   machine.acceptor.emplace(world.next_incarnation++, address, world.founder_addresses, 0, guards);
-  machine.synced = machine.acceptor->image();
+  machine.synced = machine.acceptor->snapshot_records();
   return machine;
 }
 
--- a/source/simulator/operators/operators.cpp
+++ b/source/simulator/operators/operators.cpp
@@ -334,7 +334,7 @@
     ++counts_.reads;
     for (std::string const& name :
          {std::string(config::routing_config_register), std::string(config::evacuated_register),
-          std::string(consensus::holders_register)}) {
+          std::string(consensus::voter_set_register)}) {
       schema::Value const value = access_.value(node, name);
       ledger_.observe(name, value);
       ledger_.add(name, HistoryEntry{Kind::read, value.revision, began, kernel_.now()});
--- a/source/tests/consensus/acceptor_test.cpp
+++ b/source/tests/consensus/acceptor_test.cpp
@@ -33,7 +33,7 @@
             answers.push_back(word(other));
           }
         }
-        (void)holders[index].founding(answers, 0);
+        (void)holders[index].bootstrap(answers, 0);
       }
     }
   }
@@ -71,8 +71,8 @@
   schema::VoterSet const set{1, {{11, "a"}, {12, "b"}, {13, "c"}}, {}};
   (void)founder.receive(schema::Adopt{set}, 0);
   // It takes the set from a founder that has it, with its vote, and from nobody else.
-  EXPECT_TRUE(founder.wants_founding());
-  (void)founder.founding({schema::FoundingAnswer{12, "b", false, {}, set}}, 0);
+  EXPECT_TRUE(founder.needs_bootstrap());
+  (void)founder.bootstrap({schema::FoundingAnswer{12, "b", false, {}, set}}, 0);
   EXPECT_TRUE(founder.voting());
   // One that the set does not name, and a newcomer of a later epoch, have no vote by a mere word.
   consensus::Acceptor other(99, "a", founders, 0);
@@ -85,7 +85,7 @@
 
 TEST(Acceptor, FoundsOnlyWhenAllThreeAreBlankAndAgree) {
   Group group(3);
-  (void)group.holders[0].founding({group.word(1)}, 0);  // one founder does not answer
+  (void)group.holders[0].bootstrap({group.word(1)}, 0);  // one founder does not answer
   EXPECT_EQ(group.holders[0].set().epoch, 0u);
   group.found();
   for (Acceptor const& holder : group.holders) {
@@ -94,7 +94,7 @@
   }
   // One comes back blank: the others are founded, so it is not again.
   Acceptor blank(900, "b", {"a", "b", "c"}, 0);
-  (void)blank.founding({group.word(0), group.word(2)}, 0);
+  (void)blank.bootstrap({group.word(0), group.word(2)}, 0);
   EXPECT_EQ(blank.set().epoch, 0u);
   EXPECT_FALSE(blank.voting());
 }
@@ -102,27 +102,27 @@
 TEST(Acceptor, APledgeIsKeptByOneThatIsRestartedWithoutTheOrderToFound) {
   Group group(3);
   for (std::size_t index = 0; index < 3; ++index) {
-    (void)group.holders[index].founding({group.word((index + 1) % 3), group.word((index + 2) % 3)}, 0);
+    (void)group.holders[index].bootstrap({group.word((index + 1) % 3), group.word((index + 2) % 3)}, 0);
   }
-  group.holders[1] = Acceptor(group.holders[1].image(), "b", {}, 0);
-  EXPECT_TRUE(group.holders[1].wants_founding());
+  group.holders[1] = Acceptor(group.holders[1].snapshot_records(), "b", {}, 0);
+  EXPECT_TRUE(group.holders[1].needs_bootstrap());
   group.found();
   for (Acceptor const& holder : group.holders) {
     EXPECT_TRUE(holder.voting());
   }
   // One that pledged nothing has nothing to stand by.
   Group other(3);
-  EXPECT_FALSE(Acceptor(other.holders[1].image(), "b", {}, 0).wants_founding());
+  EXPECT_FALSE(Acceptor(other.holders[1].snapshot_records(), "b", {}, 0).needs_bootstrap());
 }
 
 TEST(Acceptor, NeverPledgesALostIncarnationAgain) {
   Group group(3);
   schema::FoundingAnswer const old_word = group.word(1);
-  (void)group.holders[0].founding({old_word, group.word(2)}, 0);
+  (void)group.holders[0].bootstrap({old_word, group.word(2)}, 0);
   schema::FoundingAnswer new_word = old_word;
   new_word.incarnation = 555;  // b lost its disk
-  EXPECT_FALSE(group.holders[0].founding({new_word, group.word(2)}, 0).records.empty());
-  EXPECT_TRUE(group.holders[0].founding({old_word, group.word(2)}, 0).records.empty());
+  EXPECT_FALSE(group.holders[0].bootstrap({new_word, group.word(2)}, 0).records.empty());
+  EXPECT_TRUE(group.holders[0].bootstrap({old_word, group.word(2)}, 0).records.empty());
 }
 
 TEST(Acceptor, BlankOneHasNoVoteUntilEnrolledWithAnImage) {
@@ -149,12 +149,13 @@
     std::uint64_t const revision = group.change("third", {0, 3}, true, 9);
     if (guard) {
       EXPECT_EQ(revision, 0u);
-      EXPECT_TRUE(group.holders[3].wants_image());
+      EXPECT_TRUE(group.holders[3].needs_snapshot());
       std::vector<schema::Image> images{
-          std::get<schema::Image>(*group.holders[0].receive(group.holders[3].image_ask(), 0).reply)};
-      EXPECT_TRUE(group.holders[3].enrol(images, 0).records.empty());  // one is no majority of the old set
-      images.push_back(std::get<schema::Image>(*group.holders[1].receive(group.holders[3].image_ask(), 0).reply));
-      EXPECT_FALSE(group.holders[3].enrol(images, 0).records.empty());
+          std::get<schema::Image>(*group.holders[0].receive(group.holders[3].snapshot_request(), 0).reply)};
+      EXPECT_TRUE(group.holders[3].join(images, 0).records.empty());  // one is no majority of the old set
+      images.push_back(
+          std::get<schema::Image>(*group.holders[1].receive(group.holders[3].snapshot_request(), 0).reply));
+      EXPECT_FALSE(group.holders[3].join(images, 0).records.empty());
       EXPECT_EQ(group.change("third", {0, 3}, true, 20), 3u);
     } else {
       EXPECT_EQ(revision, 2u) << "the guard off loses the second change";
@@ -187,7 +188,7 @@
     (void)group.holders[0].receive(schema::Adopt{set_of(4, founders, others)}, 0);
     EXPECT_EQ(group.holders[0].voting(), guard);
     EXPECT_EQ(gives_image(group.holders[0]), guard);
-    EXPECT_EQ(group.holders[0].wants_image(), !guard);
+    EXPECT_EQ(group.holders[0].needs_snapshot(), !guard);
   }
 }
 
@@ -200,7 +201,7 @@
   // The set before does not name it.
   (void)group.holders[0].receive(schema::Adopt{set_of(3, founders, others)}, 0);
   EXPECT_FALSE(group.holders[0].voting());
-  EXPECT_TRUE(group.holders[0].wants_image());
+  EXPECT_TRUE(group.holders[0].needs_snapshot());
   EXPECT_FALSE(gives_image(group.holders[0]));
   // Nor has it a vote when it missed the set that named it again.
   Group second(3);
@@ -211,7 +212,7 @@
   EXPECT_TRUE(gives_image(second.holders[0])) << "it voted in the epoch before, to its end";
   (void)second.holders[0].receive(schema::Adopt{set_of(4, voters, voters)}, 0);
   EXPECT_FALSE(second.holders[0].voting());
-  EXPECT_TRUE(second.holders[0].wants_image());
+  EXPECT_TRUE(second.holders[0].needs_snapshot());
   EXPECT_FALSE(gives_image(second.holders[0]));
 }
 
@@ -220,7 +221,7 @@
   std::vector<schema::Voter> const founders{{100, "a"}, {101, "b"}, {102, "c"}};
   (void)group.holders[1].receive(schema::Adopt{set_of(1, founders, founders)}, 0);
   EXPECT_EQ(group.holders[1].set().epoch, 0u);
-  EXPECT_TRUE(group.holders[1].wants_founding());
+  EXPECT_TRUE(group.holders[1].needs_bootstrap());
   group.found();
   EXPECT_TRUE(group.holders[1].voting());
 }
@@ -229,8 +230,8 @@
   Group group(3);
   group.found();
   ASSERT_EQ(group.change("first", {0, 1, 2}), 1u);
-  Acceptor const again(group.holders[0].image(), "a", {"a", "b", "c"}, 0);
-  EXPECT_EQ(again.image(), group.holders[0].image());
+  Acceptor const again(group.holders[0].snapshot_records(), "a", {"a", "b", "c"}, 0);
+  EXPECT_EQ(again.snapshot_records(), group.holders[0].snapshot_records());
   EXPECT_TRUE(again.voting());
 }
 
--- a/source/tests/consensus/half_done_across_epochs_test.cpp
+++ b/source/tests/consensus/half_done_across_epochs_test.cpp
@@ -53,10 +53,10 @@
   static void enrol(Acceptor& newcomer, std::vector<Acceptor const*> const& givers) {
     std::vector<schema::Image> images;
     for (Acceptor const* const giver : givers) {
-      schema::ImageAsk const ask = newcomer.image_ask();
+      schema::ImageAsk const ask = newcomer.snapshot_request();
       images.push_back(std::get<schema::Image>(*Acceptor(*giver).receive(ask, 0).reply));
     }
-    (void)newcomer.enrol(images, 0);
+    (void)newcomer.join(images, 0);
     EXPECT_TRUE(newcomer.voting());
   }
 };
--- a/source/tests/consensus/invariants_test.cpp
+++ b/source/tests/consensus/invariants_test.cpp
@@ -51,7 +51,7 @@
 TEST(AcceptorInvariants, ADiskThatComesBackOlderIsSeen) {
   Acceptor acceptor = voter();
   SyncedBallots synced;
-  synced.take(own, acceptor.image());
+  synced.take(own, acceptor.snapshot_records());
   synced.take(own, acceptor.receive(schema::Prepare{"charter", Ballot{1, 9, 7}, {}}, 0).records);
   synced.check_recovered(acceptor);
   synced.take(own, acceptor.receive(accept(9), 0).records);
--- a/source/tests/consensus/narrow_link.hpp
+++ b/source/tests/consensus/narrow_link.hpp
@@ -168,7 +168,7 @@
             answers.push_back(std::get<schema::FoundingAnswer>(*other.receive(schema::FoundingAsk{}, 0).reply));
           }
         }
-        (void)acceptor.founding(answers, 0);
+        (void)acceptor.bootstrap(answers, 0);
       }
     }
   }
--- a/source/tests/consensus/promise_record_test.cpp
+++ b/source/tests/consensus/promise_record_test.cpp
@@ -40,7 +40,7 @@
 TEST(PromiseRecord, StandsAfterARestart) {
   for (bool const replayed : {true, false}) {
     Trio trio;
-    std::vector<schema::Record> records = trio.acceptors[0].image();
+    std::vector<schema::Record> records = trio.acceptors[0].snapshot_records();
     for (schema::Message const& message :
          {schema::Message(schema::Prepare{"charter", Ballot{1, 2, 1}, {}}),
           schema::Message(schema::Accept{"charter", Ballot{1, 3, 1}, schema::Value{1, "first", {}}}),
@@ -52,7 +52,7 @@
       }
     }
     Acceptor again(records, "a", founders, 0);
-    EXPECT_EQ(again.image() == trio.acceptors[0].image(), replayed);
+    EXPECT_EQ(again.snapshot_records() == trio.acceptors[0].snapshot_records(), replayed);
     // An older ballot, promised against before the restart.
     schema::Message const reply =
         *again.receive(schema::Accept{"charter", Ballot{1, 5, 2}, schema::Value{2, "late", {}}}, 0).reply;
@@ -87,7 +87,8 @@
     EXPECT_EQ(acceptor.voting(), voting);
     EXPECT_EQ(acceptor.set().epoch, 7u);
     EXPECT_EQ(acceptor.complete(), voting ? 7u : 6u);
-    EXPECT_TRUE(std::holds_alternative<schema::SetRecord>(acceptor.image()[1])) << "written anew as it is now";
+    EXPECT_TRUE(std::holds_alternative<schema::SetRecord>(acceptor.snapshot_records()[1]))
+        << "written anew as it is now";
   }
 }
 
@@ -130,10 +131,10 @@
   Logged(Device const& inner, std::size_t file_bytes, bool alone)
       : device(counted(inner)),
         log(device, constants::ring_files, file_bytes),
-        acceptor(Trio().acceptors[0].image(), "a", founders, 0),
+        acceptor(Trio().acceptors[0].snapshot_records(), "a", founders, 0),
         promises_alone(alone) {
     EXPECT_TRUE(log.recover().ok());
-    EXPECT_TRUE(log.renew(acceptor.image()).ok());
+    EXPECT_TRUE(log.renew(acceptor.snapshot_records()).ok());
     written = syncs = 0;
   }
   Device counted(Device const& inner) {
@@ -156,7 +157,7 @@
         record = schema::CellRecord{promise->name, acceptor.cells().at(promise->name)};
       }
     }
-    ASSERT_TRUE(log.append(outcome.records, [this] { return acceptor.image(); }).ok());
+    ASSERT_TRUE(log.append(outcome.records, [this] { return acceptor.snapshot_records(); }).ok());
   }
   void change(std::uint64_t round, std::string const& content) {
     step(schema::Prepare{"charter", Ballot{1, 2 * round, 1}, {}});
@@ -186,7 +187,7 @@
                     static_cast<unsigned long long>(changes), alone ? "alone" : "whole", bytes[alone ? 1 : 0],
                     static_cast<double>(logged.syncs) / static_cast<double>(changes),
                     seconds * 1000 / static_cast<double>(changes));
-        std::printf(", image %zu B", common::pack(logged.acceptor.image()).size());
+        std::printf(", image %zu B", common::pack(logged.acceptor.snapshot_records()).size());
       }
       absl::StatusOr<Device> const device = open_files(folder, constants::ring_files, constants::ring_file_bytes);
       ASSERT_TRUE(device.ok());
@@ -195,7 +196,7 @@
       absl::StatusOr<std::vector<schema::Record>> const records = again.recover();
       ASSERT_TRUE(records.ok()) << records.status();
       Acceptor const recovered(*records, "a", founders, 0);
-      ASSERT_TRUE(again.renew(recovered.image()).ok());
+      ASSERT_TRUE(again.renew(recovered.snapshot_records()).ok());
       std::printf(", %zu records, recovered and renewed in %.1f ms\n", records->size(),
                   std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count() * 1000);
       EXPECT_EQ(recovered.cells().at("charter").value.revision, changes);
@@ -217,7 +218,7 @@
       absl::StatusOr<std::vector<schema::Record>> const records = again.recover();
       ASSERT_TRUE(records.ok()) << records.status();
       Acceptor const recovered(*records, "a", founders, 0);
-      ASSERT_EQ(recovered.image(), logged.acceptor.image()) << "after change " << round;
+      ASSERT_EQ(recovered.snapshot_records(), logged.acceptor.snapshot_records()) << "after change " << round;
     }
   }
 }
@@ -235,7 +236,7 @@
     (void)trio.acceptors[0].receive(
         schema::Accept{split_register(std::to_string(pool)), Ballot{1, 3, 1}, schema::Value{1, noise(2000), {}}}, 0);
   }
-  std::size_t const image = common::pack(trio.acceptors[0].image()).size();
+  std::size_t const image = common::pack(trio.acceptors[0].snapshot_records()).size();
   std::printf("[ figure ] the largest image: %zu B of %zu B\n", image, constants::ring_file_bytes);
   EXPECT_LT(image + constants::routing_config_limit + 10000, constants::ring_file_bytes);
 }
--- a/source/tests/consensus/transfer_test.cpp
+++ b/source/tests/consensus/transfer_test.cpp
@@ -205,16 +205,17 @@
     }
     std::vector<schema::Image> images;
     for (std::size_t index = 0; index < 2; ++index) {
-      images.push_back(std::get<schema::Image>(*trio.acceptors[index].receive(trio.acceptors[3].image_ask(), 0).reply));
+      images.push_back(
+          std::get<schema::Image>(*trio.acceptors[index].receive(trio.acceptors[3].snapshot_request(), 0).reply));
     }
-    EXPECT_EQ(trio.acceptors[3].enrol(images, 0).records.empty(), guard);
+    EXPECT_EQ(trio.acceptors[3].join(images, 0).records.empty(), guard);
     EXPECT_EQ(trio.acceptors[3].voting(), !guard);
     if (guard) {
       std::vector<MissingValue> const missing = trio.acceptors[3].missing(images);
       ASSERT_EQ(missing.size(), 1u);
       EXPECT_EQ(missing[0].sources, (std::vector<std::uint64_t>{100, 101}));
-      supply(images, "charter", missing[0].digest, schema::Value{3, content, {}});
-      EXPECT_FALSE(trio.acceptors[3].enrol(images, 0).records.empty());
+      insert_fetched_value(images, "charter", missing[0].digest, schema::Value{3, content, {}});
+      EXPECT_FALSE(trio.acceptors[3].join(images, 0).records.empty());
       EXPECT_TRUE(trio.acceptors[3].voting());
     }
     EXPECT_EQ(trio.acceptors[3].cells().at("charter").value.content == content, guard);
@@ -405,17 +406,17 @@
   }
   /// As AcceptorService::enrol() does it.
   void step() {
-    if (!newcomer.wants_image()) {
+    if (!newcomer.needs_snapshot()) {
       enrolled = kernel.now();
       return;
     }
     if (images.size() < 2) {
       images.clear();
-      for (schema::Voter const& source : newcomer.image_sources()) {
+      for (schema::Voter const& source : newcomer.snapshot_sources()) {
         if (source.incarnation == 102) {
           continue;  // lost
         }
-        far.call(source.address, newcomer.image_ask(), constants::holder_deadline,
+        far.call(source.address, newcomer.snapshot_request(), constants::holder_deadline,
                  [this](std::optional<schema::Message> const& answer) {
                    if (answer.has_value() && std::holds_alternative<schema::Image>(*answer)) {
                      images.push_back(std::get<schema::Image>(*answer));
@@ -435,7 +436,7 @@
       return;
     }
     if (missing.empty()) {
-      (void)newcomer.enrol(images, kernel.now());
+      (void)newcomer.join(images, kernel.now());
       again();
       return;
     }
@@ -446,7 +447,7 @@
     receiver = std::make_shared<ValueReceiver>(schema::TransferKey{missing[0].name, missing[0].digest, 0}, addresses);
     far.run(receiver, [this, missing, again](std::optional<std::string> const& bytes) {
       if (bytes.has_value()) {
-        supply(images, missing[0].name, missing[0].digest, *common::unpack<schema::Value>(*bytes));
+        insert_fetched_value(images, missing[0].name, missing[0].digest, *common::unpack<schema::Value>(*bytes));
       } else {
         images.clear();
       }
--- a/source/tests/membership/cut_off_test.cpp
+++ b/source/tests/membership/cut_off_test.cpp
@@ -176,7 +176,7 @@
             std::get<schema::FoundingAnswer>(*acceptors_[other].receive(schema::FoundingAsk{}, now).reply));
       }
     }
-    (void)acceptors_[index].founding(answers, now);
+    (void)acceptors_[index].bootstrap(answers, now);
   }
   /// What a trellis answers to an ask that arrives now: at once when a read confirms, else after its patience.
   std::optional<schema::NewsAnswer> answer_of(std::size_t controller) {
--- a/source/tests/membership/departure_test.cpp
+++ b/source/tests/membership/departure_test.cpp
@@ -212,13 +212,13 @@
     (void)acceptor->receive(adopt, start);
   }
   EXPECT_FALSE(leaver.voting());
-  ASSERT_TRUE(newcomer.wants_image());
+  ASSERT_TRUE(newcomer.needs_snapshot());
   std::vector<schema::Image> images;
   images.push_back(std::get<schema::Image>(*remaining.receive(schema::ImageAsk{2}, start).reply));
-  (void)newcomer.enrol(images, start);
+  (void)newcomer.join(images, start);
   EXPECT_FALSE(newcomer.voting()) << "had the leaver gone, the register would be lost";
   images.push_back(std::get<schema::Image>(*leaver.receive(schema::ImageAsk{2}, start).reply));
-  (void)newcomer.enrol(images, start);
+  (void)newcomer.join(images, start);
   EXPECT_TRUE(newcomer.voting());
   EXPECT_EQ(newcomer.cells().at("setup").value.content, "kept");
 }
@@ -230,16 +230,17 @@
   for (schema::Voter const& voter : founded().holders) {
     granters.emplace(voter.incarnation, lease::LeaseGranter(start, false));
   }
-  std::function<void(lease::LeaseHolder&, std::vector<lease::LeaseHolderAction> const&, common::Moment)> const
-      exchange = [&granters](lease::LeaseHolder& holder, std::vector<lease::LeaseHolderAction> const& actions,
-                             common::Moment now) {
-        for (lease::LeaseHolderAction const& action : actions) {
-          if (lease::SendAsk const* const send = std::get_if<lease::SendAsk>(&action)) {
-            bool const granted = granters.at(send->to.incarnation).ask(send->ask, now);
-            (void)holder.receive(schema::LeaseAnswer{granted, send->to.incarnation, send->ask.round, founded()}, now);
-          }
-        }
-      };
+  std::function<void(lease::LeaseHolder&, std::vector<lease::LeaseHolderAction> const&,
+                     common::Moment)> const exchange = [&granters](lease::LeaseHolder& holder,
+                                                                   std::vector<lease::LeaseHolderAction> const& actions,
+                                                                   common::Moment now) {
+    for (lease::LeaseHolderAction const& action : actions) {
+      if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
+        bool const granted = granters.at(send->to.incarnation).request(send->request, now);
+        (void)holder.receive(schema::LeaseAnswer{granted, send->to.incarnation, send->request.round, founded()}, now);
+      }
+    }
+  };
   exchange(leaver, leaver.tick(founded(), start), start);
   ASSERT_TRUE(leaver.holds(start));
   exchange(other, other.tick(founded(), start), start);
--- a/source/tests/membership/freshness_lease_test.cpp
+++ b/source/tests/membership/freshness_lease_test.cpp
@@ -187,8 +187,9 @@
     std::vector<lease::LeaseHolderAction> const asks = slow.tick(three(), common::seconds(1));
     std::vector<schema::LeaseAnswer> answers;
     for (std::size_t index = 0; index < 3; ++index) {
-      schema::LeaseAsk const& ask = std::get<lease::SendAsk>(asks[index]).ask;
-      answers.push_back(schema::LeaseAnswer{granters[index].ask(ask, common::seconds(1)), index + 1, ask.round, {}});
+      schema::LeaseAsk const& ask = std::get<lease::SendLeaseRequest>(asks[index]).request;
+      answers.push_back(
+          schema::LeaseAnswer{granters[index].request(ask, common::seconds(1)), index + 1, ask.round, {}});
     }
     // The answers are slow, or this machine was frozen: read 2.5 s later.
     for (schema::LeaseAnswer const& answer : answers) {
@@ -198,11 +199,12 @@
     lease::LeaseHolder other("duty", 20);
     common::Moment const then = common::seconds(1) + constants::lease_span;
     for (lease::LeaseHolderAction const& action : other.tick(three(), then)) {
-      lease::SendAsk const& send = std::get<lease::SendAsk>(action);
-      (void)other.receive(
-          schema::LeaseAnswer{
-              granters[send.to.incarnation - 1].ask(send.ask, then), send.to.incarnation, send.ask.round, {}},
-          then);
+      lease::SendLeaseRequest const& send = std::get<lease::SendLeaseRequest>(action);
+      (void)other.receive(schema::LeaseAnswer{granters[send.to.incarnation - 1].request(send.request, then),
+                                              send.to.incarnation,
+                                              send.request.round,
+                                              {}},
+                          then);
     }
     EXPECT_TRUE(other.holds(then));
     EXPECT_EQ(slow.holds(then), !guard) << "two hold one lease with the guard off";
@@ -213,8 +215,8 @@
   for (bool const guard : {true, false}) {
     lease::LeaseGranter restarted(common::seconds(5), guard);
     schema::LeaseAsk const ask{1, "duty", 20, constants::lease_span, false, 1};
-    EXPECT_EQ(restarted.ask(ask, common::seconds(5)), !guard);
-    EXPECT_TRUE(restarted.ask(ask, common::seconds(5) + constants::lease_silence));
+    EXPECT_EQ(restarted.request(ask, common::seconds(5)), !guard);
+    EXPECT_TRUE(restarted.request(ask, common::seconds(5) + constants::lease_silence));
   }
 }
 
