--- a/source/consensus/acceptor/acceptor.cpp
+++ b/source/consensus/acceptor/acceptor.cpp
@@ -15,7 +15,7 @@
       address_(std::move(address)),
       founders_(std::move(founders)),
       granter_(now, guards.lease_silence) {
-  founding_.incarnation = incarnation;
+  bootstrap_record_.incarnation = incarnation;
   if (!guards_.blank_has_no_vote) {
     voting_ = true;
   }
@@ -32,16 +32,16 @@
         [this](auto const& entry) {
           using Kind = std::decay_t<decltype(entry)>;
           if constexpr (std::is_same_v<Kind, schema::FoundingRecord>) {
-            founding_ = entry;
+            bootstrap_record_ = entry;
           } else if constexpr (std::is_same_v<Kind, schema::SetRecord>) {
             set_ = entry.set;
             voting_ = entry.voting;
-            complete_ = entry.voting ? entry.set.epoch : entry.complete;
-            whole_ = entry.whole;
+            complete_epoch_ = entry.voting ? entry.set.epoch : entry.complete;
+            whole_epoch_ = entry.whole;
           } else if constexpr (std::is_same_v<Kind, schema::FormerSetRecord>) {
             set_ = VoterSet{entry.set.epoch, entry.set.holders, entry.set.previous, {}, {}};
             voting_ = entry.voting;
-            complete_ = entry.voting ? set_.epoch : entry.complete ? set_.epoch - 1 : 0;
+            complete_epoch_ = entry.voting ? set_.epoch : entry.complete ? set_.epoch - 1 : 0;
           } else if constexpr (std::is_same_v<Kind, schema::PromiseRecord>) {
             cells_[entry.name].promised = entry.promised;
           } else {
@@ -50,19 +50,19 @@
         },
         record);
   }
-  note_inherited();
+  mark_inherited();
   if (founders_.empty()) {
-    // What it pledged it stands by, also when it is started as one that founds nothing.
-    for (Voter const& founder : founding_.pledge) {
+    // Its bootstrap vote binds it, also when it is restarted without a list of bootstrap members.
+    for (Voter const& founder : bootstrap_record_.pledge) {
       founders_.push_back(founder.address);
     }
   }
 }
 
-std::vector<schema::Record> Acceptor::image() const {
+std::vector<schema::Record> Acceptor::snapshot_records() const {
   std::vector<schema::Record> records;
-  records.emplace_back(founding_);
-  records.emplace_back(schema::SetRecord{set_, voting_, complete_, whole_});
+  records.emplace_back(bootstrap_record_);
+  records.emplace_back(schema::SetRecord{set_, voting_, complete_epoch_, whole_epoch_});
   for (std::pair<std::string const, schema::Cell> const& cell : cells_) {
     records.emplace_back(schema::CellRecord{cell.first, cell.second});
   }
@@ -73,11 +73,12 @@
   if (!guards_.epoch_checked) {
     return voting_;
   }
-  return voting_ && epoch == set_.epoch && (names(set_.holders, founding_.incarnation) || !guards_.blank_has_no_vote);
+  return voting_ && epoch == set_.epoch &&
+         (contains_voter(set_.holders, bootstrap_record_.incarnation) || !guards_.blank_has_no_vote);
 }
 
 schema::Refused Acceptor::refusal(Ballot const& ballot, Ballot const& promised) const {
-  return schema::Refused{ballot, promised, voting_, founding_.incarnation, set_};
+  return schema::Refused{ballot, promised, voting_, bootstrap_record_.incarnation, set_};
 }
 
 Outcome Acceptor::receive(schema::Message const& message, common::Moment now) {
@@ -100,24 +101,27 @@
 }
 
 void Acceptor::promise(std::string const& name, schema::Cell& cell, Ballot const& ballot) {
-  common::check(common::Invariant::promised_ballot_rises, !before(ballot, cell.promised),
-                [&] { return name + " falls from " + text_of(cell.promised) + " to " + text_of(ballot); });
+  common::check(common::Invariant::promised_ballot_rises, !before(ballot, cell.promised), [&] {
+    return "the promised ballot of " + name + " decreases from " + text_of(cell.promised) + " to " + text_of(ballot);
+  });
   cell.promised = ballot;
 }
 
 void Acceptor::accept(std::string const& name, schema::Cell& cell, Ballot const& ballot, schema::Value const& value) {
-  common::check(common::Invariant::accepted_ballot_rises, !before(ballot, cell.accepted),
-                [&] { return name + " falls from " + text_of(cell.accepted) + " to " + text_of(ballot); });
+  common::check(common::Invariant::accepted_ballot_rises, !before(ballot, cell.accepted), [&] {
+    return "the accepted ballot of " + name + " decreases from " + text_of(cell.accepted) + " to " + text_of(ballot);
+  });
   cell.accepted = ballot;
   cell.value = value;
   inherited_.erase(name);
 }
 
 void Acceptor::check_vote() const {
-  common::check(common::Invariant::vote_is_complete, !blank() && names(set_.holders, founding_.incarnation), [&] {
-    return "incarnation " + std::to_string(founding_.incarnation) + " votes in epoch " + std::to_string(set_.epoch) +
-           (blank() ? " and is blank" : " and is not named in its set");
-  });
+  common::check(common::Invariant::vote_is_complete,
+                !blank() && contains_voter(set_.holders, bootstrap_record_.incarnation), [&] {
+                  return "incarnation " + std::to_string(bootstrap_record_.incarnation) + " votes in epoch " +
+                         std::to_string(set_.epoch) + (blank() ? " but is blank" : " but is not in its voter set");
+                });
 }
 
 Outcome Acceptor::on(schema::Prepare const& message) {
@@ -132,10 +136,10 @@
   Outcome outcome;
   if (!(cell.promised == message.ballot)) {
     promise(message.name, cell, message.ballot);
-    // A promise leaves the value as it is, so a large one is not written again.
+    // A promise doesn't change the value, so a large value is not written again.
     outcome.records.emplace_back(schema::PromiseRecord{message.name, cell.promised});
   }
-  // The asker may hold the value already; a large one is not sent in vain.
+  // The proposer may know the value already, and a large one is sent only on demand.
   bool const known = message.known == cell.accepted;
   std::size_t const bytes = message_bytes(cell.value);
   bool const withheld = !known && bytes > inline_bytes_;
@@ -163,10 +167,10 @@
 
 Outcome Acceptor::take_accepted(std::string const& name, Ballot const& accepted, schema::Value const& value) {
   Outcome outcome;
-  // Its epoch may be older than the one in force. A majority promised that ballot when it was made, and whoever
-  // came to the voters since then has taken over these promises with its snapshot, and counts for no older ballot
-  // beside them: so none can be chosen any more, and whoever makes a newer one meets what is accepted here.
-  if (!voting_ || !names(set_.holders, founding_.incarnation) || accepted.epoch > set_.epoch) {
+  // The ballot's epoch may be older than the one in force. A majority promised that ballot when it was made. Voters
+  // that joined since then inherited these promises with their snapshots, and count for no older ballot beside them. So
+  // no older ballot can be chosen any more, and the proposer of a newer one finds what is accepted here.
+  if (!voting_ || !contains_voter(set_.holders, bootstrap_record_.incarnation) || accepted.epoch > set_.epoch) {
     return outcome;
   }
   schema::Cell& cell = cells_[name];
@@ -197,11 +201,11 @@
   }
   std::sort(sizes.begin(), sizes.end());
   std::map<std::string, schema::Withheld> withheld;
-  std::size_t room = inline_bytes_;
+  std::size_t bytes_left = inline_bytes_;
   for (std::pair<std::size_t, std::string> const& entry : sizes) {
-    if (!fits(entry.first, room)) {
+    if (!fits(entry.first, bytes_left)) {
       schema::Value& value = cells[entry.second].value;
-      value = schema::Value{value.revision, "", {}};  // whoever knows this revision needs no transfer
+      value = schema::Value{value.revision, "", {}};  // a receiver that knows this revision needs no transfer
       withheld[entry.second] = schema::Withheld{entry.first, digest_of(entry.second)};
     }
   }
@@ -209,8 +213,8 @@
 }
 
 Outcome Acceptor::on(schema::PieceRequest const& message, common::Moment now) {
-  // Bytes that have the digest are the value, whoever gives them, with a vote
-  // or without, and under whatever ballot it was accepted here.
+  // Bytes with this digest are the value. So it doesn't matter whether this acceptor has a vote, nor under which ballot
+  // the value was accepted here.
   TransferSource const source = [this](schema::TransferKey const& key) -> std::optional<std::string> {
     std::map<std::string, schema::Cell>::const_iterator const cell = cells_.find(key.name);
     if (key.revision != 0 || cell == cells_.end() || digest_of(key.name) != key.digest) {
@@ -225,12 +229,13 @@
   return guards_.inherited_is_no_vote && inherited_.count(name) > 0;
 }
 
-void Acceptor::note_inherited() {
-  // What came with images is the acceptance of one voter, and the newer promise beside it may be of a ballot that
-  // was made without knowing it. After a restart it is not known which came so: none counts that has a newer promise.
+void Acceptor::mark_inherited() {
+  // A value from snapshots was accepted by one other voter, and the newer promise beside it may be for a ballot whose
+  // proposer didn't see that value. After a restart it is not known which values came from snapshots, so no value with
+  // a newer promise counts as a vote.
   inherited_.clear();
   for (std::pair<std::string const, schema::Cell> const& cell : cells_) {
-    if (whole_ > 0 && before(cell.second.accepted, cell.second.promised)) {
+    if (whole_epoch_ > 0 && before(cell.second.accepted, cell.second.promised)) {
       inherited_.insert(cell.first);
     }
   }
@@ -240,7 +245,7 @@
   if (!may_vote(message.epoch)) {
     return Outcome{{}, schema::Message(refusal(Ballot{message.epoch, message.round, 0}, Ballot{}))};
   }
-  schema::ReadAnswer answer{set_.epoch, message.round, founding_.incarnation, {}, {}, {}};
+  schema::ReadAnswer answer{set_.epoch, message.round, bootstrap_record_.incarnation, {}, {}, {}};
   for (std::pair<std::string const, schema::Cell> const& entry : cells_) {
     schema::Cell cell{entry.second.promised, entry.second.accepted, {}};
     std::map<std::string, Ballot>::const_iterator const known = message.known.find(entry.first);
@@ -256,56 +261,56 @@
   return Outcome{{}, schema::Message(answer)};
 }
 
-bool Acceptor::complete_under(VoterSet const& set) const {
-  // An incarnation is in the sets of one unbroken row of epochs, since one that
-  // was left out adopts that before it asks for a place again. So a voter that
-  // the set before names was named in all that it missed; had it been told of
-  // each in turn, it would have voted in each (section 5.5).
-  bool const row_unbroken = guards_.vote_kept_over_missed || set.epoch == set_.epoch + 1;
-  return voting_ && names(set.previous, founding_.incarnation) && row_unbroken;
+bool Acceptor::has_data_before(VoterSet const& set) const {
+  // An incarnation is a voter in one run of consecutive epochs, since a removed voter installs the set without it
+  // before it applies for a place again. So a voter that is in the set before this one was in all sets that it missed;
+  // had it received each of them in turn, it would have voted in each (section 5.5).
+  bool const unbroken = guards_.vote_kept_over_missed || set.epoch == set_.epoch + 1;
+  return voting_ && contains_voter(set.previous, bootstrap_record_.incarnation) && unbroken;
 }
 
-std::uint64_t Acceptor::completed_by(VoterSet const& set) const {
+std::uint64_t Acceptor::complete_epoch_under(VoterSet const& set) const {
   if (!voting_) {
-    return complete_;  // what it has so far; images give it the rest
+    return complete_epoch_;  // what it has so far; snapshots give it the rest
   }
-  if (complete_under(set)) {
-    return names(set.holders, founding_.incarnation) ? set.epoch : set.epoch - 1;
+  if (has_data_before(set)) {
+    return contains_voter(set.holders, bootstrap_record_.incarnation) ? set.epoch : set.epoch - 1;
   }
-  std::optional<EpochSpan> const span = newest_span(sets_told_by(set), founding_.incarnation);
-  bool const row_unbroken = guards_.vote_kept_over_missed && span.has_value() && span->last < set.epoch;
-  return row_unbroken ? std::max(complete_, span->last) : complete_;
+  std::optional<EpochSpan> const span = newest_span(voter_sets_in(set), bootstrap_record_.incarnation);
+  bool const unbroken = guards_.vote_kept_over_missed && span.has_value() && span->last < set.epoch;
+  return unbroken ? std::max(complete_epoch_, span->last) : complete_epoch_;
 }
 
-void Acceptor::take_set(VoterSet const& set, bool voting, std::uint64_t complete, common::Moment now,
-                        Outcome& outcome) {
+void Acceptor::install_set(VoterSet const& set, bool voting, std::uint64_t complete, common::Moment now,
+                           Outcome& outcome) {
   common::check(common::Invariant::voter_epoch_rises, set.epoch >= set_.epoch, [&] {
-    return "the set falls from epoch " + std::to_string(set_.epoch) + " to " + std::to_string(set.epoch);
+    return "the epoch of the voter set decreases from " + std::to_string(set_.epoch) + " to " +
+           std::to_string(set.epoch);
   });
   common::check(common::Invariant::vote_is_complete, !voting || complete >= set.epoch, [&] {
-    return "incarnation " + std::to_string(founding_.incarnation) + " takes a vote in epoch " +
-           std::to_string(set.epoch) + " without what was chosen before";
+    return "incarnation " + std::to_string(bootstrap_record_.incarnation) + " gets a vote in epoch " +
+           std::to_string(set.epoch) + " without the values chosen before";
   });
   if (voting && !voting_) {
     granter_ = lease::LeaseGranter(now, guards_.lease_silence);
   }
   set_ = set;
   voting_ = voting;
-  complete_ = voting ? set.epoch : complete;
-  outcome.records.emplace_back(schema::SetRecord{set_, voting_, complete_, whole_});
+  complete_epoch_ = voting ? set.epoch : complete;
+  outcome.records.emplace_back(schema::SetRecord{set_, voting_, complete_epoch_, whole_epoch_});
 }
 
 Outcome Acceptor::on(schema::Adopt const& message, common::Moment now) {
   Outcome outcome;
-  // A founder that took the first set from here would do so without a vote,
-  // and all its colleagues might: it founds, or is told so by one that did (5.4).
-  bool const to_be_founded = guards_.first_set_only_founded && blank() && message.set.epoch == 1;
-  if (message.set.epoch > set_.epoch && !to_be_founded) {
-    bool const named = names(message.set.holders, founding_.incarnation);
-    bool const voting = named && (complete_under(message.set) || !guards_.image_before_vote);
-    take_set(message.set, voting, completed_by(message.set), now, outcome);
+  // A bootstrap member that installed the first set from this message would have no vote, and that might happen to all
+  // of them. It completes the bootstrap itself, or learns from a member that did (section 5.4).
+  bool const awaits_bootstrap = guards_.first_set_only_founded && blank() && message.set.epoch == 1;
+  if (message.set.epoch > set_.epoch && !awaits_bootstrap) {
+    bool const is_member = contains_voter(message.set.holders, bootstrap_record_.incarnation);
+    bool const voting = is_member && (has_data_before(message.set) || !guards_.image_before_vote);
+    install_set(message.set, voting, complete_epoch_under(message.set), now, outcome);
   }
-  outcome.reply = schema::Adopted{set_.epoch, founding_.incarnation, voting_};
+  outcome.reply = schema::Adopted{set_.epoch, bootstrap_record_.incarnation, voting_};
   return outcome;
 }
 
@@ -314,80 +319,81 @@
 }
 
 schema::FoundingAsk Acceptor::bootstrap_request() const {
-  return schema::FoundingAsk{founding_.incarnation, address_};
+  return schema::FoundingAsk{bootstrap_record_.incarnation, address_};
 }
 
 Outcome Acceptor::on(schema::FoundingAsk const& message) const {
   (void)message;
-  return Outcome{
-      {}, schema::Message(schema::FoundingAnswer{founding_.incarnation, address_, blank(), founding_.pledge, set_})};
+  return Outcome{{},
+                 schema::Message(schema::FoundingAnswer{bootstrap_record_.incarnation, address_, blank(),
+                                                        bootstrap_record_.pledge, set_})};
 }
 
-std::vector<Voter> Acceptor::full_pledge(std::vector<schema::FoundingAnswer> const& answers) const {
-  std::vector<Voter> pledge{Voter{founding_.incarnation, address_}};
+std::vector<Voter> Acceptor::bootstrap_vote(std::vector<schema::FoundingAnswer> const& answers) const {
+  std::vector<Voter> vote{Voter{bootstrap_record_.incarnation, address_}};
   for (schema::FoundingAnswer const& answer : answers) {
     if (!answer.blank || std::find(founders_.begin(), founders_.end(), answer.address) == founders_.end()) {
       return {};
     }
-    for (Voter const& other : pledge) {
+    for (Voter const& other : vote) {
       if (other.address == answer.address || other.incarnation == answer.incarnation) {
         return {};
       }
     }
-    if (names(founding_.dropped, answer.incarnation)) {
+    if (contains_voter(bootstrap_record_.dropped, answer.incarnation)) {
       return {};
     }
-    pledge.push_back(Voter{answer.incarnation, answer.address});
+    vote.push_back(Voter{answer.incarnation, answer.address});
   }
-  if (pledge.size() != founders_.size()) {
+  if (vote.size() != founders_.size()) {
     return {};
   }
-  std::sort(pledge.begin(), pledge.end(),
+  std::sort(vote.begin(), vote.end(),
             [](Voter const& left, Voter const& right) { return left.address < right.address; });
-  return pledge;
+  return vote;
 }
 
-Outcome Acceptor::founding(std::vector<schema::FoundingAnswer> const& answers, common::Moment now) {
+Outcome Acceptor::bootstrap(std::vector<schema::FoundingAnswer> const& answers, common::Moment now) {
   Outcome outcome;
   if (!needs_bootstrap()) {
     return outcome;
   }
-  // Section 5.4: a founded colleague's set is taken over, whatever was pledged.
+  // The set of a member that completed the bootstrap is installed, whatever this one voted for (section 5.4).
   for (schema::FoundingAnswer const& answer : answers) {
-    if (!answer.blank && answer.set.epoch == 1 && names(answer.set.holders, founding_.incarnation)) {
-      take_set(answer.set, true, 1, now, outcome);
+    if (!answer.blank && answer.set.epoch == 1 && contains_voter(answer.set.holders, bootstrap_record_.incarnation)) {
+      install_set(answer.set, true, 1, now, outcome);
       return outcome;
     }
   }
-  std::vector<Voter> const pledge = full_pledge(answers);
-  if (pledge.empty()) {
+  std::vector<Voter> const vote = bootstrap_vote(answers);
+  if (vote.empty()) {
     return outcome;
   }
-  if (founding_.pledge != pledge) {
-    // Incarnations that went are never pledged again: a late word of a lost
-    // disk must not bring an old pledge back.
-    for (Voter const& old : founding_.pledge) {
-      if (!names(pledge, old.incarnation)) {
-        founding_.dropped.push_back(old);
+  if (bootstrap_record_.pledge != vote) {
+    // An incarnation that disappeared is never voted for again: a delayed answer from before a disk was lost must not
+    // bring an old bootstrap vote back.
+    for (Voter const& old : bootstrap_record_.pledge) {
+      if (!contains_voter(vote, old.incarnation)) {
+        bootstrap_record_.dropped.push_back(old);
       }
     }
-    founding_.pledge = pledge;
-    outcome.records.emplace_back(founding_);
+    bootstrap_record_.pledge = vote;
+    outcome.records.emplace_back(bootstrap_record_);
     return outcome;
   }
   for (schema::FoundingAnswer const& answer : answers) {
-    if (answer.pledge != pledge) {
+    if (answer.pledge != vote) {
       return outcome;
     }
   }
-  take_set(VoterSet{1, pledge, pledge, {}, {}}, true, 1, now, outcome);
+  install_set(VoterSet{1, vote, vote, {}, {}}, true, 1, now, outcome);
   return outcome;
 }
 
 Outcome Acceptor::on(schema::LeaseAsk const& message, common::Moment now) {
-  schema::LeaseAnswer answer{false, founding_.incarnation, message.round, set_};
+  schema::LeaseAnswer answer{false, bootstrap_record_.incarnation, message.round, set_};
   if (may_vote(message.epoch)) {
-    answer.granted = granter_.ask(message, now);
+    answer.granted = granter_.request(message, now);
   }
   return Outcome{{}, schema::Message(answer)};
 }
--- a/source/consensus/acceptor/synced_ballots.cpp
+++ b/source/consensus/acceptor/synced_ballots.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 void check_ballot(Invariant invariant, std::string const& name, Ballot const& synced, Ballot const& recovered) {
-  common::check(invariant, !before(recovered, synced),
-                [&] { return name + " was synced at " + text_of(synced) + " and read back at " + text_of(recovered); });
+  common::check(invariant, !before(recovered, synced), [&] {
+    return name + " was synced at ballot " + text_of(synced) + " but recovered at " + text_of(recovered);
+  });
 }
 }  // namespace
 
@@ -28,7 +29,7 @@
   ballots.accepted = std::max(ballots.accepted, accepted, before);
 }
 
-void SyncedBallots::take(std::uint64_t incarnation, std::vector<schema::Record> const& records) {
+void SyncedBallots::record_synced(std::uint64_t incarnation, std::vector<schema::Record> const& records) {
   restart(incarnation);
   for (schema::Record const& record : records) {
     if (schema::SetRecord const* const set = std::get_if<schema::SetRecord>(&record)) {
@@ -44,8 +45,8 @@
 void SyncedBallots::check_recovered(Acceptor const& recovered) {
   restart(recovered.incarnation());
   common::check(Invariant::voter_epoch_rises, recovered.set().epoch >= epoch_, [&] {
-    return "epoch " + std::to_string(epoch_) + " was synced and " + std::to_string(recovered.set().epoch) +
-           " read back";
+    return "epoch " + std::to_string(epoch_) + " was synced but " + std::to_string(recovered.set().epoch) +
+           " recovered";
   });
   for (std::pair<std::string const, Ballots> const& entry : ballots_) {
     std::map<std::string, schema::Cell>::const_iterator const found = recovered.cells().find(entry.first);
--- a/source/consensus/acceptor/synced_ballots.hpp
+++ b/source/consensus/acceptor/synced_ballots.hpp
@@ -9,14 +9,13 @@
 
 namespace finchlink::consensus {
 
-/// The newest ballots and epoch of one incarnation that were synced, kept in
-/// memory beside its disk. What a disk gives back when it is opened anew must
-/// not be older: the voter has told of it. Plain state.
+/// Tracks in memory the newest ballots and the newest epoch that one incarnation synced to its disk. The state that is
+/// recovered when the disk is opened again must not be older, since other nodes already know of it.
 class SyncedBallots {
  public:
-  /// These records of the incarnation are synced.
-  void take(std::uint64_t incarnation, std::vector<schema::Record> const& records);
-  /// Checks a voter that was read back. Another incarnation starts anew.
+  /// Notes that these records of the incarnation are synced.
+  void record_synced(std::uint64_t incarnation, std::vector<schema::Record> const& records);
+  /// Checks the invariants on a recovered acceptor. Another incarnation starts from nothing.
   void check_recovered(Acceptor const& recovered);
 
  private:
@@ -29,7 +28,7 @@
 
   std::uint64_t incarnation_ = 0;
   std::uint64_t epoch_ = 0;
-  std::map<std::string, Ballots> ballots_;
+  std::map<std::string, Ballots> ballots_;  ///< by register name
 };
 
 }  // namespace finchlink::consensus
--- a/source/consensus/acceptor/synced_changes.hpp
+++ b/source/consensus/acceptor/synced_changes.hpp
@@ -8,24 +8,24 @@
 
 namespace finchlink::consensus {
 
-/// Counts a voter's changes of state and how many of them are synced, to check
-/// that no reply tells of one that is not (section 5.3). Changes are counted
-/// under the voter's lock; a reply is checked on any thread.
+/// Counts the state changes of an acceptor and how many of them are synced, to check that no reply reveals a change
+/// that is not (section 5.3). Changes are counted under the acceptor's lock; a reply may be checked on any thread.
 class SyncedChanges {
  public:
-  /// A step was taken; gives the newest change that its reply tells of.
-  [[nodiscard]] std::uint64_t step(bool changed) {
+  /// Counts a step of the acceptor; returns the number of the newest change that its reply may reveal.
+  [[nodiscard]] std::uint64_t count_step(bool changed) {
     made_ += changed ? 1 : 0;
     return made_;
   }
-  /// All changes up to this one are synced.
-  void synced(std::uint64_t change) { synced_ = change; }
-  /// The state was read back from the disk: what was not synced is no part of it.
-  void recovered() { synced_ = made_; }
-  /// A reply that tells of changes up to this one is about to leave.
+  /// Marks all changes up to this one as synced.
+  void mark_synced(std::uint64_t change) { synced_ = change; }
+  /// The state was recovered from the disk: it holds no change that was not synced.
+  void mark_recovered() { synced_ = made_; }
+  /// Checks a reply that may reveal changes up to this one, just before it is sent.
   void check_reply(std::uint64_t change) const {
     common::check(common::Invariant::reply_is_synced, synced_ >= change, [&] {
-      return "a reply tells of change " + std::to_string(change) + ", synced are " + std::to_string(synced_);
+      return "a reply reveals change " + std::to_string(change) + ", but the newest synced change is " +
+             std::to_string(synced_);
     });
   }
 
--- a/source/consensus/voter_history/voter_history.cpp
+++ b/source/consensus/voter_history/voter_history.cpp
@@ -7,28 +7,29 @@
 
 namespace {
 
-/// The images of an epoch are asked for when all sets but the last are over.
-bool over(schema::PastVoterSet const& set, std::vector<schema::PastVoterSet> const& sets) {
+/// Whether a newer set replaced this one. Snapshots are requested under the last set, so all others are over.
+bool is_superseded(schema::PastVoterSet const& set, std::vector<schema::PastVoterSet> const& sets) {
   return set.epoch < sets.back().epoch;
 }
 
-bool gives_for(schema::Image const& image, schema::PastVoterSet const& set) {
-  return image.complete >= set.epoch && names(set.holders, image.incarnation);
+/// Whether the sender of the snapshot was a voter of the set and has what its vote stood for in that epoch.
+bool is_source_for(schema::Image const& snapshot, schema::PastVoterSet const& set) {
+  return snapshot.complete >= set.epoch && contains_voter(set.holders, snapshot.incarnation);
 }
 
-std::size_t count_givers(std::vector<schema::Image> const& images, schema::PastVoterSet const& set) {
-  std::set<std::uint64_t> givers;
-  for (schema::Image const& image : images) {
-    if (gives_for(image, set)) {
-      givers.insert(image.incarnation);
+std::size_t count_sources(std::vector<schema::Image> const& snapshots, schema::PastVoterSet const& set) {
+  std::set<std::uint64_t> sources;
+  for (schema::Image const& snapshot : snapshots) {
+    if (is_source_for(snapshot, set)) {
+      sources.insert(snapshot.incarnation);
     }
   }
-  return givers.size();
+  return sources.size();
 }
 
 }  // namespace
 
-std::vector<schema::PastVoterSet> known_sets(VoterSet const& set, bool earlier) {
+std::vector<schema::PastVoterSet> known_voter_sets(VoterSet const& set, bool earlier) {
   std::vector<schema::PastVoterSet> sets;
   if (earlier) {
     sets = set.earlier;
@@ -43,7 +44,7 @@
 std::optional<EpochSpan> newest_span(std::vector<schema::PastVoterSet> const& sets, std::uint64_t incarnation) {
   std::optional<EpochSpan> span;
   for (std::vector<schema::PastVoterSet>::const_reverse_iterator set = sets.rbegin(); set != sets.rend(); ++set) {
-    if (names(set->holders, incarnation)) {
+    if (contains_voter(set->holders, incarnation)) {
       span = span.has_value() ? EpochSpan{set->epoch, span->last} : EpochSpan{set->epoch, set->epoch};
     } else if (span.has_value()) {
       break;
@@ -52,23 +53,24 @@
   return span;
 }
 
-bool image_counts(schema::Image const& image, std::vector<schema::PastVoterSet> const& sets, EpochSpan const& span) {
-  if (image.whole + 1 >= span.first && image.whole > 0) {
+bool snapshot_counts(schema::Image const& snapshot, std::vector<schema::PastVoterSet> const& sets,
+                     EpochSpan const& span) {
+  if (snapshot.whole + 1 >= span.first && snapshot.whole > 0) {
     return true;
   }
   return std::any_of(sets.begin(), sets.end(), [&](schema::PastVoterSet const& set) {
-    return set.epoch + 1 >= span.first && over(set, sets) && gives_for(image, set);
+    return set.epoch + 1 >= span.first && is_superseded(set, sets) && is_source_for(snapshot, set);
   });
 }
 
-std::optional<std::uint64_t> whole_through(std::vector<schema::Image> const& images,
-                                           std::vector<schema::PastVoterSet> const& sets, EpochSpan const& span) {
+std::optional<std::uint64_t> chosen_data_through(std::vector<schema::Image> const& snapshots,
+                                                 std::vector<schema::PastVoterSet> const& sets, EpochSpan const& span) {
   std::uint64_t whole = 0;
-  for (schema::Image const& image : images) {
-    whole = std::max(whole, image.whole);
+  for (schema::Image const& snapshot : snapshots) {
+    whole = std::max(whole, snapshot.whole);
   }
   for (schema::PastVoterSet const& set : sets) {
-    if (over(set, sets) && count_givers(images, set) >= read_quorum(set.holders.size())) {
+    if (is_superseded(set, sets) && count_sources(snapshots, set) >= read_quorum(set.holders.size())) {
       whole = std::max(whole, set.epoch);
     }
   }
--- a/source/lease/lease_holder.cpp
+++ b/source/lease/lease_holder.cpp
@@ -15,20 +15,20 @@
     held_ = false;
     actions.emplace_back(Lost{});
   }
-  if (released_ || set.epoch == 0 || (asked_ != 0 && now < asked_ + constants::lease_renew)) {
+  if (released_ || set.epoch == 0 || (requested_ != 0 && now < requested_ + constants::lease_renew)) {
     return actions;
   }
-  // An ask that got no majority is first given back, so that two tenants that
-  // split the holders don't block each other for a whole span.
+  // A request that got no majority is released first. Otherwise two processes that each got grants from some of the
+  // acceptors would block each other for a whole lease span.
   releasing_ = !releasing_ && !held_ && round_ > 0 && !granted_.empty() &&
                granted_.size() < consensus::majority(set_.holders.size());
   set_ = set;
-  asked_ = now;
+  requested_ = now;
   ++round_;
   granted_.clear();
-  for (schema::Voter const& holder : set_.holders) {
-    actions.emplace_back(
-        SendAsk{holder, schema::LeaseAsk{set_.epoch, name_, identity_, constants::lease_span, releasing_, round_}});
+  for (schema::Voter const& voter : set_.holders) {
+    actions.emplace_back(SendLeaseRequest{
+        voter, schema::LeaseAsk{set_.epoch, name_, identity_, constants::lease_span, releasing_, round_}});
   }
   return actions;
 }
@@ -41,12 +41,12 @@
   held_ = false;
   until_ = 0;
   released_ = true;
-  releasing_ = true;  // answers to what was asked before count for nothing
+  releasing_ = true;  // answers to earlier requests no longer count
   ++round_;
   granted_.clear();
   for (schema::Voter const& voter : set_.holders) {
-    actions.emplace_back(
-        SendAsk{voter, schema::LeaseAsk{set_.epoch, name_, identity_, constants::lease_span, releasing_, round_}});
+    actions.emplace_back(SendLeaseRequest{
+        voter, schema::LeaseAsk{set_.epoch, name_, identity_, constants::lease_span, releasing_, round_}});
   }
   return actions;
 }
@@ -61,8 +61,9 @@
   if (granted_.size() < consensus::majority(set_.holders.size())) {
     return actions;
   }
-  common::Moment const until = guards_.tenant_stops_early ? asked_ + constants::lease_span - constants::lease_reserve
-                                                          : now + constants::lease_span;
+  common::Moment const until = guards_.tenant_stops_early
+                                   ? requested_ + constants::lease_span - constants::lease_reserve
+                                   : now + constants::lease_span;
   if (until > until_ && now < until) {
     until_ = until;
     if (!held_) {
--- a/source/tests/consensus/acceptor_test.cpp
+++ b/source/tests/consensus/acceptor_test.cpp
@@ -11,51 +11,52 @@
 
 using namespace consensus;
 
-/// Holders that a test speaks to directly, with no network between.
+/// Acceptors that a test calls directly, without a network.
 struct Group {
-  std::vector<Acceptor> holders;
+  std::vector<Acceptor> acceptors;
   explicit Group(std::size_t count, Guards guards = {}) {
     std::vector<std::string> const founders{"a", "b", "c"};
     for (std::size_t index = 0; index < count; ++index) {
       std::string const address(1, static_cast<char>('a' + index));
-      holders.emplace_back(100 + index, address, founders, 0, guards);
+      acceptors.emplace_back(100 + index, address, founders, 0, guards);
     }
   }
-  schema::FoundingAnswer word(std::size_t index) {
-    return std::get<schema::FoundingAnswer>(*holders[index].receive(schema::FoundingAsk{}, 0).reply);
+  schema::FoundingAnswer bootstrap_answer(std::size_t index) {
+    return std::get<schema::FoundingAnswer>(*acceptors[index].receive(schema::FoundingAsk{}, 0).reply);
   }
-  void found() {
+  void bootstrap() {
     for (int round = 0; round < 3; ++round) {
       for (std::size_t index = 0; index < 3; ++index) {
         std::vector<schema::FoundingAnswer> answers;
         for (std::size_t other = 0; other < 3; ++other) {
           if (other != index) {
-            answers.push_back(word(other));
+            answers.push_back(bootstrap_answer(other));
           }
         }
-        (void)holders[index].bootstrap(answers, 0);
+        (void)acceptors[index].bootstrap(answers, 0);
       }
     }
   }
-  /// Runs a change against the named holders only; the revision, 0 for none.
+  /// Runs a change against the acceptors `reach` only; returns the chosen revision, 0 if none was chosen. Without
+  /// `accept` only the first phase reaches them.
   std::uint64_t change(std::string const& content, std::vector<std::size_t> const& reach, bool accept = true,
                        std::uint64_t round = 0) {
     Proposer core("setup", 7 + round, [&content](schema::Value const& found) -> Proposal {
       return schema::Value{found.revision + 1, content, {}};
     });
     core.start_above(Ballot{1, round, 0});
-    std::vector<ProposerAction> actions = core.begin(holders[reach.front()].set());
+    std::vector<ProposerAction> actions = core.begin(acceptors[reach.front()].set());
     for (std::size_t place = 0; place < actions.size(); ++place) {
-      ProposerAction const action = actions[place];  // a copy: more are added below
+      ProposerAction const action = actions[place];  // a copy, since more actions are appended below
       Send const* const send = std::get_if<Send>(&action);
       if (Chosen const* const chosen = std::get_if<Chosen>(&action)) {
         return chosen->value.revision;
       }
       for (std::size_t const index : reach) {
-        if (send != nullptr && holders[index].incarnation() == send->to.incarnation &&
+        if (send != nullptr && acceptors[index].incarnation() == send->to.incarnation &&
             (accept || std::holds_alternative<schema::Prepare>(send->message))) {
           std::vector<ProposerAction> const more =
-              core.receive(holders[index].incarnation(), *holders[index].receive(send->message, 0).reply);
+              core.receive(acceptors[index].incarnation(), *acceptors[index].receive(send->message, 0).reply);
           actions.insert(actions.end(), more.begin(), more.end());
         }
       }
@@ -64,17 +65,17 @@
   }
 };
 
-TEST(Founding, AFounderThatIsToldOfTheSetFirstVotesInIt) {
-  // A trellis without a place looked at the holders before this founder had all answers.
+TEST(Bootstrap, FounderThatReceivesTheSetBeforeAllAnswersVotesInIt) {
+  // A controller that is no voter read from the acceptors before this founder had all answers, and sent it the set.
   std::vector<std::string> const founders{"a", "b", "c"};
   consensus::Acceptor founder(11, "a", founders, 0);
   schema::VoterSet const set{1, {{11, "a"}, {12, "b"}, {13, "c"}}, {}};
   (void)founder.receive(schema::Adopt{set}, 0);
-  // It takes the set from a founder that has it, with its vote, and from nobody else.
+  // It installs the set, with a vote, only on the bootstrap answer of a founder that has it.
   EXPECT_TRUE(founder.needs_bootstrap());
   (void)founder.bootstrap({schema::FoundingAnswer{12, "b", false, {}, set}}, 0);
   EXPECT_TRUE(founder.voting());
-  // One that the set does not name, and a newcomer of a later epoch, have no vote by a mere word.
+  // Receiving the set gives no vote to an acceptor that is not in it, nor to a joining member of a later epoch.
   consensus::Acceptor other(99, "a", founders, 0);
   (void)other.receive(schema::Adopt{set}, 0);
   EXPECT_FALSE(other.voting());
@@ -83,164 +84,164 @@
   EXPECT_FALSE(late.voting());
 }
 
-TEST(Acceptor, FoundsOnlyWhenAllThreeAreBlankAndAgree) {
+TEST(Acceptor, BootstrapsOnlyWhenAllThreeAreBlankAndAgree) {
   Group group(3);
-  (void)group.holders[0].bootstrap({group.word(1)}, 0);  // one founder does not answer
-  EXPECT_EQ(group.holders[0].set().epoch, 0u);
-  group.found();
-  for (Acceptor const& holder : group.holders) {
-    EXPECT_EQ(holder.set().epoch, 1u);
-    EXPECT_TRUE(holder.voting());
+  (void)group.acceptors[0].bootstrap({group.bootstrap_answer(1)}, 0);  // one founder does not answer
+  EXPECT_EQ(group.acceptors[0].set().epoch, 0u);
+  group.bootstrap();
+  for (Acceptor const& acceptor : group.acceptors) {
+    EXPECT_EQ(acceptor.set().epoch, 1u);
+    EXPECT_TRUE(acceptor.voting());
   }
-  // One comes back blank: the others are founded, so it is not again.
+  // One comes back blank: the others have completed the bootstrap, so there is no second one.
   Acceptor blank(900, "b", {"a", "b", "c"}, 0);
-  (void)blank.bootstrap({group.word(0), group.word(2)}, 0);
+  (void)blank.bootstrap({group.bootstrap_answer(0), group.bootstrap_answer(2)}, 0);
   EXPECT_EQ(blank.set().epoch, 0u);
   EXPECT_FALSE(blank.voting());
 }
 
-TEST(Acceptor, APledgeIsKeptByOneThatIsRestartedWithoutTheOrderToFound) {
+TEST(Acceptor, BootstrapVoteIsKeptAfterARestartWithoutBootstrapMembers) {
   Group group(3);
   for (std::size_t index = 0; index < 3; ++index) {
-    (void)group.holders[index].bootstrap({group.word((index + 1) % 3), group.word((index + 2) % 3)}, 0);
+    (void)group.acceptors[index].bootstrap(
+        {group.bootstrap_answer((index + 1) % 3), group.bootstrap_answer((index + 2) % 3)}, 0);
   }
-  group.holders[1] = Acceptor(group.holders[1].snapshot_records(), "b", {}, 0);
-  EXPECT_TRUE(group.holders[1].needs_bootstrap());
-  group.found();
-  for (Acceptor const& holder : group.holders) {
-    EXPECT_TRUE(holder.voting());
+  group.acceptors[1] = Acceptor(group.acceptors[1].snapshot_records(), "b", {}, 0);
+  EXPECT_TRUE(group.acceptors[1].needs_bootstrap());
+  group.bootstrap();
+  for (Acceptor const& acceptor : group.acceptors) {
+    EXPECT_TRUE(acceptor.voting());
   }
-  // One that pledged nothing has nothing to stand by.
+  // An acceptor that gave no bootstrap vote is bound by none.
   Group other(3);
-  EXPECT_FALSE(Acceptor(other.holders[1].snapshot_records(), "b", {}, 0).needs_bootstrap());
+  EXPECT_FALSE(Acceptor(other.acceptors[1].snapshot_records(), "b", {}, 0).needs_bootstrap());
 }
 
-TEST(Acceptor, NeverPledgesALostIncarnationAgain) {
+TEST(Acceptor, NeverVotesForALostIncarnationAgain) {
   Group group(3);
-  schema::FoundingAnswer const old_word = group.word(1);
-  (void)group.holders[0].bootstrap({old_word, group.word(2)}, 0);
-  schema::FoundingAnswer new_word = old_word;
-  new_word.incarnation = 555;  // b lost its disk
-  EXPECT_FALSE(group.holders[0].bootstrap({new_word, group.word(2)}, 0).records.empty());
-  EXPECT_TRUE(group.holders[0].bootstrap({old_word, group.word(2)}, 0).records.empty());
+  schema::FoundingAnswer const old_answer = group.bootstrap_answer(1);
+  (void)group.acceptors[0].bootstrap({old_answer, group.bootstrap_answer(2)}, 0);
+  schema::FoundingAnswer new_answer = old_answer;
+  new_answer.incarnation = 555;  // b lost its disk
+  EXPECT_FALSE(group.acceptors[0].bootstrap({new_answer, group.bootstrap_answer(2)}, 0).records.empty());
+  EXPECT_TRUE(group.acceptors[0].bootstrap({old_answer, group.bootstrap_answer(2)}, 0).records.empty());
 }
 
-TEST(Acceptor, BlankOneHasNoVoteUntilEnrolledWithAnImage) {
+TEST(Acceptor, BlankAcceptorHasNoVoteUntilItJoinsWithSnapshots) {
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.image_before_vote = guard;
     ExpectedViolations const expected({common::Invariant::vote_is_complete}, !guard);
     Group group(3, guards);
-    group.found();
+    group.bootstrap();
     ASSERT_EQ(group.change("first", {0, 1, 2}), 1u);
-    ASSERT_EQ(group.change("second", {1, 2}, true, 5), 2u);  // a never hears of it
-    // c is lost; d takes its place by a chosen change, known to a and b.
-    group.holders.emplace_back(777, "d", std::vector<std::string>{"a", "b", "c"}, 0, guards);
-    schema::VoterSet next = group.holders[0].set();
+    ASSERT_EQ(group.change("second", {1, 2}, true, 5), 2u);  // never reaches a
+    // c is lost; d replaces it by a chosen change that a and b know.
+    group.acceptors.emplace_back(777, "d", std::vector<std::string>{"a", "b", "c"}, 0, guards);
+    schema::VoterSet next = group.acceptors[0].set();
     next.previous = next.holders;
     next.epoch = 2;
     next.holders[2] = schema::Voter{777, "d"};
     EXPECT_EQ(group.change("too early", {3}), 0u);
     for (std::size_t const index : {std::size_t{0}, std::size_t{1}, std::size_t{3}}) {
-      (void)group.holders[index].receive(schema::Adopt{next}, 0);
+      (void)group.acceptors[index].receive(schema::Adopt{next}, 0);
     }
-    // Now a and d alone would be a majority of the new set: without an image
-    // they would choose over what b and c had chosen.
+    // Now a and d alone are a majority of the new set: without a snapshot they would overwrite what b and c chose.
     std::uint64_t const revision = group.change("third", {0, 3}, true, 9);
     if (guard) {
       EXPECT_EQ(revision, 0u);
-      EXPECT_TRUE(group.holders[3].needs_snapshot());
-      std::vector<schema::Image> images{
-          std::get<schema::Image>(*group.holders[0].receive(group.holders[3].snapshot_request(), 0).reply)};
-      EXPECT_TRUE(group.holders[3].join(images, 0).records.empty());  // one is no majority of the old set
-      images.push_back(
-          std::get<schema::Image>(*group.holders[1].receive(group.holders[3].snapshot_request(), 0).reply));
-      EXPECT_FALSE(group.holders[3].join(images, 0).records.empty());
+      EXPECT_TRUE(group.acceptors[3].needs_snapshot());
+      std::vector<schema::Image> snapshots{
+          std::get<schema::Image>(*group.acceptors[0].receive(group.acceptors[3].snapshot_request(), 0).reply)};
+      EXPECT_TRUE(group.acceptors[3].join(snapshots, 0).records.empty());  // one source is no majority of the old set
+      snapshots.push_back(
+          std::get<schema::Image>(*group.acceptors[1].receive(group.acceptors[3].snapshot_request(), 0).reply));
+      EXPECT_FALSE(group.acceptors[3].join(snapshots, 0).records.empty());
       EXPECT_EQ(group.change("third", {0, 3}, true, 20), 3u);
     } else {
-      EXPECT_EQ(revision, 2u) << "the guard off loses the second change";
+      EXPECT_EQ(revision, 2u) << "without the rule the second change is lost";
     }
   }
 }
 
-/// The set of the group with other voters and another set before it.
+/// A voter set without earlier sets and without members that catch up.
 schema::VoterSet set_of(std::uint64_t epoch, std::vector<schema::Voter> const& voters,
                         std::vector<schema::Voter> const& previous) {
   return schema::VoterSet{epoch, voters, previous, {}, {}};
 }
 
-/// An image that has all of the epoch before.
-bool gives_image(Acceptor& acceptor) {
+/// Whether it answers a request with a snapshot that has all data of the epoch before.
+bool gives_snapshot(Acceptor& acceptor) {
   schema::Message const answer = *acceptor.receive(schema::ImageAsk{acceptor.set().epoch}, 0).reply;
-  schema::Image const* const image = std::get_if<schema::Image>(&answer);
-  return image != nullptr && image->complete + 1 >= acceptor.set().epoch;
+  schema::Image const* const snapshot = std::get_if<schema::Image>(&answer);
+  return snapshot != nullptr && snapshot->complete + 1 >= acceptor.set().epoch;
 }
 
-TEST(Acceptor, OneThatMissedEpochsWhichNamedItVotesOn) {
+TEST(Acceptor, VoterThatMissedEpochsItWasAVoterOfKeepsItsVote) {
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.vote_kept_over_missed = guard;
     Group group(3, guards);
-    group.found();
-    std::vector<schema::Voter> const founders = group.holders[0].set().holders;
+    group.bootstrap();
+    std::vector<schema::Voter> const founders = group.acceptors[0].set().holders;
     std::vector<schema::Voter> others = founders;
     others[2] = schema::Voter{777, "d"};
-    (void)group.holders[0].receive(schema::Adopt{set_of(4, founders, others)}, 0);
-    EXPECT_EQ(group.holders[0].voting(), guard);
-    EXPECT_EQ(gives_image(group.holders[0]), guard);
-    EXPECT_EQ(group.holders[0].needs_snapshot(), !guard);
+    (void)group.acceptors[0].receive(schema::Adopt{set_of(4, founders, others)}, 0);
+    EXPECT_EQ(group.acceptors[0].voting(), guard);
+    EXPECT_EQ(gives_snapshot(group.acceptors[0]), guard);
+    EXPECT_EQ(group.acceptors[0].needs_snapshot(), !guard);
   }
 }
 
-TEST(Acceptor, OneThatWasLeftOutTakesAnImageFirst) {
+TEST(Acceptor, RemovedVoterNeedsASnapshotFirst) {
   Group group(3);
-  group.found();
-  std::vector<schema::Voter> const founders = group.holders[0].set().holders;
+  group.bootstrap();
+  std::vector<schema::Voter> const founders = group.acceptors[0].set().holders;
   std::vector<schema::Voter> others = founders;
   others[0] = schema::Voter{777, "d"};
-  // The set before does not name it.
-  (void)group.holders[0].receive(schema::Adopt{set_of(3, founders, others)}, 0);
-  EXPECT_FALSE(group.holders[0].voting());
-  EXPECT_TRUE(group.holders[0].needs_snapshot());
-  EXPECT_FALSE(gives_image(group.holders[0]));
-  // Nor has it a vote when it missed the set that named it again.
+  // It is not in the set before.
+  (void)group.acceptors[0].receive(schema::Adopt{set_of(3, founders, others)}, 0);
+  EXPECT_FALSE(group.acceptors[0].voting());
+  EXPECT_TRUE(group.acceptors[0].needs_snapshot());
+  EXPECT_FALSE(gives_snapshot(group.acceptors[0]));
+  // Nor has it a vote if it missed the set that added it again.
   Group second(3);
-  second.found();
-  std::vector<schema::Voter> const voters = second.holders[0].set().holders;
-  (void)second.holders[0].receive(schema::Adopt{set_of(2, others, voters)}, 0);
-  EXPECT_FALSE(second.holders[0].voting());
-  EXPECT_TRUE(gives_image(second.holders[0])) << "it voted in the epoch before, to its end";
-  (void)second.holders[0].receive(schema::Adopt{set_of(4, voters, voters)}, 0);
-  EXPECT_FALSE(second.holders[0].voting());
-  EXPECT_TRUE(second.holders[0].needs_snapshot());
-  EXPECT_FALSE(gives_image(second.holders[0]));
+  second.bootstrap();
+  std::vector<schema::Voter> const voters = second.acceptors[0].set().holders;
+  (void)second.acceptors[0].receive(schema::Adopt{set_of(2, others, voters)}, 0);
+  EXPECT_FALSE(second.acceptors[0].voting());
+  EXPECT_TRUE(gives_snapshot(second.acceptors[0])) << "it voted in the epoch before, to its end";
+  (void)second.acceptors[0].receive(schema::Adopt{set_of(4, voters, voters)}, 0);
+  EXPECT_FALSE(second.acceptors[0].voting());
+  EXPECT_TRUE(second.acceptors[0].needs_snapshot());
+  EXPECT_FALSE(gives_snapshot(second.acceptors[0]));
 }
 
-TEST(Acceptor, ABlankOneTakesTheFirstSetByFoundingAlone) {
+TEST(Acceptor, BlankAcceptorGetsTheFirstSetOnlyByBootstrap) {
   Group group(3);
   std::vector<schema::Voter> const founders{{100, "a"}, {101, "b"}, {102, "c"}};
-  (void)group.holders[1].receive(schema::Adopt{set_of(1, founders, founders)}, 0);
-  EXPECT_EQ(group.holders[1].set().epoch, 0u);
-  EXPECT_TRUE(group.holders[1].needs_bootstrap());
-  group.found();
-  EXPECT_TRUE(group.holders[1].voting());
+  (void)group.acceptors[1].receive(schema::Adopt{set_of(1, founders, founders)}, 0);
+  EXPECT_EQ(group.acceptors[1].set().epoch, 0u);
+  EXPECT_TRUE(group.acceptors[1].needs_bootstrap());
+  group.bootstrap();
+  EXPECT_TRUE(group.acceptors[1].voting());
 }
 
-TEST(Acceptor, StateComesBackFromItsRecords) {
+TEST(Acceptor, StateIsRestoredFromItsRecords) {
   Group group(3);
-  group.found();
+  group.bootstrap();
   ASSERT_EQ(group.change("first", {0, 1, 2}), 1u);
-  Acceptor const again(group.holders[0].snapshot_records(), "a", {"a", "b", "c"}, 0);
-  EXPECT_EQ(again.snapshot_records(), group.holders[0].snapshot_records());
+  Acceptor const again(group.acceptors[0].snapshot_records(), "a", {"a", "b", "c"}, 0);
+  EXPECT_EQ(again.snapshot_records(), group.acceptors[0].snapshot_records());
   EXPECT_TRUE(again.voting());
 }
 
-TEST(Proposer, NoIsSaidOnlyWhenWhatWasFoundIsChosen) {
-  // An earlier try of ours stands at one holder. A later ballot of the same
-  // change that finds another revision must bury it before it says no.
+TEST(Proposer, RejectsOnlyAfterTheValueThatItFoundIsChosen) {
+  // A first ballot of our change was accepted by one acceptor only. A later ballot of the same change that finds
+  // another revision must settle that one before it rejects ours; else ours could still be chosen after the rejection.
   for (bool const guard : {true, false}) {
     Group group(3);
-    group.found();
+    group.bootstrap();
     ASSERT_EQ(group.change("base", {0, 1, 2}), 1u);
     Guards guards;
     guards.settle_before_reject = guard;
@@ -252,26 +253,25 @@
         },
         guards);
     core.start_above(Ballot{1, 10, 0});
-    std::vector<ProposerAction> sends = core.begin(group.holders[0].set());
+    std::vector<ProposerAction> sends = core.begin(group.acceptors[0].set());
     std::vector<ProposerAction> accepts;
     for (std::size_t index = 0; index < 2; ++index) {
       std::vector<ProposerAction> const more =
-          core.receive(100 + index, *group.holders[index].receive(std::get<Send>(sends[index]).message, 0).reply);
+          core.receive(100 + index, *group.acceptors[index].receive(std::get<Send>(sends[index]).message, 0).reply);
       accepts.insert(accepts.end(), more.begin(), more.end());
     }
     ASSERT_EQ(accepts.size(), 3u);
-    (void)group.holders[0].receive(std::get<Send>(accepts[0]).message, 0);  // reaches a alone
-    // Another's half-done change of the same revision stands at c, under a
-    // lower ballot than ours.
+    (void)group.acceptors[0].receive(std::get<Send>(accepts[0]).message, 0);  // reaches only a
+    // c has accepted another proposer's half-done change of the same revision, under a lower ballot than ours.
     schema::Accept const theirs{"setup", Ballot{1, 5, 9}, schema::Value{2, "theirs", {}}};
-    (void)group.holders[2].receive(theirs, 0);
+    (void)group.acceptors[2].receive(theirs, 0);
     // Our second ballot reaches b and c.
-    sends = core.begin(group.holders[0].set());
+    sends = core.begin(group.acceptors[0].set());
     bool rejected = false;
     std::vector<ProposerAction> actions;
     for (std::size_t index = 1; index < 3; ++index) {
       std::vector<ProposerAction> const more =
-          core.receive(100 + index, *group.holders[index].receive(std::get<Send>(sends[index]).message, 0).reply);
+          core.receive(100 + index, *group.acceptors[index].receive(std::get<Send>(sends[index]).message, 0).reply);
       actions.insert(actions.end(), more.begin(), more.end());
     }
     for (std::size_t place = 0; place < actions.size(); ++place) {
@@ -279,7 +279,7 @@
       if (Send const* const send = std::get_if<Send>(&actions[place])) {
         if (send->to.incarnation != 100) {
           std::vector<ProposerAction> const more = core.receive(
-              send->to.incarnation, *group.holders[send->to.incarnation - 100].receive(send->message, 0).reply);
+              send->to.incarnation, *group.acceptors[send->to.incarnation - 100].receive(send->message, 0).reply);
           actions.insert(actions.end(), more.begin(), more.end());
         }
       }
@@ -289,36 +289,37 @@
     Proposer reader("setup", 60, [](schema::Value const&) -> Proposal { return Keep{}; });
     reader.start_above(Ballot{1, 40, 0});
     std::string found;
-    actions = reader.begin(group.holders[0].set());
+    actions = reader.begin(group.acceptors[0].set());
     for (std::size_t place = 0; place < actions.size(); ++place) {
       if (Chosen const* const chosen = std::get_if<Chosen>(&actions[place])) {
         found = chosen->value.content;
       } else if (Send const* const send = std::get_if<Send>(&actions[place])) {
         if (send->to.incarnation != 102) {
           std::vector<ProposerAction> const more = reader.receive(
-              send->to.incarnation, *group.holders[send->to.incarnation - 100].receive(send->message, 0).reply);
+              send->to.incarnation, *group.acceptors[send->to.incarnation - 100].receive(send->message, 0).reply);
           actions.insert(actions.end(), more.begin(), more.end());
         }
       }
     }
-    EXPECT_EQ(found, guard ? "theirs" : "ours") << "a change that was told no took effect";
+    EXPECT_EQ(found, guard ? "theirs" : "ours") << "a rejected change took effect";
   }
 }
 
-/// One that lacks a half-done change takes it under the same ballot; a reader is sure then, and no ballot was made.
+/// A voter that lacks a half-done change accepts it under the same ballot. A reader can then confirm it without a new
+/// ballot.
 TEST(HalfDoneChange, IsTakenUnderTheSameBallotAndChosenByThat) {
   Group group(3);
-  group.found();
+  group.bootstrap();
   schema::Value const half{1, "half", {}};
-  (void)group.holders[0].receive(schema::Accept{"charter", Ballot{1, 7, 3}, half}, 0);
-  Outcome const taken = group.holders[1].take_accepted("charter", Ballot{1, 7, 3}, half);
+  (void)group.acceptors[0].receive(schema::Accept{"charter", Ballot{1, 7, 3}, half}, 0);
+  Outcome const taken = group.acceptors[1].take_accepted("charter", Ballot{1, 7, 3}, half);
   EXPECT_EQ(taken.records.size(), 1u);
-  EXPECT_TRUE(group.holders[1].take_accepted("charter", Ballot{1, 7, 3}, half).records.empty()) << "it has it";
+  EXPECT_TRUE(group.acceptors[1].take_accepted("charter", Ballot{1, 7, 3}, half).records.empty()) << "already accepted";
   MajorityReader reader;
-  (void)reader.begin(group.holders[0].set(), common::seconds(1));
+  (void)reader.begin(group.acceptors[0].set(), common::seconds(1));
   std::vector<MajorityReaderAction> actions;
   for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
-    actions = reader.receive(*group.holders[index].receive(schema::Read{1, {}, 1}, 0).reply);
+    actions = reader.receive(*group.acceptors[index].receive(schema::Read{1, {}, 1}, 0).reply);
   }
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<Confirmed>(actions[0]));
@@ -327,21 +328,21 @@
 
 TEST(HalfDoneChange, IsNotTakenWhereANewerBallotWasPromisedNorWithoutAVote) {
   Group group(3);
-  group.found();
+  group.bootstrap();
   schema::Value const half{1, "half", {}};
-  (void)group.holders[1].receive(schema::Prepare{"charter", Ballot{1, 8, 4}, {}}, 0);
-  EXPECT_TRUE(group.holders[1].take_accepted("charter", Ballot{1, 7, 3}, half).records.empty());
-  EXPECT_TRUE(group.holders[1].cells().at("charter").value.content.empty());
-  EXPECT_FALSE(group.holders[1].take_accepted("charter", Ballot{1, 8, 4}, half).records.empty());
-  // Of an epoch that this one has not heard of yet, or with a blank disk.
-  EXPECT_TRUE(group.holders[2].take_accepted("charter", Ballot{2, 1, 3}, half).records.empty());
+  (void)group.acceptors[1].receive(schema::Prepare{"charter", Ballot{1, 8, 4}, {}}, 0);
+  EXPECT_TRUE(group.acceptors[1].take_accepted("charter", Ballot{1, 7, 3}, half).records.empty());
+  EXPECT_TRUE(group.acceptors[1].cells().at("charter").value.content.empty());
+  EXPECT_FALSE(group.acceptors[1].take_accepted("charter", Ballot{1, 8, 4}, half).records.empty());
+  // Nor if the ballot's epoch is not known here yet, or the disk is blank.
+  EXPECT_TRUE(group.acceptors[2].take_accepted("charter", Ballot{2, 1, 3}, half).records.empty());
   Acceptor blank(77, "d", {}, 0);
   EXPECT_TRUE(blank.take_accepted("charter", Ballot{1, 7, 3}, half).records.empty());
 }
 
-/// Incident 0020. Two changes are half done, each at one voter; the one with the newer ballot answers last in every
-/// round, and one voter is down. What the first answers name is older than what the last one named before, and that
-/// must not count as something new each time: it would never be settled.
+/// Incident 0020: two changes are half done, each at one voter, and one voter is down. The voter with the newer ballot
+/// answers last in every round, so the first answers of a round report an older ballot than the last answer of the
+/// round before. If that counted as news each time, the changes would never be settled.
 TEST(MajorityReader, TwoHalfDoneChangesAreSettledWhoeverAnswersFirst) {
   VoterSet const set{1, {{1, "a"}, {2, "b"}, {3, "c"}, {4, "d"}, {5, "e"}}, {}};
   MajorityReader reader;
@@ -367,43 +368,43 @@
 
 TEST(MajorityReader, OneRoundIsEnoughOnlyWhenAMajorityAgrees) {
   Group group(3);
-  group.found();
+  group.bootstrap();
   ASSERT_EQ(group.change("first", {0, 1, 2}), 1u);
   MajorityReader confirm;
-  (void)confirm.begin(group.holders[0].set(), common::seconds(1));
+  (void)confirm.begin(group.acceptors[0].set(), common::seconds(1));
   std::vector<MajorityReaderAction> actions;
   for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
-    actions = confirm.receive(*group.holders[index].receive(schema::Read{1, {}, 1}, 0).reply);
+    actions = confirm.receive(*group.acceptors[index].receive(schema::Read{1, {}, 1}, 0).reply);
   }
   ASSERT_EQ(actions.size(), 1u);
   EXPECT_EQ(std::get<Confirmed>(actions[0]).started, common::seconds(1));
-  // A half-done change at one holder: not confirmed. When it stays open, the other is told of it once, to take it
-  // under the same ballot; only what then stays open still is settled.
-  (void)group.holders[0].receive(schema::Accept{"setup", Ballot{1, 99, 3}, schema::Value{2, "half", {}}}, 0);
-  std::size_t told = 0;
+  // A half-done change at one acceptor is not confirmed. If it stays open, the other acceptor is sent it once, to
+  // accept it under the same ballot; only what stays open even then is settled.
+  (void)group.acceptors[0].receive(schema::Accept{"setup", Ballot{1, 99, 3}, schema::Value{2, "half", {}}}, 0);
+  std::size_t sent = 0;
   bool settled = false;
   for (std::uint64_t round = 2; round < 9; ++round) {
-    (void)confirm.begin(group.holders[0].set(),
+    (void)confirm.begin(group.acceptors[0].set(),
                         common::seconds(1) + common::milliseconds(100) * static_cast<common::Span>(round));
     for (std::size_t const index : {std::size_t{0}, std::size_t{1}}) {
-      actions = confirm.receive(*group.holders[index].receive(schema::Read{1, {}, round}, 0).reply);
+      actions = confirm.receive(*group.acceptors[index].receive(schema::Read{1, {}, round}, 0).reply);
     }
     for (MajorityReaderAction const& action : actions) {
       HalfAccepted const* const half = std::get_if<HalfAccepted>(&action);
       ASSERT_TRUE(half != nullptr || std::holds_alternative<Unsettled>(action));
       if (half != nullptr) {
-        ++told;
+        ++sent;
         EXPECT_EQ(half->accepted, (Ballot{1, 99, 3}));
         EXPECT_EQ(half->value.value_or(schema::Value{}).content, "half");
-        EXPECT_FALSE(lacks(group.holders[0].set().holders, *half, group.holders[0].incarnation()));
-        EXPECT_TRUE(lacks(group.holders[0].set().holders, *half, group.holders[1].incarnation()));
+        EXPECT_FALSE(lacks(group.acceptors[0].set().holders, *half, group.acceptors[0].incarnation()));
+        EXPECT_TRUE(lacks(group.acceptors[0].set().holders, *half, group.acceptors[1].incarnation()));
       }
       settled = settled || half == nullptr;
     }
-    EXPECT_TRUE(round > 3 || told == 0);
+    EXPECT_TRUE(round > 3 || sent == 0);
     EXPECT_TRUE(round > 5 || !settled);
   }
-  EXPECT_EQ(told, 1u);
+  EXPECT_EQ(sent, 1u);
   EXPECT_TRUE(settled);
   EXPECT_EQ(confirm.values().at("setup").revision, 1u);
 }
--- a/source/tests/consensus/half_done_across_epochs_test.cpp
+++ b/source/tests/consensus/half_done_across_epochs_test.cpp
@@ -8,10 +8,10 @@
 namespace {
 
 constexpr char const* name = "charter";
-Ballot const elder{1, 1, 50};    ///< accepted by the second voter alone
-Ballot const younger{1, 2, 60};  ///< promised by the first and the third, accepted by the third alone
-schema::Value const elder_value{1, "elder", {}};
-schema::Value const younger_value{1, "younger", {}};
+Ballot const older{1, 1, 50};  ///< accepted by the second voter alone
+Ballot const newer{1, 2, 60};  ///< promised by the first and the third, accepted by the third alone
+schema::Value const older_value{1, "elder", {}};
+schema::Value const newer_value{1, "younger", {}};
 
 Acceptor voter_of(VoterSet const& set, Voter const& voter) {
   std::vector<schema::Record> const records{schema::FoundingRecord{voter.incarnation, {}, {}},
@@ -19,8 +19,8 @@
   return Acceptor(records, voter.address, {}, 0);
 }
 
-/// Three voters of epoch 1 with two half-done changes; the third is then out of reach, and the fourth, a newcomer
-/// with the images of the first and the second, has its place in epoch 2.
+/// Three voters of epoch 1 with two half-done changes. The third then becomes unreachable, and in epoch 2 it is
+/// replaced by the fourth, a joining member with the snapshots of the first and the second.
 struct HalfDoneInTwoEpochs {
   std::vector<Voter> const old_voters{{1, "a"}, {2, "b"}, {3, "c"}};
   VoterSet const old_set{1, old_voters, old_voters, {}, {}};
@@ -35,29 +35,29 @@
     for (Acceptor* const acceptor : {&first, &second, &fourth}) {
       (void)acceptor->receive(schema::Adopt{new_set}, 0);
     }
-    enrol(fourth, {&first, &second});
+    join(fourth, {&first, &second});
   }
-  /// Two changes, neither of which comes to a majority.
+  /// Two changes, neither of which is accepted by a majority.
   static void begin_both(Acceptor& first, Acceptor& second, Acceptor& third) {
     for (Acceptor* const acceptor : {&first, &second}) {
-      (void)acceptor->receive(schema::Prepare{name, elder, {}}, 0);
+      (void)acceptor->receive(schema::Prepare{name, older, {}}, 0);
     }
-    (void)second.receive(schema::Accept{name, elder, elder_value}, 0);
+    (void)second.receive(schema::Accept{name, older, older_value}, 0);
     for (Acceptor* const acceptor : {&first, &third}) {
-      // Neither has accepted anything: the younger change is made without the elder.
-      EXPECT_EQ(std::get<schema::Promise>(*acceptor->receive(schema::Prepare{name, younger, {}}, 0).reply).accepted,
+      // Neither has accepted anything, so the proposer of the newer change doesn't see the older one.
+      EXPECT_EQ(std::get<schema::Promise>(*acceptor->receive(schema::Prepare{name, newer, {}}, 0).reply).accepted,
                 Ballot{});
     }
-    (void)third.receive(schema::Accept{name, younger, younger_value}, 0);
+    (void)third.receive(schema::Accept{name, newer, newer_value}, 0);
   }
-  static void enrol(Acceptor& newcomer, std::vector<Acceptor const*> const& givers) {
-    std::vector<schema::Image> images;
-    for (Acceptor const* const giver : givers) {
-      schema::ImageAsk const ask = newcomer.snapshot_request();
-      images.push_back(std::get<schema::Image>(*Acceptor(*giver).receive(ask, 0).reply));
+  static void join(Acceptor& joining, std::vector<Acceptor const*> const& sources) {
+    std::vector<schema::Image> snapshots;
+    for (Acceptor const* const source : sources) {
+      schema::ImageAsk const request = joining.snapshot_request();
+      snapshots.push_back(std::get<schema::Image>(*Acceptor(*source).receive(request, 0).reply));
     }
-    (void)newcomer.join(images, 0);
-    EXPECT_TRUE(newcomer.voting());
+    (void)joining.join(snapshots, 0);
+    EXPECT_TRUE(joining.voting());
   }
 };
 
@@ -68,10 +68,10 @@
 
 ReadResult read(VoterSet const& set, std::vector<Acceptor*> const& answering) {
   MajorityReader reader;
-  schema::Read const ask = std::get<SendRead>(reader.begin(set, 1).front()).read;
+  schema::Read const request = std::get<SendRead>(reader.begin(set, 1).front()).read;
   ReadResult result;
   for (Acceptor* const acceptor : answering) {
-    for (MajorityReaderAction const& action : reader.receive(*acceptor->receive(ask, 1).reply)) {
+    for (MajorityReaderAction const& action : reader.receive(*acceptor->receive(request, 1).reply)) {
       result.confirmed = result.confirmed || std::holds_alternative<Confirmed>(action);
     }
   }
@@ -80,7 +80,7 @@
   return result;
 }
 
-/// The newest that a proposer finds at these.
+/// The newest accepted content that a proposer finds at these acceptors.
 std::string found_by_proposer(VoterSet const& set, std::vector<Acceptor*> const& answering) {
   schema::Cell best;
   for (Acceptor* const acceptor : answering) {
@@ -94,51 +94,52 @@
   return best.value.content;
 }
 
-/// The newcomer's images carry a promise above what they carry as accepted: its copy is no vote for that.
-TEST(HalfDoneAcrossEpochs, WhatAReaderConfirmedIsNotOvertakenByOneThatTakesAnOlderEpochsChangeLate) {
-  HalfDoneInTwoEpochs world;
-  ReadResult const sure = read(world.new_set, {&world.second, &world.fourth});
-  // The process of the first voter heard of the younger change from the third, in epoch 1, and fetched it till now.
-  (void)world.first.take_accepted(name, younger, younger_value);
-  std::string const found = found_by_proposer(world.new_set, {&world.first, &world.second});
-  EXPECT_TRUE(!sure.confirmed || sure.content == found)
-      << "a read was sure of '" << sure.content << "', the next change begins from '" << found << "'";
+/// The joining member's snapshots carry a promise newer than the ballot that they carry as accepted, so the member's
+/// copy of that value is no vote for it. The first voter then accepts the newer change late.
+TEST(HalfDoneAcrossEpochs, ConfirmedReadIsNotOvertakenByALateAcceptanceOfAnOlderEpoch) {
+  HalfDoneInTwoEpochs cluster;
+  ReadResult const confirmed_read = read(cluster.new_set, {&cluster.second, &cluster.fourth});
+  // The first voter's process learnt of the newer change from the third in epoch 1, and only now has its value.
+  (void)cluster.first.take_accepted(name, newer, newer_value);
+  std::string const found = found_by_proposer(cluster.new_set, {&cluster.first, &cluster.second});
+  EXPECT_TRUE(!confirmed_read.confirmed || confirmed_read.content == found)
+      << "a read confirmed '" << confirmed_read.content << "', but the next change starts from '" << found << "'";
 }
 
-/// No taking over and no loss: the first leaves its place to the fourth (5.8), the other two go on.
-TEST(HalfDoneAcrossEpochs, WhatAReaderConfirmedIsNotOvertakenByAVoterThatHasItsPlaceAllTheWhile) {
-  HalfDoneInTwoEpochs world;
-  VoterSet const next{2, {{4, "d"}, {2, "b"}, {3, "c"}}, world.old_voters, {}, {2, 3}};
-  Acceptor first = voter_of(world.old_set, {1, "a"});
-  Acceptor second = voter_of(world.old_set, {2, "b"});
-  Acceptor third = voter_of(world.old_set, {3, "c"});
+/// No late acceptance and no loss: the fourth replaces the first (section 5.8), the other two stay voters.
+TEST(HalfDoneAcrossEpochs, ConfirmedReadIsNotOvertakenByAVoterOfBothEpochs) {
+  HalfDoneInTwoEpochs cluster;
+  VoterSet const next{2, {{4, "d"}, {2, "b"}, {3, "c"}}, cluster.old_voters, {}, {2, 3}};
+  Acceptor first = voter_of(cluster.old_set, {1, "a"});
+  Acceptor second = voter_of(cluster.old_set, {2, "b"});
+  Acceptor third = voter_of(cluster.old_set, {3, "c"});
   Acceptor fourth{4, "d", {}, 0};
   HalfDoneInTwoEpochs::begin_both(first, second, third);
   for (Acceptor* const acceptor : {&first, &second, &fourth}) {
     (void)acceptor->receive(schema::Adopt{next}, 0);
   }
-  HalfDoneInTwoEpochs::enrol(fourth, {&first, &second});
-  ReadResult const sure = read(next, {&second, &fourth});
+  HalfDoneInTwoEpochs::join(fourth, {&first, &second});
+  ReadResult const confirmed_read = read(next, {&second, &fourth});
   (void)third.receive(schema::Adopt{next}, 0);
   std::string const found = found_by_proposer(next, {&third, &second});
-  EXPECT_TRUE(!sure.confirmed || sure.content == found)
-      << "a read was sure of '" << sure.content << "', the next change begins from '" << found << "'";
+  EXPECT_TRUE(!confirmed_read.confirmed || confirmed_read.content == found)
+      << "a read confirmed '" << confirmed_read.content << "', but the next change starts from '" << found << "'";
 }
 
-/// The same with no taking over: the one that was out of reach comes back for a place.
-TEST(HalfDoneAcrossEpochs, WhatAReaderConfirmedIsNotOvertakenByAVoterThatComesBack) {
-  HalfDoneInTwoEpochs world;
-  ReadResult const sure = read(world.new_set, {&world.second, &world.fourth});
-  (void)world.third.receive(schema::Adopt{world.new_set}, 0);
-  // The first is lost; the third takes its place.
-  VoterSet const next{3, {{3, "c"}, {2, "b"}, {4, "d"}}, world.new_set.holders, {}, {2, 4}};
-  for (Acceptor* const acceptor : {&world.second, &world.third, &world.fourth}) {
+/// No late acceptance: the voter that was unreachable joins again.
+TEST(HalfDoneAcrossEpochs, ConfirmedReadIsNotOvertakenByAVoterThatComesBack) {
+  HalfDoneInTwoEpochs cluster;
+  ReadResult const confirmed_read = read(cluster.new_set, {&cluster.second, &cluster.fourth});
+  (void)cluster.third.receive(schema::Adopt{cluster.new_set}, 0);
+  // The first is lost; the third replaces it.
+  VoterSet const next{3, {{3, "c"}, {2, "b"}, {4, "d"}}, cluster.new_set.holders, {}, {2, 4}};
+  for (Acceptor* const acceptor : {&cluster.second, &cluster.third, &cluster.fourth}) {
     (void)acceptor->receive(schema::Adopt{next}, 0);
   }
-  HalfDoneInTwoEpochs::enrol(world.third, {&world.second, &world.fourth});
-  std::string const found = found_by_proposer(next, {&world.third, &world.second});
-  EXPECT_TRUE(!sure.confirmed || sure.content == found)
-      << "a read was sure of '" << sure.content << "', the next change begins from '" << found << "'";
+  HalfDoneInTwoEpochs::join(cluster.third, {&cluster.second, &cluster.fourth});
+  std::string const found = found_by_proposer(next, {&cluster.third, &cluster.second});
+  EXPECT_TRUE(!confirmed_read.confirmed || confirmed_read.content == found)
+      << "a read confirmed '" << confirmed_read.content << "', but the next change starts from '" << found << "'";
 }
 
 }  // namespace
--- a/source/tests/consensus/invariants_test.cpp
+++ b/source/tests/consensus/invariants_test.cpp
@@ -14,7 +14,7 @@
 std::vector<Voter> const voters{{own, "a"}, {101, "b"}, {102, "c"}};
 std::vector<std::string> const founders{"a", "b", "c"};
 
-/// A voter of epoch 1, read back from records.
+/// A voter recovered from records, of epoch 1 unless another is given.
 Acceptor voter(Guards guards = {}, std::uint64_t epoch = 1) {
   return Acceptor({schema::FoundingRecord{own, {}, {}}, schema::SetRecord{VoterSet{epoch, voters, voters}, true, true}},
                   "a", founders, 0, guards);
@@ -24,7 +24,7 @@
   return schema::Accept{"charter", Ballot{1, round, 7}, schema::Value{round, "text", {}}};
 }
 
-TEST(AcceptorInvariants, BallotsThatFallAreSeen) {
+TEST(AcceptorInvariants, DecreasingBallotsAreDetected) {
   Acceptor acceptor = voter(Guards{.promise_kept = false});
   (void)acceptor.receive(accept(5), 0);
   ExpectedViolations const expected({Invariant::promised_ballot_rises, Invariant::accepted_ballot_rises});
@@ -33,14 +33,14 @@
   EXPECT_EQ(expected.count(Invariant::accepted_ballot_rises), 1u);
 }
 
-TEST(AcceptorInvariants, AVoteOfABlankOneIsSeen) {
+TEST(AcceptorInvariants, AVoteOfABlankAcceptorIsDetected) {
   Acceptor acceptor(own, "a", founders, 0, Guards{.blank_has_no_vote = false, .epoch_checked = false});
   ExpectedViolations const expected({Invariant::vote_is_complete});
   (void)acceptor.receive(accept(1), 0);
   EXPECT_EQ(expected.count(Invariant::vote_is_complete), 1u);
 }
 
-TEST(AcceptorInvariants, AVoteTakenWithoutImagesIsSeen) {
+TEST(AcceptorInvariants, AVoteWithoutSnapshotsIsDetected) {
   Acceptor acceptor(777, "d", founders, 0, Guards{.image_before_vote = false});
   std::vector<Voter> const next{{own, "a"}, {101, "b"}, {777, "d"}};
   ExpectedViolations const expected({Invariant::vote_is_complete});
@@ -48,14 +48,14 @@
   EXPECT_EQ(expected.count(Invariant::vote_is_complete), 1u);
 }
 
-TEST(AcceptorInvariants, ADiskThatComesBackOlderIsSeen) {
+TEST(AcceptorInvariants, ADiskThatRecoversOlderStateIsDetected) {
   Acceptor acceptor = voter();
   SyncedBallots synced;
-  synced.take(own, acceptor.snapshot_records());
-  synced.take(own, acceptor.receive(schema::Prepare{"charter", Ballot{1, 9, 7}, {}}, 0).records);
+  synced.record_synced(own, acceptor.snapshot_records());
+  synced.record_synced(own, acceptor.receive(schema::Prepare{"charter", Ballot{1, 9, 7}, {}}, 0).records);
   synced.check_recovered(acceptor);
-  synced.take(own, acceptor.receive(accept(9), 0).records);
-  synced.take(own, {schema::SetRecord{VoterSet{2, voters, voters}, true, true}});
+  synced.record_synced(own, acceptor.receive(accept(9), 0).records);
+  synced.record_synced(own, {schema::SetRecord{VoterSet{2, voters, voters}, true, true}});
   ExpectedViolations const expected(
       {Invariant::promised_ballot_rises, Invariant::accepted_ballot_rises, Invariant::voter_epoch_rises});
   synced.check_recovered(voter());
@@ -64,30 +64,30 @@
   EXPECT_EQ(expected.count(Invariant::voter_epoch_rises), 1u);
 }
 
-TEST(AcceptorInvariants, ALostDiskIsAnotherVoter) {
+TEST(AcceptorInvariants, ABlankAcceptorAfterALostDiskIsAnotherVoter) {
   SyncedBallots synced;
-  synced.take(own, {schema::CellRecord{"charter", schema::Cell{Ballot{1, 9, 7}, Ballot{1, 9, 7}, {}}}});
+  synced.record_synced(own, {schema::CellRecord{"charter", schema::Cell{Ballot{1, 9, 7}, Ballot{1, 9, 7}, {}}}});
   synced.check_recovered(Acceptor(own + 50, "a", founders, 0));
 }
 
-TEST(AcceptorInvariants, AReplyBeforeItsSyncIsSeen) {
+TEST(AcceptorInvariants, AReplyBeforeItsSyncIsDetected) {
   SyncedChanges changes;
-  changes.check_reply(changes.step(false));
-  std::uint64_t const change = changes.step(true);
+  changes.check_reply(changes.count_step(false));
+  std::uint64_t const change = changes.count_step(true);
   {
     ExpectedViolations const expected({Invariant::reply_is_synced});
     changes.check_reply(change);
-    changes.check_reply(changes.step(false));  // it changes nothing, and may tell of what did
+    changes.check_reply(changes.count_step(false));  // changes nothing itself, but may reveal the change before
     EXPECT_EQ(expected.count(Invariant::reply_is_synced), 2u);
   }
-  changes.synced(change);
-  changes.check_reply(changes.step(false));
-  (void)changes.step(true);
-  changes.recovered();
-  changes.check_reply(changes.step(false));
+  changes.mark_synced(change);
+  changes.check_reply(changes.count_step(false));
+  (void)changes.count_step(true);
+  changes.mark_recovered();
+  changes.check_reply(changes.count_step(false));
 }
 
-TEST(MajorityReaderInvariants, AChosenValueThatGetsOlderIsSeen) {
+TEST(MajorityReaderInvariants, AChosenValueThatGetsOlderIsDetected) {
   MajorityReader reader;
   reader.learn("charter", Ballot{1, 5, 7}, schema::Value{3, "third", {}});
   reader.learn("charter", Ballot{1, 6, 7}, schema::Value{3, "third", {}});  // settled again
@@ -99,7 +99,7 @@
   EXPECT_EQ(expected.count(Invariant::confirmed_value_rises), 2u);
 }
 
-TEST(MajorityReaderInvariants, TwoContentsOfARevisionAreSeen) {
+TEST(MajorityReaderInvariants, TwoContentsOfARevisionAreDetected) {
   MajorityReader reader;
   reader.learn("charter", Ballot{1, 5, 7}, schema::Value{3, "third", {}});
   ExpectedViolations const expected({Invariant::revision_has_one_content});
@@ -113,7 +113,7 @@
   return answer;
 }
 
-TEST(MajorityReaderInvariants, AMajorityThatLostAChosenBallotIsSeen) {
+TEST(MajorityReaderInvariants, AMajorityThatLostAChosenBallotIsDetected) {
   Ballot const chosen{1, 5, 7};
   MajorityReader reader;
   reader.learn("charter", chosen, schema::Value{3, "third", {}});
--- a/source/tests/consensus/promise_record_test.cpp
+++ b/source/tests/consensus/promise_record_test.cpp
@@ -22,10 +22,10 @@
 
 std::vector<std::string> const founders{"a", "b", "c"};
 
-/// As many changes as the tests make; a longer run for figures sets it.
+/// How many changes a test makes: `usual`, unless FINCHLINK_CHANGES is set for a longer measurement.
 std::uint64_t changes_of(std::uint64_t usual) {
-  char const* const ordered = std::getenv("FINCHLINK_CHANGES");
-  return ordered == nullptr ? usual : std::strtoull(ordered, nullptr, 10);
+  char const* const requested = std::getenv("FINCHLINK_CHANGES");
+  return requested == nullptr ? usual : std::strtoull(requested, nullptr, 10);
 }
 
 TEST(PromiseRecord, APromiseWritesNoValue) {
@@ -53,7 +53,7 @@
     }
     Acceptor again(records, "a", founders, 0);
     EXPECT_EQ(again.snapshot_records() == trio.acceptors[0].snapshot_records(), replayed);
-    // An older ballot, promised against before the restart.
+    // A ballot older than the promise that was made before the restart.
     schema::Message const reply =
         *again.receive(schema::Accept{"charter", Ballot{1, 5, 2}, schema::Value{2, "late", {}}}, 0).reply;
     EXPECT_EQ(std::holds_alternative<schema::Refused>(reply), replayed);
@@ -62,24 +62,24 @@
 }
 
 TEST(PromiseRecord, TheNumbersOfRecordsOnDiskStay) {
-  // Older disks are read by these numbers; a new kind goes to the end.
+  // Records of older disks are decoded by these numbers; a new kind is appended.
   EXPECT_EQ(schema::Record(schema::FoundingRecord{}).index(), 0u);
   EXPECT_EQ(schema::Record(schema::FormerSetRecord{}).index(), 1u);
   EXPECT_EQ(schema::Record(schema::CellRecord{}).index(), 2u);
   EXPECT_EQ(schema::Record(schema::PromiseRecord{}).index(), 3u);
   EXPECT_EQ(schema::Record(schema::SetRecord{}).index(), 4u);
-  // A disk of before promises had a record of their own, byte for byte.
+  // The exact bytes on disks from before promises had a record of their own.
   std::string const packed = common::pack(std::vector<schema::Record>{schema::CellRecord{"s", schema::Cell{}}});
   EXPECT_EQ(packed.size(), 8u + 4u + 8u + 1u + 6u * 8u + 8u + 8u + 8u);
   EXPECT_EQ(packed[8], 2);
-  // The same for the set in force, on a disk of before sets told of earlier ones.
+  // The same for the voter set, on disks from before sets recorded earlier ones.
   schema::FormerSetRecord const former{{7, {{1, "a"}}, {}}, true, true};
   std::string const set = common::pack(std::vector<schema::Record>{former});
   EXPECT_EQ(set.size(), 8u + 4u + 8u + 8u + (8u + 8u + 1u) + 8u + 1u + 1u);
   EXPECT_EQ(set[8], 1);
 }
 
-TEST(PromiseRecord, AVoterOfAnOlderDiskVotesOnAndGivesItsImage) {
+TEST(PromiseRecord, AVoterWithAnOlderDiskKeepsItsVoteAndGivesItsSnapshot) {
   for (bool const voting : {true, false}) {
     schema::FormerSetRecord const former{
         {7, {{1, "a"}, {2, "b"}, {3, "c"}}, {{1, "a"}, {2, "b"}, {4, "d"}}}, voting, true};
@@ -88,11 +88,11 @@
     EXPECT_EQ(acceptor.set().epoch, 7u);
     EXPECT_EQ(acceptor.complete(), voting ? 7u : 6u);
     EXPECT_TRUE(std::holds_alternative<schema::SetRecord>(acceptor.snapshot_records()[1]))
-        << "written anew as it is now";
+        << "rewritten in the current format";
   }
 }
 
-TEST(PromiseRecord, ADiskOfANewerFormatIsNotTakenForABrokenOne) {
+TEST(PromiseRecord, ADiskOfANewerFormatIsNotTreatedAsCorrupt) {
   MemoryDisk disk(3, 4000);
   WriteAheadLog log(disk.device(), 3, 4000);
   ASSERT_TRUE(log.recover().ok());
@@ -100,7 +100,7 @@
   for (int round = 0; round < 3; ++round) {
     ASSERT_TRUE(log.append(records, [&records] { return records; }).ok());
   }
-  // The last record becomes one of a kind that this program does not know.
+  // The last record gets a kind that this program doesn't know.
   std::string& file = disk.cache[1];
   std::size_t place = 0;
   for (std::size_t next = file.find("1KSR"); next != std::string::npos; next = file.find("1KSR", next + 1)) {
@@ -109,24 +109,24 @@
   std::uint32_t length = 0;
   std::memcpy(&length, file.data() + place + 8, sizeof(length));
   std::size_t const header = 28;
-  file[place + header + 8] = 9;  // the number of the kind, behind the count of records
+  file[place + header + 8] = 9;  // the number of the kind, after the count of records
   boost::crc_32_type check;
   check.process_bytes(file.data() + place + 8, header - 8 + length);
   std::uint32_t const sum = check.checksum();
   std::memcpy(file.data() + place + 4, &sum, sizeof(sum));
   WriteAheadLog again(disk.device(), 3, 4000);
   absl::Status const status = again.recover().status();
-  EXPECT_TRUE(absl::IsFailedPrecondition(status)) << status;  // silent, not blanked
+  EXPECT_TRUE(absl::IsFailedPrecondition(status)) << status;  // the acceptor stays silent, its disk is not erased
 }
 
-/// One acceptor with its log on a device that counts.
+/// One acceptor with its log on a device that counts written bytes and syncs.
 struct Logged {
   std::uint64_t written = 0;
   std::uint64_t syncs = 0;
   Device device;
   WriteAheadLog log;
   Acceptor acceptor;
-  bool promises_alone;  ///< as it is; else as it was: a promise writes the whole cell
+  bool promises_alone;  ///< current behaviour; else the former one: a promise writes the whole cell
 
   Logged(Device const& inner, std::size_t file_bytes, bool alone)
       : device(counted(inner)),
@@ -165,7 +165,7 @@
   }
 };
 
-TEST(PromiseRecord, FiguresOfBytesAChange) {
+TEST(PromiseRecord, MeasuresBytesWrittenPerChange) {
   for (std::size_t const size : {std::size_t{1000}, std::size_t{100000}, constants::routing_config_limit}) {
     double bytes[2] = {0, 0};
     for (bool const alone : {false, true}) {
@@ -187,7 +187,7 @@
                     static_cast<unsigned long long>(changes), alone ? "alone" : "whole", bytes[alone ? 1 : 0],
                     static_cast<double>(logged.syncs) / static_cast<double>(changes),
                     seconds * 1000 / static_cast<double>(changes));
-        std::printf(", image %zu B", common::pack(logged.acceptor.snapshot_records()).size());
+        std::printf(", snapshot %zu B", common::pack(logged.acceptor.snapshot_records()).size());
       }
       absl::StatusOr<Device> const device = open_files(folder, constants::ring_files, constants::ring_file_bytes);
       ASSERT_TRUE(device.ok());
@@ -206,7 +206,7 @@
   }
 }
 
-TEST(PromiseRecord, TheFilesBearTheLargestCharterManyTimesInARow) {
+TEST(PromiseRecord, TheLogTakesTheLargestRoutingConfigManyTimesInARow) {
   MemoryDisk disk(constants::ring_files, constants::ring_file_bytes);
   Logged logged(disk.device(), constants::ring_file_bytes, true);
   std::uint64_t const changes = changes_of(40);
@@ -223,8 +223,8 @@
   }
 }
 
-TEST(PromiseRecord, TheLargestImageFitsIntoAFileWithRoomForAChange) {
-  // The largest charter, the largest setup, and hundreds of splits and marks.
+TEST(PromiseRecord, TheLargestSnapshotFitsIntoAFileWithRoomForAChange) {
+  // The largest routing configuration, the largest setup, and hundreds of splits and idempotency marks.
   Trio trio;
   trio.accept(noise(constants::routing_config_limit), 3, {0});
   schema::Value setup{1, noise(constants::setup_limit), {}};
@@ -236,9 +236,9 @@
     (void)trio.acceptors[0].receive(
         schema::Accept{split_register(std::to_string(pool)), Ballot{1, 3, 1}, schema::Value{1, noise(2000), {}}}, 0);
   }
-  std::size_t const image = common::pack(trio.acceptors[0].snapshot_records()).size();
-  std::printf("[ figure ] the largest image: %zu B of %zu B\n", image, constants::ring_file_bytes);
-  EXPECT_LT(image + constants::routing_config_limit + 10000, constants::ring_file_bytes);
+  std::size_t const snapshot_bytes = common::pack(trio.acceptors[0].snapshot_records()).size();
+  std::printf("[ figure ] the largest snapshot: %zu B of %zu B\n", snapshot_bytes, constants::ring_file_bytes);
+  EXPECT_LT(snapshot_bytes + constants::routing_config_limit + 10000, constants::ring_file_bytes);
 }
 
 }  // namespace
