--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -28,7 +28,7 @@
       settings_(settings),
       notation_(std::move(notation)),
       address_(settings.colleague_address),
-      wanted_holders_(membership::wanted_holders(settings.tolerated_machines)) {}
+      wanted_holders_(membership::desired_voter_count(settings.tolerated_machines)) {}
 
 void LeasedTasks::begin() {
   common::start(context_, [this](common::Yield yield) {
@@ -403,7 +403,7 @@
       [this, &asked](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         schema::Adopted const* const given = answer.ok() ? std::get_if<schema::Adopted>(&*answer) : nullptr;
         if (given != nullptr) {
-          looks_.answered(asked[index], *given);
+          looks_.record_answer(asked[index], *given);
         }
         return looks_.complete();
       },
--- a/source/control_plane/leased_tasks/leased_tasks.hpp
+++ b/source/control_plane/leased_tasks/leased_tasks.hpp
@@ -11,7 +11,7 @@
 #include "control_plane/register_client/register_client.hpp"
 #include "control_plane/updates/updates.hpp"
 #include "lease/lease_holder.hpp"
-#include "membership/reconfiguration/voter_looks.hpp"
+#include "membership/reconfiguration/voter_probes.hpp"
 #include "scheduling/scaler/pools.hpp"
 #include "scheduling/scaler/scaler.hpp"
 
@@ -80,7 +80,7 @@
   schema::Setup setup_;
   std::uint64_t routing_config_revision_ = 0;
   schema::Charter routing_config_;
-  membership::VoterLooks looks_;
+  membership::VoterProbes looks_;
 };
 
 }  // namespace finchlink::control_plane
--- a/source/control_plane/updates/updates.cpp
+++ b/source/control_plane/updates/updates.cpp
@@ -85,7 +85,7 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     std::uint64_t const before = listing_.digest();
-    changed = listing_.keep(list, as_of, common::boot_now()) && listing_.digest() != before;
+    changed = listing_.store(list, as_of, common::boot_now()) && listing_.digest() != before;
   }
   if (changed) {
     register_.bell().ring();
@@ -205,7 +205,7 @@
     places[tell.sessions[place].member.incarnation] = place;
   }
   std::vector<schema::Session> const direct =
-      reports_.empty() ? std::vector<schema::Session>{} : sessions_.tellable(now);
+      reports_.empty() ? std::vector<schema::Session>{} : sessions_.direct_sessions(now);
   for (schema::Session const& session : direct) {
     for (Kept const& kept : reports_) {
       if (kept.member.incarnation != session.member.incarnation) {
@@ -237,7 +237,7 @@
     patience = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms)) * 2;
     tell.from = sessions_.self();
     tell.others = sessions_.controllers();
-    tell.list_digest = listing_.wanted();
+    tell.list_digest = listing_.base_digest();
     tell.list_age = listing_.age(now);
     tell.confirm = confirm;
     std::vector<std::string> addresses = settings_.seeds;
@@ -255,7 +255,7 @@
     }
     for (std::string const& address : addresses) {
       schema::Tell told = tell;
-      sessions_.tell(known_there_[address], now, told);
+      sessions_.fill_gossip(known_there_[address], now, told);
       add_reports(told, now);
       calls.emplace_back(address, std::move(told));
     }
@@ -266,7 +266,7 @@
       [this, sent, &calls](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         {
           std::lock_guard<std::mutex> const guard(lock_);
-          gossip_.settled(calls[index].first);
+          gossip_.end_call(calls[index].first);
         }
         if (answer.ok()) {
           if (schema::Told const* const told = std::get_if<schema::Told>(&*answer)) {
@@ -278,7 +278,7 @@
               std::lock_guard<std::mutex> const guard(lock_);
               changed = told->list_age >= 0 &&
                         listing_.take(membership::list_update(*told), sent - told->list_age, common::boot_now());
-              sessions_.met(told->from, common::boot_now());
+              sessions_.record_controller(told->from, common::boot_now());
               departing = judge_departures();
               known_there_[calls[index].first] = told->sessions_digest;
             }
@@ -303,7 +303,7 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     sessions_.set_self(self());  // a departing voter waits for what this says of our vote
-    told.sessions_digest = sessions_.told(tell, now);
+    told.sessions_digest = sessions_.receive_gossip(tell, now);
     departing = judge_departures();
     judge_members();
     for (schema::Session const& session : tell.sessions) {
@@ -351,7 +351,7 @@
   std::uint64_t members_before = 0;
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    if (sessions_.heard(ask.member, arrival)) {
+    if (sessions_.record_request(ask.member, arrival)) {
       common::note(common::Event::SessionOpened, ask.member.name + " in " + ask.member.hall);
     }
     judge_members();
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -51,7 +51,7 @@
     if (answer.confirmed) {
       next->members = answer.members;
     }
-    if (freshness_.list_newer()) {
+    if (freshness_.has_newer_list()) {
       next->list = answer.list;
     }
     scheduling::derive(*next, settings_.name, settings_.hall);
--- a/source/membership/reconfiguration/voter_looks.cpp
+++ b/source/membership/reconfiguration/voter_looks.cpp
@@ -1,4 +1,4 @@
-#include "membership/reconfiguration/voter_looks.hpp"
+#include "membership/reconfiguration/voter_probes.hpp"
 
 #include <algorithm>
 
--- a/source/simulator/control/membership.cpp
+++ b/source/simulator/control/membership.cpp
@@ -39,7 +39,7 @@
     Reply const take = [&machine, asked = voter.incarnation](std::optional<schema::Message> const& answer) {
       schema::Adopted const* const adopted = answer.has_value() ? std::get_if<schema::Adopted>(&*answer) : nullptr;
       if (adopted != nullptr) {
-        machine.voter_looks.answered(asked, *adopted);
+        machine.voter_looks.record_answer(asked, *adopted);
       }
     };
     network_.call(machine.process, machine.address, voter.address, schema::Adopt{machine.voters}, look, take);
--- a/source/simulator/control/nodes.hpp
+++ b/source/simulator/control/nodes.hpp
@@ -21,7 +21,7 @@
 #include "lease/lease_holder.hpp"
 #include "membership/departure/departure.hpp"
 #include "membership/freshness/freshness_lease.hpp"
-#include "membership/reconfiguration/voter_looks.hpp"
+#include "membership/reconfiguration/voter_probes.hpp"
 #include "simulator/disk/memory_disk.hpp"
 
 namespace finchlink::simulator::control {
@@ -77,7 +77,7 @@
   // --- trellis ---
   schema::VoterSet voters;  ///< the newest set that it knows
   consensus::MajorityReader reader;
-  membership::VoterLooks voter_looks;
+  membership::VoterProbes voter_looks;
   std::unique_ptr<lease::LeaseHolder> lease;
   std::map<std::string, membership::Peer> peers;  ///< by address, as gossip told of them
   std::set<std::string> fetching;                 ///< registers whose newest value is on its way
--- a/source/simulator/membership_model/actions.cpp
+++ b/source/simulator/membership_model/actions.cpp
@@ -7,7 +7,7 @@
 #include "common/wire/pack.hpp"
 #include "config/change/change_marks.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
-#include "membership/reconfiguration/voter_looks.hpp"
+#include "membership/reconfiguration/voter_probes.hpp"
 #include "simulator/membership_model/invariants.hpp"
 
 namespace finchlink::simulator::membership_model {
@@ -229,9 +229,9 @@
 }
 
 /// Three looks in a row, of which the last is answered by all but one.
-membership::VoterLooks look(World& world, Bounds const& bounds, schema::VoterSet const& set, std::string const& self,
-                            std::uint64_t seems_lost) {
-  membership::VoterLooks looks;
+membership::VoterProbes look(World& world, Bounds const& bounds, schema::VoterSet const& set, std::string const& self,
+                             std::uint64_t seems_lost) {
+  membership::VoterProbes looks;
   for (int count = 0; count < common::constants::join_misses; ++count) {
     looks.begin(set);
   }
@@ -241,7 +241,7 @@
     }
     std::optional<schema::Message> const answer = send(world, bounds, voter.address, schema::Adopt{set});
     if (answer.has_value()) {
-      looks.answered(voter.incarnation, std::get<schema::Adopted>(*answer));
+      looks.record_answer(voter.incarnation, std::get<schema::Adopted>(*answer));
     }
   }
   return looks;
@@ -279,7 +279,7 @@
   if (bounds.complete_before_join && world.machine(index).acceptor->needs_snapshot()) {
     return false;
   }
-  membership::VoterLooks const looks = look(world, bounds, set, address, seems_lost);
+  membership::VoterProbes const looks = look(world, bounds, set, address, seems_lost);
   schema::Voter const self{world.machine(index).acceptor->incarnation(), address};
   std::optional<schema::VoterSet> const next =
       membership::plan_joining(set, looks.misses(), self, bounds.wanted_voters);
--- a/source/tests/common/fuzz_test.cpp
+++ b/source/tests/common/fuzz_test.cpp
@@ -80,19 +80,19 @@
     list.workers.push_back(entry);
   }
   membership::Listing teller;
-  ASSERT_TRUE(teller.keep(list, 1000, 1000));
+  ASSERT_TRUE(teller.store(list, 1000, 1000));
   membership::Sessions sessions(schema::TrellisEntry{"t", 1, "h", "a", "", false, false, 0});
   membership::Sessions other(schema::TrellisEntry{"u", 2, "h", "b", "", false, false, 0});
   schema::Member member;
   member.incarnation = 1;
   for (std::string const name : {"f", "g", "h"}) {
     member.name = name;
-    (void)sessions.heard(member, 1000);
+    (void)sessions.record_request(member, 1000);
   }
   schema::Tell telling;
   telling.from = sessions.self();
-  sessions.tell(0, 1000, telling);
-  std::uint64_t const known = other.told(telling, 1000);
+  sessions.fill_gossip(0, 1000, telling);
+  std::uint64_t const known = other.receive_gossip(telling, 1000);
   ASSERT_NE(known, 0u);
   std::uint64_t const list_digest = teller.digest();
   std::uint64_t const members_digest = sessions.digest();
@@ -113,9 +113,9 @@
   // What leads on from there: a worker drains, another is gone, a furrow came.
   list.workers[3].draining = true;
   list.workers.pop_back();
-  ASSERT_TRUE(teller.keep(list, 2000, 2000));
+  ASSERT_TRUE(teller.store(list, 2000, 2000));
   member.name = "i";
-  (void)sessions.heard(member, 2000);
+  (void)sessions.record_request(member, 2000);
   schema::NewsAnswer good;
   good.confirmed = true;
   membership::ListUpdate const update = teller.since(list_digest);
@@ -131,7 +131,7 @@
   ASSERT_NE(good.members_from, 0u);
   schema::Tell told;
   told.from = sessions.self();
-  sessions.tell(known, 2000, told);
+  sessions.fill_gossip(known, 2000, told);
   ASSERT_NE(told.sessions_from, 0u);
   std::string const answer_bytes = common::pack(schema::Message(good));
   std::string const tell_bytes = common::pack(schema::Message(told));
@@ -160,7 +160,7 @@
     schema::Tell const* const tell = heard.ok() ? std::get_if<schema::Tell>(&*heard) : nullptr;
     if (tell != nullptr) {
       membership::Sessions receiver = other;
-      std::uint64_t const digest = receiver.told(*tell, 2000);
+      std::uint64_t const digest = receiver.receive_gossip(*tell, 2000);
       EXPECT_TRUE(digest == 0 || digest == tell->sessions_digest || digest == known);
     }
   }
--- a/source/tests/membership/freshness_lease_test.cpp
+++ b/source/tests/membership/freshness_lease_test.cpp
@@ -163,10 +163,10 @@
   EXPECT_FALSE(first.heard(member, 2000));
   schema::Tell tell;
   tell.from = first.self();
-  tell.sessions = first.tellable(3000);
+  tell.sessions = first.direct_sessions(3000);
   second.told(tell, 50000000);  // another clock
   EXPECT_EQ(second.members().size(), 1u);
-  EXPECT_TRUE(second.tellable(50000000).empty());  // second-hand word is not told on
+  EXPECT_TRUE(second.direct_sessions(50000000).empty());  // second-hand word is not told on
   EXPECT_EQ(second.expire(50000000 + constants::session_bound - 2000).size(), 0u);
   EXPECT_EQ(second.expire(50000000 + constants::session_bound + 2000).size(), 1u);
 }
@@ -294,8 +294,8 @@
 }
 
 TEST(Repair, GrowsByOneAndOnlyWhileAllVote) {
-  EXPECT_EQ(membership::wanted_holders(1), 3u);
-  EXPECT_EQ(membership::wanted_holders(2), 5u);
+  EXPECT_EQ(membership::desired_voter_count(1), 3u);
+  EXPECT_EQ(membership::desired_voter_count(2), 5u);
   schema::Voter const fourth{44, "d"};
   std::map<std::uint64_t, int> const all{{1, 0}, {2, 0}, {3, 0}};
   EXPECT_FALSE(membership::plan_joining(three(), all, fourth, 3).has_value());
--- a/source/tests/membership/replica_test.cpp
+++ b/source/tests/membership/replica_test.cpp
@@ -394,7 +394,7 @@
     EXPECT_TRUE(other.expire(now).empty());
   }
   EXPECT_EQ(other.members(), one.members());
-  EXPECT_TRUE(other.tellable(now).empty());  // second-hand word is not told on
+  EXPECT_TRUE(other.direct_sessions(now).empty());  // second-hand word is not told on
 }
 
 TEST(Tellings, CountFromWhenASessionWasHeardOf) {
@@ -500,15 +500,15 @@
   std::uint64_t known = telling(one, 0, other, 1000);
   (void)other.heard(member("f"), 5000);  // it asks the other one now
   std::uint64_t back = telling(other, 0, one, 6000);
-  EXPECT_EQ(one.tellable(6000).size(), 1u);
+  EXPECT_EQ(one.direct_sessions(6000).size(), 1u);
   known = telling(one, known, other, 7000);
-  EXPECT_EQ(other.tellable(7000).size(), 1u);
+  EXPECT_EQ(other.direct_sessions(7000).size(), 1u);
   EXPECT_EQ(other.members().size(), 2u);
   (void)one.heard(member("f"), 9000);
   known = telling(one, known, other, 9500);
-  EXPECT_TRUE(other.tellable(9500).empty());
+  EXPECT_TRUE(other.direct_sessions(9500).empty());
   back = telling(other, back, one, 9800);
-  EXPECT_EQ(one.tellable(9800).size(), 2u);
+  EXPECT_EQ(one.direct_sessions(9800).size(), 2u);
   EXPECT_NE(known, 0u);
   EXPECT_NE(back, 0u);
 }
--- a/source/tests/membership/voter_looks_test.cpp
+++ b/source/tests/membership/voter_looks_test.cpp
@@ -2,7 +2,7 @@
 
 #include "common/constants.hpp"
 #include "membership/reconfiguration/reconfiguration.hpp"
-#include "membership/reconfiguration/voter_looks.hpp"
+#include "membership/reconfiguration/voter_probes.hpp"
 
 namespace finchlink {
 namespace {
@@ -15,7 +15,7 @@
 }
 
 /// One look that the first two voters answer; the answer of the third, if any.
-void look(membership::VoterLooks& looks, std::optional<schema::Adopted> const& third) {
+void look(membership::VoterProbes& looks, std::optional<schema::Adopted> const& third) {
   looks.begin(three());
   looks.answered(1, schema::Adopted{4, 1, true});
   looks.answered(2, schema::Adopted{4, 2, true});
@@ -24,12 +24,12 @@
   }
 }
 
-bool replaces_third(membership::VoterLooks const& looks) {
+bool replaces_third(membership::VoterProbes const& looks) {
   return membership::plan_joining(three(), looks.misses(), schema::Voter{44, "d"}, 3).has_value();
 }
 
 TEST(VoterLooks, OneThatIsSilentCountsAsLostAfterAFewLooks) {
-  membership::VoterLooks looks;
+  membership::VoterProbes looks;
   for (int count = 1; count < constants::join_misses; ++count) {
     look(looks, std::nullopt);
     EXPECT_FALSE(looks.complete());
@@ -43,7 +43,7 @@
 }
 
 TEST(VoterLooks, ANewDiskAtAVotersAddressTakesThatPlaceItself) {
-  membership::VoterLooks looks;
+  membership::VoterProbes looks;
   for (int count = 0; count < 2 * constants::join_misses; ++count) {
     look(looks, schema::Adopted{0, 33, false});
     EXPECT_TRUE(looks.complete());
@@ -54,7 +54,7 @@
 /// Two that wait for a place replaced each other for ever when an image took
 /// longer than three looks.
 TEST(VoterLooks, OneThatCatchesUpIsWaitedForAndNotForEver) {
-  membership::VoterLooks looks;
+  membership::VoterProbes looks;
   for (int count = 0; count < constants::catching_up_looks; ++count) {
     look(looks, schema::Adopted{4, 3, false});
     EXPECT_FALSE(replaces_third(looks)) << count;
