--- a/source/membership/departure/departure.cpp
+++ b/source/membership/departure/departure.cpp
@@ -19,50 +19,50 @@
       return "waits for a successor";
     case DepartureStep::await_votes:
       return "waits for the votes of new voters";
-    case DepartureStep::go_replaced:
+    case DepartureStep::leave_replaced:
       return "replaced";
-    case DepartureStep::go_unreplaced:
+    case DepartureStep::leave_no_successor:
       return "no successor waits";
-    case DepartureStep::go_no_voter:
+    case DepartureStep::leave_not_voter:
       return "no voter";
-    case DepartureStep::go_grace_over:
+    case DepartureStep::leave_grace_expired:
       return "grace is over";
   }
   return "";
 }
 
 DepartureStep Departure::decide(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) {
-  if (last_ == 0 || now - last_ > constants::departure_gap) {
-    running_from_ = now;
+  if (last_decision_ == 0 || now - last_decision_ > constants::departure_gap) {
+    running_since_ = now;
   }
-  last_ = now;
-  note_votes(set, peers);
+  last_decision_ = now;
+  record_votes(set, peers);
   bool const voter = consensus::contains_voter(set.holders, incarnation_);
   bool const source = consensus::contains_voter(set.previous, incarnation_);
   if (incarnation_ == 0 || (!voter && !source)) {
-    return DepartureStep::go_no_voter;
+    return DepartureStep::leave_not_voter;
   }
   if (now >= until_) {
-    return DepartureStep::go_grace_over;
+    return DepartureStep::leave_grace_expired;
   }
-  if (guards_.wait_for_votes && vote_missing(set)) {
+  if (guards_.wait_for_votes && is_vote_missing(set)) {
     return DepartureStep::await_votes;
   }
   if (!voter) {
-    return DepartureStep::go_replaced;
+    return DepartureStep::leave_replaced;
   }
-  if (guards_.wait_for_successor && spare_waits(set, peers, now)) {
+  if (guards_.wait_for_successor && has_spare(set, peers, now)) {
     return DepartureStep::await_successor;
   }
-  return DepartureStep::go_unreplaced;
+  return DepartureStep::leave_no_successor;
 }
 
 bool Departure::in_contact(Peer const& peer, common::Moment now) const {
-  // After a freeze of this machine all would seem silent by the clock.
-  return now - std::max(peer.heard, running_from_) <= constants::departure_contact;
+  // Counted from running_since_ at the earliest: after a freeze of this machine all peers would seem out of contact.
+  return now - std::max(peer.last_heard, running_since_) <= constants::departure_contact;
 }
 
-bool Departure::spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const {
+bool Departure::has_spare(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const {
   for (Peer const& peer : peers) {
     bool const spare = peer.entry.disk && peer.entry.holder != 0 && !peer.entry.leaving &&
                        !consensus::contains_voter(set.holders, peer.entry.holder);
@@ -73,7 +73,7 @@
   return false;
 }
 
-void Departure::note_votes(schema::VoterSet const& set, std::vector<Peer> const& peers) {
+void Departure::record_votes(schema::VoterSet const& set, std::vector<Peer> const& peers) {
   if (set.epoch != epoch_) {
     epoch_ = set.epoch;
     voted_.clear();
@@ -85,10 +85,10 @@
   }
 }
 
-bool Departure::vote_missing(schema::VoterSet const& set) const {
+bool Departure::is_vote_missing(schema::VoterSet const& set) const {
   for (schema::Voter const& voter : set.holders) {
-    bool const newcomer = !consensus::contains_voter(set.previous, voter.incarnation);
-    if (newcomer && voter.incarnation != incarnation_ && voted_.count(voter.incarnation) == 0) {
+    bool const added = !consensus::contains_voter(set.previous, voter.incarnation);
+    if (added && voter.incarnation != incarnation_ && voted_.count(voter.incarnation) == 0) {
       return true;
     }
   }
--- a/source/membership/departure/departure.hpp
+++ b/source/membership/departure/departure.hpp
@@ -10,59 +10,62 @@
 
 namespace finchlink::membership {
 
-/// A peer as gossip last told of it.
+/// Another controller, as last reported by gossip.
 struct Peer {
   schema::TrellisEntry entry;
-  common::Moment heard = 0;  ///< when it last spoke for itself, by the own clock
+  common::Moment last_heard = 0;  ///< when a message from the peer itself last arrived, by the local clock
 };
 
-/// What a departing process does now, and why.
+/// What a process that is shutting down does next, and why.
 enum class DepartureStep {
-  await_successor,  ///< it stays: a peer without a place may take its place among the voters
-  await_votes,      ///< it stays: a new voter has no snapshot yet
-  go_replaced,      ///< all voters of the set that replaced it vote
-  go_unreplaced,    ///< nobody waits for its place
-  go_no_voter,      ///< it has nothing that others could need
-  go_grace_over,
+  await_successor,      ///< stays: a peer that is not a voter may take over its place in the voter set
+  await_votes,          ///< stays: a new voter has not received a snapshot yet
+  leave_replaced,       ///< leaves: all new voters of the set that replaced it vote
+  leave_no_successor,   ///< leaves: no peer is waiting for its place
+  leave_not_voter,      ///< leaves: it holds nothing that other voters could need
+  leave_grace_expired,  ///< leaves: the grace period is over
 };
+/// Whether the process must keep running in this step.
 [[nodiscard]] bool stays(DepartureStep step);
+/// Text of a step for logs and traces; static storage.
 [[nodiscard]] char const* name_of(DepartureStep step);
 
-/// Rules that tests switch off one at a time to show that each is needed.
+/// Safety rules that tests disable one at a time to show that each is needed.
 struct DepartureGuards {
-  bool wait_for_successor = true;
-  bool wait_for_votes = true;
+  bool wait_for_successor = true;  ///< a voter stays while a spare could replace it
+  bool wait_for_votes = true;      ///< a voter stays while a new voter has no snapshot
 };
 
-/// Decides when a process that was told to end may go (section 5.8). A voter
-/// stays while a spare could take its place, and while a new voter is without
-/// a snapshot; whoever has no part in that goes at once. Plain state, asked
-/// again and again; the grace bounds every wait.
+/// Decides when a process that was told to shut down may exit (section 5.8). A voter stays while a spare could take
+/// its place and while a new voter has no snapshot; a process without a part in either exits at once. Performs no
+/// I/O; the caller polls it, and the grace period bounds every wait.
 class Departure {
  public:
+  /// `incarnation` is that of the local acceptor (0: none); the grace period ends at `until`.
   Departure(std::uint64_t incarnation, common::Moment until, DepartureGuards guards = {})
       : incarnation_(incarnation), until_(until), guards_(guards) {}
 
-  /// `set` is the newest voter set known, `peers` all others that gossip tells of.
+  /// `set` is the newest known voter set, `peers` are all other controllers known from gossip.
   [[nodiscard]] DepartureStep decide(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now);
 
  private:
   [[nodiscard]] bool in_contact(Peer const& peer, common::Moment now) const;
-  [[nodiscard]] bool spare_waits(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const;
-  /// Whether a voter that this epoch brought in is not known to vote yet.
-  [[nodiscard]] bool vote_missing(schema::VoterSet const& set) const;
-  void note_votes(schema::VoterSet const& set, std::vector<Peer> const& peers);
+  /// Whether a peer with a working disk that is not a voter could take over the place.
+  [[nodiscard]] bool has_spare(schema::VoterSet const& set, std::vector<Peer> const& peers, common::Moment now) const;
+  /// Whether a voter that was added in this epoch is not yet known to vote.
+  [[nodiscard]] bool is_vote_missing(schema::VoterSet const& set) const;
+  void record_votes(schema::VoterSet const& set, std::vector<Peer> const& peers);
 
   std::uint64_t incarnation_;
   common::Moment until_;
   DepartureGuards guards_;
-  std::uint64_t epoch_ = 0;          ///< the epoch that `voted_` is of
-  std::set<std::uint64_t> voted_;    ///< incarnations that told of their vote in this epoch
-  common::Moment last_ = 0;          ///< when it was last asked
-  common::Moment running_from_ = 0;  ///< since when it was asked without a gap
+  std::uint64_t epoch_ = 0;           ///< the epoch that `voted_` belongs to
+  std::set<std::uint64_t> voted_;     ///< incarnations that reported voting in this epoch
+  common::Moment last_decision_ = 0;  ///< time of the last decide() call
+  common::Moment running_since_ = 0;  ///< since when decide() has been called without a gap
 };
 
-/// Incarnations of the voters whose processes say that they leave.
+/// Incarnations of the voters whose processes report that they are leaving.
 [[nodiscard]] std::set<std::uint64_t> leaving_voters(std::vector<Peer> const& peers);
 
 }  // namespace finchlink::membership
--- a/source/membership/listing/listing.cpp
+++ b/source/membership/listing/listing.cpp
@@ -10,8 +10,8 @@
 namespace finchlink::membership {
 
 namespace {
-/// What is counted of each worker, by id; under no id the list's own revision.
-std::map<std::string, std::string> counted(schema::PlatformList const& list) {
+/// Digest input of each worker, by id; the list's own revision stands under the empty id.
+std::map<std::string, std::string> digest_entries(schema::PlatformList const& list) {
   std::map<std::string, std::string> entries;
   if (list.revision > 0) {
     entries[""] = std::to_string(list.revision);
@@ -35,10 +35,10 @@
 }  // namespace
 
 std::uint64_t digest_of(schema::PlatformList const& list) {
-  return common::digest_of(counted(list));
+  return common::digest_of(digest_entries(list));
 }
 
-bool Listing::keep(schema::PlatformList const& list, common::Moment as_of, common::Moment now) {
+bool Listing::store(schema::PlatformList const& list, common::Moment as_of, common::Moment now) {
   if (as_of <= as_of_) {
     return false;
   }
@@ -49,13 +49,13 @@
     }
   }
   back_since_ = 0;
-  astray_ = false;
+  full_list_needed_ = false;
   list_ = list;
   // In one order everywhere, however the list was learnt.
   std::stable_sort(
       list_.workers.begin(), list_.workers.end(),
       [](schema::WorkerEntry const& left, schema::WorkerEntry const& right) { return left.id < right.id; });
-  (void)source_.take(counted(list_));
+  (void)source_.take(digest_entries(list_));
   as_of_ = as_of;
   return true;
 }
@@ -67,8 +67,8 @@
   }
 }
 
-std::optional<schema::PlatformList> led_on(schema::PlatformList const& held, common::Span passed,
-                                           ListUpdate const& update) {
+std::optional<schema::PlatformList> apply_update(schema::PlatformList const& held, common::Span passed,
+                                                 ListUpdate const& update) {
   schema::PlatformList list = held;
   count_down(list, passed);
   list.revision = update.list.revision;
@@ -86,12 +86,12 @@
       renew(as_of);
     }
   } else if (update.from == 0) {
-    (void)keep(update.list, as_of, now);
+    (void)store(update.list, as_of, now);
   } else if (update.from == before && as_of > as_of_) {
-    std::optional<schema::PlatformList> const next = led_on(list_, as_of - as_of_, update);
-    astray_ = !next.has_value();
+    std::optional<schema::PlatformList> const next = apply_update(list_, as_of - as_of_, update);
+    full_list_needed_ = !next.has_value();
     if (next.has_value()) {
-      (void)keep(*next, as_of, now);
+      (void)store(*next, as_of, now);
     }
   }
   return digest() != before;
@@ -117,8 +117,8 @@
     put.insert(entry.first);
   }
   for (schema::WorkerEntry const& worker : list_.workers) {
-    // What counts down is no part of the digest: a spell that began anew
-    // between two lists is told along, as it would be in the whole list.
+    // The digest leaves out remaining times, so a cold period that restarted between two lists does not show as a
+    // change: workers with remaining times are always sent, as they would be in the full list.
     if (put.count(worker.id) > 0 || worker.cold_ms > 0 || worker.left_ms > 0) {
       update.list.workers.push_back(worker);
     }
@@ -127,7 +127,7 @@
 }
 
 void count_down(schema::PlatformList& list, common::Span passed) {
-  // At least one is left: that it reached zero is for the list itself to say.
+  // At least 1 ms remains: only a list from the platform may say that the time is over.
   std::uint64_t const gone = static_cast<std::uint64_t>(std::max<common::Span>(passed, 0)) / 1000;
   for (schema::WorkerEntry& worker : list.workers) {
     worker.cold_ms = worker.cold_ms > 0 ? worker.cold_ms - std::min(worker.cold_ms - 1, gone) : 0;
--- a/source/membership/reconfiguration/reconfiguration.cpp
+++ b/source/membership/reconfiguration/reconfiguration.cpp
@@ -9,25 +9,25 @@
 namespace finchlink::membership {
 
 namespace {
-/// A voter that never comes back to get its data must not let the set grow without end.
-constexpr std::size_t most_earlier_sets = 16;
+/// Bounds the voter set's size when a voter never returns to get its data.
+constexpr std::size_t max_earlier_sets = 16;
 
-/// A voter that no look was for is not known to vote, and not known to be lost.
-int missed_by(JoiningView const& view, schema::Voter const& voter, JoiningGuards guards) {
+/// A voter that was never probed counts as missed once: it is known neither to vote nor to be lost.
+int missed_probes(JoiningView const& view, schema::Voter const& voter, JoiningGuards guards) {
   std::map<std::uint64_t, int>::const_iterator const found = view.misses.find(voter.incarnation);
-  int const unseen = guards.unseen_is_missed ? 1 : 0;
-  return found == view.misses.end() ? unseen : found->second;
+  int const unseen_misses = guards.unseen_is_missed ? 1 : 0;
+  return found == view.misses.end() ? unseen_misses : found->second;
 }
 
 std::size_t count_voting(schema::VoterSet const& set, JoiningView const& view, JoiningGuards guards) {
   std::size_t voting = 0;
   for (schema::Voter const& voter : set.holders) {
-    voting += missed_by(view, voter, guards) == 0 ? 1 : 0;
+    voting += missed_probes(view, voter, guards) == 0 ? 1 : 0;
   }
   return voting;
 }
 
-/// The voter at the asker's own address, else one that is lost.
+/// The voter at the address of `self`, else one that is lost; nullptr if there is none.
 schema::Voter const* find_lost(schema::VoterSet const& set, JoiningView const& view, schema::Voter const& self,
                                JoiningGuards guards) {
   schema::Voter const* lost = nullptr;
@@ -35,52 +35,53 @@
     if (voter.address == self.address) {
       return &voter;
     }
-    if (missed_by(view, voter, guards) >= common::constants::join_misses) {
+    if (missed_probes(view, voter, guards) >= common::constants::join_misses) {
       lost = &voter;
     }
   }
   return lost;
 }
 
-/// A voter that leaves, while all others vote.
-schema::Voter const* find_leaver(schema::VoterSet const& set, JoiningView const& view, JoiningGuards guards) {
-  schema::Voter const* leaver = nullptr;
+/// A leaving voter, if all others vote; otherwise nullptr.
+schema::Voter const* find_leaving_voter(schema::VoterSet const& set, JoiningView const& view, JoiningGuards guards) {
+  schema::Voter const* leaving_voter = nullptr;
   for (schema::Voter const& voter : set.holders) {
     if (view.leaving.count(voter.incarnation) > 0) {
-      leaver = leaver == nullptr ? &voter : leaver;
+      leaving_voter = leaving_voter == nullptr ? &voter : leaving_voter;
     }
   }
-  if (leaver == nullptr || !guards.one_at_a_time) {
-    return leaver;
+  if (leaving_voter == nullptr || !guards.one_at_a_time) {
+    return leaving_voter;
   }
   for (schema::Voter const& voter : set.holders) {
-    if (&voter != leaver && missed_by(view, voter, guards) > 0) {
+    if (&voter != leaving_voter && missed_probes(view, voter, guards) > 0) {
       return nullptr;
     }
   }
-  return leaver;
+  return leaving_voter;
 }
 
-/// Founders have their data from the first; another has them once it was seen to vote.
+/// The voters of the first set have their data from the start; any other has them once it was seen to vote.
 bool has_caught_up(schema::VoterSet const& set, JoiningView const& view, schema::Voter const& voter,
                    JoiningGuards guards) {
   bool const seen_before =
       std::find(set.caught_up.begin(), set.caught_up.end(), voter.incarnation) != set.caught_up.end();
-  return set.epoch == 1 || seen_before || missed_by(view, voter, guards) == 0;
+  return set.epoch == 1 || seen_before || missed_probes(view, voter, guards) == 0;
 }
 
-/// What the set after `set` must tell of the epochs before it: nothing when all
-/// voters of `set` have their data, since these then are the only ones needed.
+/// The earlier voter sets that the set after `set` must list: none if all voters of `set` have their data, because
+/// then no others are needed as sources of a snapshot.
 std::vector<schema::PastVoterSet> earlier_sets(schema::VoterSet const& set, JoiningView const& view,
                                                JoiningGuards guards) {
-  bool const all = std::all_of(set.holders.begin(), set.holders.end(),
-                               [&](schema::Voter const& voter) { return has_caught_up(set, view, voter, guards); });
-  if (all) {
+  bool const all_caught_up = std::all_of(set.holders.begin(), set.holders.end(), [&](schema::Voter const& voter) {
+    return has_caught_up(set, view, voter, guards);
+  });
+  if (all_caught_up) {
     return {};
   }
   std::vector<schema::PastVoterSet> sets = set.earlier;
   sets.push_back(schema::PastVoterSet{set.epoch - 1, set.previous});
-  if (sets.size() > most_earlier_sets) {
+  if (sets.size() > max_earlier_sets) {
     sets.erase(sets.begin());
   }
   return sets;
@@ -99,7 +100,7 @@
   }
   schema::Voter const* replaced = find_lost(set, view, self, guards);
   if (replaced == nullptr) {
-    replaced = find_leaver(set, view, guards);
+    replaced = find_leaving_voter(set, view, guards);
   }
   if (replaced == nullptr && (voting < set.holders.size() || set.holders.size() >= wanted)) {
     return std::nullopt;
@@ -123,7 +124,7 @@
   return plan_joining(set, JoiningView{misses, {}}, self, wanted);
 }
 
-std::size_t wanted_holders(std::size_t tolerated) {
+std::size_t desired_voter_count(std::size_t tolerated) {
   return 2 * tolerated + 1;
 }
 
--- a/source/membership/replica/apply_changes.hpp
+++ b/source/membership/replica/apply_changes.hpp
@@ -7,8 +7,8 @@
 
 namespace finchlink::membership {
 
-/// Entries by their key, with those put in that changed and those taken out
-/// that are gone; in the order of their keys.
+/// Returns the entries of `held` with those in `changed` added or replaced and those named in `gone` removed, in the
+/// order of their keys.
 template <class Entry>
 [[nodiscard]] std::vector<Entry> apply_changes(std::vector<Entry> const& held, std::vector<Entry> const& changed,
                                                std::vector<std::string> const& gone, std::string Entry::*key) {
--- a/source/membership/replica/replica.cpp
+++ b/source/membership/replica/replica.cpp
@@ -7,12 +7,12 @@
 ListUpdate list_update(schema::NewsAnswer const& answer) {
   return ListUpdate{answer.list_same, answer.list_from, answer.list, answer.list_gone, answer.list_digest};
 }
-ListUpdate list_update(schema::Told const& told) {
-  return ListUpdate{told.list_same, told.list_from, told.list, told.list_gone, told.list_digest};
+ListUpdate list_update(schema::Told const& reply) {
+  return ListUpdate{reply.list_same, reply.list_from, reply.list, reply.list_gone, reply.list_digest};
 }
 
-bool ListReplica::take(ListUpdate const& update, common::Span age, common::Moment asked) {
-  common::Moment const as_of = asked - age;
+bool ListReplica::take(ListUpdate const& update, common::Span age, common::Moment sent_at) {
+  common::Moment const as_of = sent_at - age;
   if (age < 0 || as_of <= as_of_) {
     return false;
   }
@@ -23,9 +23,9 @@
   if (update.from == 0) {
     list_ = update.list;
   } else if (update.from != digest_) {
-    return false;  // another answer came before: the next ask names what is held now
+    return false;  // another answer was applied first: the next request names the list held now
   } else {
-    std::optional<schema::PlatformList> next = led_on(list_, as_of - as_of_, update);
+    std::optional<schema::PlatformList> next = apply_update(list_, as_of - as_of_, update);
     if (!next.has_value()) {
       digest_ = 0;
       return false;
--- a/source/membership/responder/update_responder.hpp
+++ b/source/membership/responder/update_responder.hpp
@@ -10,34 +10,39 @@
 
 namespace finchlink::membership {
 
+/// Safety rules that tests disable to show that each is needed.
 struct UpdateGuards {
-  bool confirm_after_arrival = true;  ///< vouched only by a read begun after the ask came
+  bool confirm_after_arrival = true;  ///< only a majority read that began after the request arrived confirms its answer
 };
 
-/// How long an ask is held, and how long an unconfirmed one; and how many bytes
-/// of contents an answer carries: more is fetched in pieces (section 5.9).
+/// Limits of the answer to an update request.
 struct UpdateBounds {
-  common::Span hold = common::constants::ask_hold;
-  common::Span patience = common::constants::ask_patience;
+  /// Longest wait for a change when the answer is confirmed (long poll).
+  common::Span long_poll_wait = common::constants::ask_hold;
+  /// Longest wait for a confirmation; then the answer is sent unconfirmed.
+  common::Span unconfirmed_wait = common::constants::ask_patience;
+  /// Bytes of content that an answer carries; larger contents are fetched in pieces (section 5.9).
   std::size_t inline_bytes = common::constants::inline_update_bytes;
 };
 
-/// What the asker does not hold yet, contents beyond the bound withheld, large
-/// ones first.
-[[nodiscard]] std::vector<schema::NamedValue> updates_for(schema::NewsAsk const& ask,
+/// The values that the requester does not hold yet. Contents beyond `inline_bytes` in total are withheld, the largest
+/// first.
+[[nodiscard]] std::vector<schema::NamedValue> updates_for(schema::NewsAsk const& request,
                                                           std::map<std::string, schema::Value> const& values,
                                                           std::size_t inline_bytes);
 
-/// A trellis's answer to a furrow's ask (section 6.2): the news and the vouch,
-/// or nothing yet, and until when to wait for something to change.
+/// A controller's reaction to the update request of a proxy (section 6.2): the answer, or how long to wait for
+/// something to change.
 struct UpdateDecision {
   std::optional<schema::NewsAnswer> answer;
-  common::Span wait = 0;
-  /// The asker holds nothing, so it can serve nobody, and there is news for it:
-  /// only a read begun now is missing, and it isn't left for the next turn.
+  common::Span wait = 0;  ///< longest wait before the next decision; meaningful without an answer
+  /// The requester holds nothing and therefore cannot serve, and there are updates for it: only a majority read that
+  /// begins now is missing, so the caller starts one instead of waiting for the next scheduled read.
   bool hurry = false;
 };
-[[nodiscard]] UpdateDecision decide_answer(schema::NewsAsk const& ask, common::Moment arrival,
+/// Decides on a request that came at `arrival`. `confirmed_from` is when the newest completed majority read began, and
+/// `other_updates` says whether there are changes other than `values`.
+[[nodiscard]] UpdateDecision decide_answer(schema::NewsAsk const& request, common::Moment arrival,
                                            common::Moment confirmed_from,
                                            std::map<std::string, schema::Value> const& values, bool other_updates,
                                            common::Moment now, UpdateGuards guards = {}, UpdateBounds bounds = {});
--- a/source/membership/status/voter_status.cpp
+++ b/source/membership/status/voter_status.cpp
@@ -15,23 +15,23 @@
   return std::to_string(span / 1000) + " ms";
 }
 
-bool counts(VoterStatus const& status) {
+bool is_available(VoterStatus const& status) {
   return status.voting && status.contact.has_value() && *status.contact <= constants::contact_bound;
 }
 
 void find_voter_problems(VoterStatus const& status, std::vector<HealthProblem>& problems) {
-  std::string const who = status.voter.address;
+  std::string const voter_address = status.voter.address;
   if (!status.contact.has_value()) {
-    problems.push_back({"voter", who + " was not heard of"});
+    problems.push_back({"voter", voter_address + " was not heard of"});
   } else if (*status.contact > constants::contact_bound) {
-    problems.push_back({"voter", who + " was last heard of " + in_milliseconds(*status.contact) + " ago"});
+    problems.push_back({"voter", voter_address + " was last heard of " + in_milliseconds(*status.contact) + " ago"});
   } else if (status.catching_up) {
-    problems.push_back({"voter", who + " is catching up and has no vote yet"});
+    problems.push_back({"voter", voter_address + " is catching up and has no vote yet"});
   } else if (!status.voting) {
-    problems.push_back({"voter", who + " does not vote in this epoch"});
+    problems.push_back({"voter", voter_address + " does not vote in this epoch"});
   }
   if (status.leaving) {
-    problems.push_back({"voter", who + " is leaving"});
+    problems.push_back({"voter", voter_address + " is leaving"});
   }
 }
 }  // namespace
@@ -51,7 +51,7 @@
       status.voting = peer.entry.voting && peer.entry.epoch == set.epoch;
       status.catching_up = !peer.entry.voting;
       status.leaving = peer.entry.leaving;
-      status.contact = std::max<common::Span>(now - peer.heard, 0);
+      status.contact = std::max<common::Span>(now - peer.last_heard, 0);
     }
     statuses.push_back(status);
   }
@@ -61,7 +61,7 @@
 std::size_t losses_to_spare(schema::VoterSet const& set, std::vector<VoterStatus> const& voters) {
   std::size_t voting = 0;
   for (VoterStatus const& status : voters) {
-    voting += counts(status) ? 1 : 0;
+    voting += is_available(status) ? 1 : 0;
   }
   std::size_t const needed = consensus::majority(set.holders.size());
   return voting > needed ? voting - needed : 0;
--- a/source/tests/membership/cut_off_test.cpp
+++ b/source/tests/membership/cut_off_test.cpp
@@ -14,8 +14,10 @@
 #include "membership/responder/update_responder.hpp"
 #include "tests/invariant_listener.hpp"
 
-/// Schedules around trellises that are cut off (design 13.15): the cores of a register of three, of their majority
-/// reads, of the answers to a furrow and of what that furrow puts in force, on one fake clock.
+/// Random and fixed schedules in which controllers are partitioned from each other (docs/design.md section 13.15): the
+/// acceptors of three controllers, their majority reads, their answers to a proxy and the proxy's freshness lease run
+/// on one fake clock. They guard against a proxy that applies an older revision than before, or treats an answer as
+/// confirmed that is older than its request.
 namespace finchlink::membership {
 namespace {
 
@@ -29,8 +31,8 @@
   UpdateGuards updates;
 };
 
-/// An answer to a majority read that stays on its way while its reader stands still.
-struct Underway {
+/// An answer to a majority read that stays in flight while its reader is frozen.
+struct PendingAnswer {
   std::size_t reader = 0;
   schema::Message message;
 };
@@ -44,12 +46,12 @@
     }
     for (std::size_t round = 0; round < controllers; ++round) {
       for (std::size_t index = 0; index < controllers; ++index) {
-        found(index);
+        bootstrap(index);
       }
     }
   }
 
-  /// One direction between two trellises; a cut is silent.
+  /// Drops all messages in one direction between two controllers, without an error to the sender.
   void cut(std::size_t from, std::size_t to) { cuts_.insert({from, to}); }
   void heal() { cuts_.clear(); }
   [[nodiscard]] bool reaches(std::size_t from, std::size_t to) const {
@@ -64,23 +66,23 @@
   }
 
   void freeze(std::size_t controller) { frozen_.insert(controller); }
-  /// What came meanwhile is read now, whenever it was sent.
+  /// Unfreezes a controller, which now reads the answers that arrived meanwhile.
   void wake(std::size_t controller) {
     frozen_.erase(controller);
-    for (Underway const& entry : underway_) {
+    for (PendingAnswer const& entry : pending_answers_) {
       if (entry.reader == controller) {
         (void)readers_[controller].receive(entry.message);
       }
     }
-    std::erase_if(underway_, [controller](Underway const& entry) { return entry.reader == controller; });
+    std::erase_if(pending_answers_, [controller](PendingAnswer const& entry) { return entry.reader == controller; });
   }
-  /// Its memory is gone, its disk stays.
+  /// Restarts a controller: it loses its memory and keeps its disk.
   void restart(std::size_t controller) {
     wake(controller);
     readers_[controller] = MajorityReader();
   }
 
-  /// A change through one trellis; counted as chosen when its proposer knows.
+  /// Proposes a change through one controller; it counts as chosen once the proposer knows that it is.
   void change(std::size_t through) {
     if (frozen_.count(through) > 0) {
       return;
@@ -90,8 +92,8 @@
     });
     core.start_above(Ballot{1, proposer_, 0});
     std::vector<ProposerAction> actions = core.begin(acceptors_[through].set());
-    for (std::size_t place = 0; place < actions.size(); ++place) {
-      ProposerAction const action = actions[place];  // a copy: more are added below
+    for (std::size_t position = 0; position < actions.size(); ++position) {
+      ProposerAction const action = actions[position];  // a copy: more are added below
       if (Chosen const* const chosen = std::get_if<Chosen>(&action)) {
         newest_chosen = std::max(newest_chosen, chosen->value.revision);
         return;
@@ -109,7 +111,7 @@
     }
   }
 
-  /// A majority read begins; one that is frozen in the middle gets its answers when it wakes.
+  /// Starts a majority read; a controller that freezes in the middle gets the answers when it wakes.
   void read(std::size_t controller, bool frozen_in_the_middle = false) {
     if (frozen_.count(controller) > 0) {
       return;
@@ -118,22 +120,22 @@
       SendRead const& send = std::get<SendRead>(action);
       std::size_t const target = send.to.incarnation - 100;
       if (frozen_.count(target) == 0 && reaches(controller, target) && reaches(target, controller)) {
-        underway_.push_back(Underway{controller, *acceptors_[target].receive(send.read, now).reply});
+        pending_answers_.push_back(PendingAnswer{controller, *acceptors_[target].receive(send.read, now).reply});
       }
     }
     frozen_in_the_middle ? freeze(controller) : wake(controller);
   }
 
-  /// The furrow starts anew and holds nothing.
+  /// Restarts the proxy, which then holds nothing.
   void restart_proxy() {
     lease_ = FreshnessLease(guards_.freshness);
     chosen_at_start = newest_chosen;
   }
-  /// One round of asks, which starts now; whether a vouched answer came.
-  bool ask(std::vector<std::size_t> const& order) {
-    common::Moment const asked = now;
+  /// Runs one round of update requests that starts now; true if a confirmed answer came.
+  bool request_updates(std::vector<std::size_t> const& order) {
+    common::Moment const sent_at = now;
     std::uint64_t const chosen_before = newest_chosen;
-    // All are asked at once: what each tells leads on from what was held before any answered.
+    // All requests are sent at once: each answer is based on what was held before any answer arrived.
     std::vector<std::optional<schema::NewsAnswer>> answers;
     for (std::size_t const controller : order) {
       answers.push_back(answer_of(controller));
@@ -143,12 +145,12 @@
         continue;
       }
       std::uint64_t const before = held();
-      (void)lease_.take(*answer, asked, now);
+      (void)lease_.take(*answer, sent_at, now);
       if (held() < before) {
-        broken.insert("a furrow went back");
+        violations.insert("a proxy applied an older revision");
       }
       if (answer->confirmed && held() < chosen_before) {
-        broken.insert("an answer vouched for what was older than its ask");
+        violations.insert("an answer confirmed a revision older than its request");
       }
       if (answer->confirmed) {
         return true;
@@ -165,10 +167,10 @@
   common::Moment now = common::seconds(100);
   std::uint64_t newest_chosen = 0;
   std::uint64_t chosen_at_start = 0;
-  std::set<std::string> broken;
+  std::set<std::string> violations;
 
  private:
-  void found(std::size_t index) {
+  void bootstrap(std::size_t index) {
     std::vector<schema::FoundingAnswer> answers;
     for (std::size_t other = 0; other < controllers; ++other) {
       if (other != index) {
@@ -178,20 +180,21 @@
     }
     (void)acceptors_[index].bootstrap(answers, now);
   }
-  /// What a trellis answers to an ask that arrives now: at once when a read confirms, else after its patience.
+  /// A controller's answer to a request that arrives now: at once if a read confirms it, else after the unconfirmed
+  /// wait. Nothing if the controller is frozen.
   std::optional<schema::NewsAnswer> answer_of(std::size_t controller) {
     if (frozen_.count(controller) > 0) {
       return std::nullopt;
     }
-    schema::NewsAsk ask;
-    ask.member.held = lease_.held();
+    schema::NewsAsk request;
+    request.member.held = lease_.held();
     common::Moment const arrival = now;
     for (common::Span const waited : {common::Span(0), common::constants::ask_patience}) {
       if (waited == 0) {
         read(controller);
       }
       UpdateDecision const decision =
-          decide_answer(ask, arrival, readers_[controller].confirmed_from(), readers_[controller].values(), true,
+          decide_answer(request, arrival, readers_[controller].confirmed_from(), readers_[controller].values(), true,
                         arrival + waited, guards_.updates);
       if (decision.answer.has_value()) {
         return decision.answer;
@@ -205,14 +208,14 @@
   std::vector<MajorityReader> readers_ = std::vector<MajorityReader>(controllers);
   std::set<std::pair<std::size_t, std::size_t>> cuts_;
   std::set<std::size_t> frozen_;
-  std::vector<Underway> underway_;
+  std::vector<PendingAnswer> pending_answers_;
   std::uint64_t proposer_ = 1;
   FreshnessLease lease_;
 };
 
-constexpr common::Span round_of_asks = common::constants::lost_contact_timeout + common::constants::ask_retry;
+constexpr common::Span request_round = common::constants::lost_contact_timeout + common::constants::ask_retry;
 
-/// A random schedule of cuts, freezes, restarts, changes and asks; gives what it broke.
+/// Runs a random schedule of cuts, freezes, restarts, changes and requests; returns the rules that were violated.
 std::set<std::string> run(std::uint64_t seed, Guards const& guards) {
   std::mt19937_64 random(seed);
   World world(guards);
@@ -256,15 +259,15 @@
         world.restart_proxy();
         break;
       default:
-        (void)world.ask({one, other, 3 - one - other});
+        (void)world.request_updates({one, other, 3 - one - other});
         break;
     }
   }
-  return world.broken;
+  return world.violations;
 }
 
-/// Seeds whose schedule broke something.
-std::size_t broken_seeds(Guards const& guards) {
+/// Number of seeds whose schedule violated a rule.
+std::size_t count_violating_seeds(Guards const& guards) {
   std::size_t count = 0;
   for (std::uint64_t seed = 1; seed <= 3000; ++seed) {
     count += run(seed, guards).empty() ? 0 : 1;
@@ -272,23 +275,24 @@
   return count;
 }
 
-TEST(CutOff, NoScheduleVouchesForWhatIsOldOrTakesAFurrowBack) {
-  EXPECT_EQ(broken_seeds(Guards()), 0u);
+TEST(CutOff, NoScheduleConfirmsAnOldRevisionOrRevertsAProxy) {
+  EXPECT_EQ(count_violating_seeds(Guards()), 0u);
 }
 
-TEST(CutOff, EachGuardOffBreaksSomeSchedule) {
-  Guards back;
-  back.freshness.never_back = false;
+TEST(CutOff, EachDisabledGuardBreaksSomeSchedule) {
+  Guards backward;
+  backward.freshness.never_back = false;
   ExpectedViolations const expected({common::Invariant::adopted_revision_rises, common::Invariant::vouch_after_ask});
-  EXPECT_GT(broken_seeds(back), 0u);
-  Guards early;
-  early.updates.confirm_after_arrival = false;
-  EXPECT_GT(broken_seeds(early), 0u);
+  EXPECT_GT(count_violating_seeds(backward), 0u);
+  Guards before_arrival;
+  before_arrival.updates.confirm_after_arrival = false;
+  EXPECT_GT(count_violating_seeds(before_arrival), 0u);
   EXPECT_GT(expected.count(common::Invariant::adopted_revision_rises), 0u);
   EXPECT_GT(expected.count(common::Invariant::vouch_after_ask), 0u);
 }
 
-/// A trellis that is cut off in one of several ways after it has read revision 1; the others go on to revision 2.
+/// A world in which controller 0 is cut off, in one of several ways, after it has read revision 1; the others then
+/// choose revision 2.
 World cut_off_world(Guards const& guards, bool one_way, bool restarted) {
   World world(guards);
   world.change(1);
@@ -308,7 +312,7 @@
   return world;
 }
 
-TEST(CutOff, AFurrowThatHasJustStartedHoldsNothingOlderThanItsStart) {
+TEST(CutOff, AProxyThatHasJustStartedHoldsNothingOlderThanItsStart) {
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.freshness.wait_for_confirmation = guard;
@@ -316,37 +320,37 @@
       for (bool const restarted : {true, false}) {
         World world = cut_off_world(guards, one_way, restarted);
         ASSERT_EQ(world.newest_chosen, 2u);
-        // Its seeds begin with the one that is cut off, and only that one answers the first round.
-        EXPECT_FALSE(world.ask({0}));
-        // Restarted while cut off it knows nothing to tell; else only the wait keeps the old word out.
+        // The proxy's seed list starts with the controller that is cut off, and only that one answers the first round.
+        EXPECT_FALSE(world.request_updates({0}));
+        // If it was restarted while cut off, it has nothing to report; else only the wait keeps the old revision out.
         EXPECT_EQ(world.held(), guard || restarted ? 0u : 1u);
-        world.now += round_of_asks;
-        EXPECT_TRUE(world.ask({0, 1, 2}));
+        world.now += request_round;
+        EXPECT_TRUE(world.request_updates({0, 1, 2}));
         EXPECT_EQ(world.held(), 2u);
         world.heal();
-        world.now += round_of_asks;
-        EXPECT_TRUE(world.ask({0}));  // healed, it vouches for the newest
+        world.now += request_round;
+        EXPECT_TRUE(world.request_updates({0}));  // after healing, it confirms the newest revision
         EXPECT_EQ(world.held(), 2u);
       }
     }
   }
 }
 
-TEST(CutOff, ALostCoreIsToldFromACutOffTrellisByTheWaitAlone) {
+TEST(CutOff, WithoutAMajorityAnUnconfirmedAnswerIsAppliedAfterTheWait) {
   World world = cut_off_world(Guards(), false, false);
   common::Moment const first = world.now;
   while (world.held() == 0) {
-    ASSERT_LE(world.now - first, common::constants::unconfirmed_wait + round_of_asks);
-    EXPECT_FALSE(world.ask({0}));
-    world.now += round_of_asks;
+    ASSERT_LE(world.now - first, common::constants::unconfirmed_wait + request_round);
+    EXPECT_FALSE(world.request_updates({0}));
+    world.now += request_round;
   }
   EXPECT_GE(world.now - first, common::constants::unconfirmed_wait);
   EXPECT_EQ(world.held(), 1u);
-  EXPECT_TRUE(world.ask({1}));
+  EXPECT_TRUE(world.request_updates({1}));
   EXPECT_EQ(world.held(), 2u);
 }
 
-TEST(CutOff, AReadBegunBeforeAFreezeVouchesForNoAskThatCameAfterIt) {
+TEST(CutOff, AReadBegunBeforeAFreezeConfirmsNoLaterRequest) {
   for (bool const guard : {true, false}) {
     Guards guards;
     guards.updates.confirm_after_arrival = guard;
@@ -357,11 +361,11 @@
     world.change(2);
     EXPECT_EQ(world.newest_chosen, 2u);
     world.now += common::seconds(20);
-    world.wake(0);  // and reads them now
+    world.wake(0);  // reads the answers now
     world.cut(0, 1);
     world.cut(0, 2);
     world.restart_proxy();
-    EXPECT_EQ(world.ask({0}), !guard);
+    EXPECT_EQ(world.request_updates({0}), !guard);
     EXPECT_EQ(world.held(), guard ? 0u : 1u);
   }
 }
--- a/source/tests/membership/departure_test.cpp
+++ b/source/tests/membership/departure_test.cpp
@@ -30,10 +30,10 @@
   return schema::VoterSet{1, voters, voters};
 }
 
-/// The set after `newcomer` took the place of the first voter.
-schema::VoterSet replaced_first(schema::Voter const& newcomer) {
+/// The set after `added` replaced the first voter.
+schema::VoterSet replaced_first(schema::Voter const& added) {
   return schema::VoterSet{
-      2, {newcomer, voter_b, voter_c}, founded().holders, {}, {voter_b.incarnation, voter_c.incarnation}};
+      2, {added, voter_b, voter_c}, founded().holders, {}, {voter_b.incarnation, voter_c.incarnation}};
 }
 
 Peer peer(schema::Voter const& voter, bool voting, std::uint64_t epoch, common::Moment heard, bool leaving = false) {
@@ -46,19 +46,19 @@
   return {peer(voter_b, true, epoch, heard), peer(voter_c, true, epoch, heard)};
 }
 
-TEST(Departure, NobodyWaitsSoItGoesAtOnce) {
+TEST(Departure, LeavesAtOnceWithoutASuccessor) {
   membership::Departure departure(1, until);
-  EXPECT_EQ(departure.decide(founded(), other_voters(start), start), DepartureStep::go_unreplaced);
-  EXPECT_EQ(departure.decide(founded(), {}, start), DepartureStep::go_unreplaced);
+  EXPECT_EQ(departure.decide(founded(), other_voters(start), start), DepartureStep::leave_no_successor);
+  EXPECT_EQ(departure.decide(founded(), {}, start), DepartureStep::leave_no_successor);
 }
 
-TEST(Departure, OneWithoutAPlaceOrADiskGoesAtOnce) {
+TEST(Departure, LeavesAtOnceIfNotAVoterOrWithoutADisk) {
   std::vector<Peer> const peers = other_voters(start);
-  EXPECT_EQ(membership::Departure(9, until).decide(founded(), peers, start), DepartureStep::go_no_voter);
-  EXPECT_EQ(membership::Departure(0, until).decide(founded(), peers, start), DepartureStep::go_no_voter);
-  // Replaced two epochs ago: no snapshot is asked of it any more.
+  EXPECT_EQ(membership::Departure(9, until).decide(founded(), peers, start), DepartureStep::leave_not_voter);
+  EXPECT_EQ(membership::Departure(0, until).decide(founded(), peers, start), DepartureStep::leave_not_voter);
+  // Replaced two epochs ago: no snapshot is requested from it any more.
   schema::VoterSet const later{3, {spare_d, spare_e, voter_c}, replaced_first(spare_d).holders};
-  EXPECT_EQ(membership::Departure(1, until).decide(later, peers, start), DepartureStep::go_no_voter);
+  EXPECT_EQ(membership::Departure(1, until).decide(later, peers, start), DepartureStep::leave_not_voter);
 }
 
 TEST(Departure, StaysUntilItsSuccessorVotes) {
@@ -67,22 +67,22 @@
   peers.push_back(peer(spare_d, false, 0, start));
   EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::await_successor);
   EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, start + 100), DepartureStep::await_votes);
-  // A vote told of an older epoch is not the one that is waited for.
+  // A vote reported for an older epoch does not end the wait.
   peers.back() = peer(spare_d, true, 1, start + 200);
   EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, start + 200), DepartureStep::await_votes);
   peers.back() = peer(spare_d, true, 2, start + 300);
-  EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, start + 300), DepartureStep::go_replaced);
+  EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, start + 300), DepartureStep::leave_replaced);
 }
 
 TEST(Departure, StaysWhileAnotherVotersSuccessorHasNoSnapshot) {
-  // Two leave; the place of the other one was taken, and nobody waits for ours.
+  // Two voters leave; the other one has been replaced, and no spare waits for the place of this one.
   membership::Departure departure(2, until);
   schema::VoterSet const set = replaced_first(spare_d);
   std::vector<Peer> peers{peer(voter_a, false, 2, start, true), peer(voter_c, true, 2, start),
                           peer(spare_d, false, 2, start)};
   EXPECT_EQ(departure.decide(set, peers, start), DepartureStep::await_votes);
   peers.back() = peer(spare_d, true, 2, start);
-  EXPECT_EQ(departure.decide(set, peers, start + 100), DepartureStep::go_unreplaced);
+  EXPECT_EQ(departure.decide(set, peers, start + 100), DepartureStep::leave_no_successor);
 }
 
 TEST(Departure, ASuccessorThatFailsMidwayIsAwaitedUntilTheGraceEnds) {
@@ -93,78 +93,78 @@
     ASSERT_EQ(departure.decide(replaced_first(spare_d), peers, now), DepartureStep::await_votes);
     now += common::milliseconds(20);
   }
-  EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, now), DepartureStep::go_grace_over);
+  EXPECT_EQ(departure.decide(replaced_first(spare_d), peers, now), DepartureStep::leave_grace_expired);
 }
 
-TEST(Departure, ASpareThatWentIsNotAwaited) {
+TEST(Departure, ASpareOutOfContactIsNotAwaited) {
   membership::Departure departure(1, until);
   std::vector<Peer> peers = other_voters(start);
   peers.push_back(peer(spare_d, false, 0, start - common::seconds(9)));
   EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::await_successor)
-      << "it gets the chance to answer";
+      << "the spare gets the chance to answer";
   common::Moment now = start;
   while (departure.decide(founded(), peers, now) == DepartureStep::await_successor) {
     now += common::milliseconds(20);
     ASSERT_LE(now - start, constants::departure_contact + common::milliseconds(20));
   }
-  EXPECT_EQ(departure.decide(founded(), peers, now), DepartureStep::go_unreplaced);
+  EXPECT_EQ(departure.decide(founded(), peers, now), DepartureStep::leave_no_successor);
 }
 
 TEST(Departure, ASpareThatLeavesTooIsNotAwaited) {
   membership::Departure departure(1, until);
   std::vector<Peer> peers = other_voters(start);
   peers.push_back(peer(spare_d, false, 0, start, true));
-  EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::go_unreplaced);
+  EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::leave_no_successor);
   peers.back().entry.leaving = false;
-  peers.back().entry.holder = 0;  // its disk is silent
-  EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::go_unreplaced);
+  peers.back().entry.holder = 0;  // its disk does not respond
+  EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::leave_no_successor);
 }
 
-TEST(Departure, AFreezeOfItsOwnDoesNotMakeTheSpareSeemGone) {
+TEST(Departure, AFreezeOfTheLeavingProcessDoesNotMakeTheSpareSeemLost) {
   membership::Departure departure(1, until);
   std::vector<Peer> peers = other_voters(start);
   peers.push_back(peer(spare_d, false, 0, start));
   EXPECT_EQ(departure.decide(founded(), peers, start), DepartureStep::await_successor);
   common::Moment const woken = start + common::seconds(4);
   EXPECT_EQ(departure.decide(founded(), peers, woken), DepartureStep::await_successor);
-  EXPECT_EQ(departure.decide(founded(), peers, until + 1), DepartureStep::go_grace_over);
+  EXPECT_EQ(departure.decide(founded(), peers, until + 1), DepartureStep::leave_grace_expired);
 }
 
-TEST(Departure, WithoutTheGuardsItGoesWithTheOnlySnapshotAnotherCouldTake) {
+TEST(Departure, WithoutTheGuardsItLeavesWithTheOnlySnapshot) {
   std::vector<Peer> peers = other_voters(start);
   peers.push_back(peer(spare_d, false, 0, start));
   EXPECT_EQ(membership::Departure(1, until, {.wait_for_successor = false}).decide(founded(), peers, start),
-            DepartureStep::go_unreplaced);
+            DepartureStep::leave_no_successor);
   EXPECT_EQ(membership::Departure(1, until, {.wait_for_votes = false}).decide(replaced_first(spare_d), peers, start),
-            DepartureStep::go_replaced);
+            DepartureStep::leave_replaced);
 }
 
-TEST(Departure, GossipTellsWhoLeaves) {
+TEST(Departure, GossipReportsLeavingVoters) {
   membership::Sessions sessions(schema::TrellisEntry{"d", 4, "h", "d", "", true, false, 4});
-  schema::Tell tell;
-  tell.from = peer(voter_a, true, 1, 0, true).entry;
-  (void)sessions.told(tell, start);
+  schema::Tell message;
+  message.from = peer(voter_a, true, 1, 0, true).entry;
+  (void)sessions.receive_gossip(message, start);
   EXPECT_EQ(membership::leaving_voters(sessions.peers()), std::set<std::uint64_t>{1});
-  // Started again with its disk: the leave is cancelled.
-  tell.from.leaving = false;
-  (void)sessions.told(tell, start + 1);
+  // The voter was started again with its disk: its departure is cancelled.
+  message.from.leaving = false;
+  (void)sessions.receive_gossip(message, start + 1);
   EXPECT_TRUE(membership::leaving_voters(sessions.peers()).empty());
 }
 
-TEST(Joining, TakesALeaversPlaceWhileAllOthersVote) {
+TEST(Joining, ReplacesALeavingVoterWhileAllOthersVote) {
   membership::JoiningView view{{{1, 0}, {2, 0}, {3, 0}}, {1}};
   std::optional<schema::VoterSet> const plan = membership::plan_joining(founded(), view, spare_d, 3);
   ASSERT_TRUE(plan.has_value());
   EXPECT_EQ(*plan, replaced_first(spare_d));
-  // It went meanwhile: its place is taken at once, not after three looks.
+  // It has exited meanwhile: it is replaced at once, not after three missed probes.
   view.misses[1] = 1;
   EXPECT_TRUE(membership::plan_joining(founded(), view, spare_d, 3).has_value());
-  // Another missed a look: the snapshot might then hang on the leaver alone.
+  // Another voter missed a probe: the leaving voter might then be the only source of the snapshot.
   view.misses[2] = 1;
   view.misses[1] = 0;
   EXPECT_FALSE(membership::plan_joining(founded(), view, spare_d, 3).has_value());
   EXPECT_TRUE(membership::plan_joining(founded(), view, spare_d, 3, {.one_at_a_time = false}).has_value());
-  // One that is lost for sure comes first, and the leaver's copy helps.
+  // A voter that is certainly lost is replaced first, and the leaving voter still provides a snapshot.
   view.misses[2] = constants::join_misses;
   std::optional<schema::VoterSet> const lost = membership::plan_joining(founded(), view, spare_d, 3);
   ASSERT_TRUE(lost.has_value());
@@ -172,7 +172,7 @@
   EXPECT_EQ(lost->holders[0], voter_a);
 }
 
-TEST(Joining, TheNextLeaversPlaceWaitsForTheFirstNewcomersVote) {
+TEST(Joining, TheNextLeavingVoterIsReplacedAfterTheFirstNewVoterVotes) {
   membership::JoiningView view{{{4, 1}, {2, 0}, {3, 0}}, {1, 2}};
   EXPECT_FALSE(membership::plan_joining(replaced_first(spare_d), view, spare_e, 3).has_value());
   view.misses[4] = 0;
@@ -181,50 +181,50 @@
   EXPECT_EQ(plan->holders, (std::vector<schema::Voter>{spare_d, spare_e, voter_c}));
 }
 
-TEST(Joining, ANewcomerThatNoLookWasForIsNotTakenForAVoter) {
-  // The look was for the first set; the second was learnt while it went on.
+TEST(Joining, ANewVoterThatWasNeverProbedDoesNotCountAsVoting) {
+  // The probe was for the first set; the second set was learnt while it was running.
   membership::JoiningView const view{{{1, 0}, {2, 0}, {3, 0}}, {1, 2}};
   EXPECT_FALSE(membership::plan_joining(replaced_first(spare_d), view, spare_e, 3).has_value());
   EXPECT_TRUE(
       membership::plan_joining(replaced_first(spare_d), view, spare_e, 3, {.unseen_is_missed = false}).has_value());
 }
 
-TEST(Joining, OneThatLeavesTakesNoPlace) {
+TEST(Joining, ALeavingProcessDoesNotJoin) {
   membership::JoiningView const view{{{1, 0}, {2, 0}, {3, constants::join_misses}}, {4}};
   EXPECT_FALSE(membership::plan_joining(founded(), view, spare_d, 3).has_value());
   EXPECT_TRUE(membership::plan_joining(founded(), view, spare_e, 3).has_value());
 }
 
-TEST(Joining, AReplacedVoterGivesTheSnapshotThatASecondLossTookElsewhere) {
-  // Each of three acceptors with one register; the first leaves and is
-  // replaced, the second loses its disk before the newcomer has a snapshot.
+TEST(Joining, AReplacedVoterProvidesTheSnapshotAfterASecondLoss) {
+  // Three acceptors with one register each; the first leaves and is replaced, the second loses its disk before the
+  // new voter has a snapshot.
   std::vector<schema::Record> const records{
       schema::FoundingRecord{1, {}, {}}, schema::SetRecord{founded(), true, true},
       schema::CellRecord{"setup", schema::Cell{{1, 1, 1}, {1, 1, 1}, schema::Value{7, "kept", {}}}}};
-  consensus::Acceptor leaver(records, "a", {}, start);
+  consensus::Acceptor leaving_voter(records, "a", {}, start);
   std::vector<schema::Record> third = records;
   std::get<schema::FoundingRecord>(third[0]).incarnation = 3;
-  third.pop_back();  // what was acknowledged stands at the first two
+  third.pop_back();  // the acknowledged value is stored by the first two
   consensus::Acceptor remaining(third, "c", {}, start);
-  consensus::Acceptor newcomer(4, "d", {}, start);
+  consensus::Acceptor joining(4, "d", {}, start);
   schema::Adopt const adopt{replaced_first(spare_d)};
-  for (consensus::Acceptor* const acceptor : {&leaver, &remaining, &newcomer}) {
+  for (consensus::Acceptor* const acceptor : {&leaving_voter, &remaining, &joining}) {
     (void)acceptor->receive(adopt, start);
   }
-  EXPECT_FALSE(leaver.voting());
-  ASSERT_TRUE(newcomer.needs_snapshot());
+  EXPECT_FALSE(leaving_voter.voting());
+  ASSERT_TRUE(joining.needs_snapshot());
   std::vector<schema::Image> images;
   images.push_back(std::get<schema::Image>(*remaining.receive(schema::ImageAsk{2}, start).reply));
-  (void)newcomer.join(images, start);
-  EXPECT_FALSE(newcomer.voting()) << "had the leaver gone, the register would be lost";
-  images.push_back(std::get<schema::Image>(*leaver.receive(schema::ImageAsk{2}, start).reply));
-  (void)newcomer.join(images, start);
-  EXPECT_TRUE(newcomer.voting());
-  EXPECT_EQ(newcomer.cells().at("setup").value.content, "kept");
+  (void)joining.join(images, start);
+  EXPECT_FALSE(joining.voting()) << "without the leaving voter, the register would be lost";
+  images.push_back(std::get<schema::Image>(*leaving_voter.receive(schema::ImageAsk{2}, start).reply));
+  (void)joining.join(images, start);
+  EXPECT_TRUE(joining.voting());
+  EXPECT_EQ(joining.cells().at("setup").value.content, "kept");
 }
 
-TEST(LeaseRelease, AnotherTakesItAtOnceAndTheLeaverNeverAgain) {
-  lease::LeaseHolder leaver("duty/x", 11);
+TEST(LeaseRelease, AnotherAcquiresItAtOnceAndTheLeavingProcessNeverAgain) {
+  lease::LeaseHolder leaving_owner("duty/x", 11);
   lease::LeaseHolder other("duty/x", 22);
   std::map<std::uint64_t, lease::LeaseGranter> granters;
   for (schema::Voter const& voter : founded().holders) {
@@ -241,14 +241,14 @@
       }
     }
   };
-  exchange(leaver, leaver.tick(founded(), start), start);
-  ASSERT_TRUE(leaver.holds(start));
+  exchange(leaving_owner, leaving_owner.tick(founded(), start), start);
+  ASSERT_TRUE(leaving_owner.holds(start));
   exchange(other, other.tick(founded(), start), start);
   EXPECT_FALSE(other.holds(start));
-  common::Moment const told = start + common::milliseconds(10);
-  exchange(leaver, leaver.release(), told);
-  EXPECT_FALSE(leaver.holds(told));
-  EXPECT_TRUE(leaver.tick(founded(), told + common::seconds(5)).empty());
+  common::Moment const released = start + common::milliseconds(10);
+  exchange(leaving_owner, leaving_owner.release(), released);
+  EXPECT_FALSE(leaving_owner.holds(released));
+  EXPECT_TRUE(leaving_owner.tick(founded(), released + common::seconds(5)).empty());
   common::Moment const next = start + constants::lease_renew;
   exchange(other, other.tick(founded(), next), next);
   EXPECT_TRUE(other.holds(next));
--- a/source/tests/membership/digest_test.cpp
+++ b/source/tests/membership/digest_test.cpp
@@ -4,6 +4,7 @@
 #include "membership/listing/listing.hpp"
 #include "membership/session/sessions.hpp"
 
+/// Tests of the digests that identify a platform list or a set of members.
 namespace finchlink {
 namespace {
 
@@ -16,14 +17,14 @@
   return entry;
 }
 
-TEST(Digests, PartsDoNotRunIntoEachOther) {
+TEST(Digests, FieldBoundariesMatter) {
   EXPECT_NE(common::Digest().add("ab").add("c").text(), common::Digest().add("a").add("bc").text());
   EXPECT_EQ(common::Digest().add("ab").text().size(), 32u);
   EXPECT_NE(common::Digest().short_value(), 0u);
   EXPECT_LT(common::Digest().add("x").short_value(), 1ULL << 53u);
 }
 
-TEST(Digests, OfAListLeaveOutWhatCountsDown) {
+TEST(Digests, OfAListLeaveOutRemainingTimes) {
   schema::PlatformList const list{0, {worker("a"), worker("b")}};
   schema::PlatformList later = list;
   later.workers[0].cold_ms = 20;
@@ -56,12 +57,12 @@
   EXPECT_NE(membership::digest_of(std::vector<schema::Member>{}), 0u);
 }
 
-TEST(Listing, RenewedCountsDownButNotToNothing) {
+TEST(Listing, RenewalReducesRemainingTimesButNotToZero) {
   membership::Listing listing;
   schema::PlatformList list{0, {worker("a"), worker("b")}};
   list.workers[0].left_ms = 500;
   list.workers[1].cold_ms = 0;
-  ASSERT_TRUE(listing.keep(list, common::seconds(1), common::seconds(1)));
+  ASSERT_TRUE(listing.store(list, common::seconds(1), common::seconds(1)));
   std::uint64_t const digest = listing.digest();
   listing.renew(common::seconds(2));
   EXPECT_EQ(listing.list().workers[0].cold_ms, 2000u);
@@ -69,7 +70,7 @@
   EXPECT_EQ(listing.list().workers[1].cold_ms, 0u);
   EXPECT_EQ(listing.digest(), digest);
   EXPECT_EQ(listing.age(common::seconds(2)), 0);
-  listing.renew(common::seconds(1));  // older word changes nothing
+  listing.renew(common::seconds(1));  // an older read changes nothing
   EXPECT_EQ(listing.age(common::seconds(2)), 0);
 }
 
--- a/source/tests/membership/gossip_schedule_test.cpp
+++ b/source/tests/membership/gossip_schedule_test.cpp
@@ -14,7 +14,7 @@
 namespace constants = common::constants;
 
 constexpr common::Span step = common::milliseconds(10);
-constexpr common::Span patience = 2 * constants::wide_tell_pause;
+constexpr common::Span timeout = 2 * constants::wide_tell_pause;
 
 schema::TrellisEntry controller(std::string const& name) {
   schema::TrellisEntry entry;
@@ -30,57 +30,57 @@
   return member;
 }
 
-/// When the teller starts its rounds: paced by the schedule, or one after the
-/// other as a round with a silent peer ends (the fault that the schedule cures).
-enum class Pace { schedule, one_after_the_other };
+/// When the sender starts its rounds: paced by the schedule, or each after the previous one has ended, which an
+/// unresponsive peer delays (the failure that the schedule prevents).
+enum class Pace { schedule, sequential };
 
-/// How often a session that stands at one trellis ended at another one within
-/// a minute, while a third trellis is silent.
+/// How often a live session with one controller expired at another one within a minute, while a third controller does
+/// not respond.
 std::size_t sessions_ended(Pace pace) {
-  Sessions teller(controller("teller"), constants::wide_session_bound);
-  Sessions listener(controller("listener"), constants::wide_session_bound);
+  Sessions sender(controller("teller"), constants::wide_session_bound);
+  Sessions receiver(controller("listener"), constants::wide_session_bound);
   GossipSchedule schedule;
-  std::uint64_t known_there = 0;
-  common::Moment next_ask = 0;
+  std::uint64_t known_digest = 0;
+  common::Moment next_request = 0;
   common::Moment next_round = 0;
   std::size_t ended = 0;
   for (common::Moment now = common::seconds(1); now < common::seconds(61); now += step) {
-    if (now >= next_ask) {
-      (void)teller.heard(proxy(), now);
-      next_ask = now + constants::wide_ask_hold + constants::min_update_request_interval;
+    if (now >= next_request) {
+      (void)sender.record_request(proxy(), now);
+      next_request = now + constants::wide_ask_hold + constants::min_update_request_interval;
     }
     if (now >= next_round) {
-      next_round = now + constants::wide_tell_pause + (pace == Pace::one_after_the_other ? patience : 0);
-      for (std::string const& peer : schedule.start_round({"listener", "silent"}, now, patience)) {
+      next_round = now + constants::wide_tell_pause + (pace == Pace::sequential ? timeout : 0);
+      for (std::string const& peer : schedule.start_round({"listener", "silent"}, now, timeout)) {
         if (peer == "silent") {
           continue;
         }
-        schema::Tell tell;
-        tell.from = teller.self();
-        teller.tell(known_there, now, tell);
-        known_there = listener.told(tell, now);
-        schedule.settled(peer);
+        schema::Tell message;
+        message.from = sender.self();
+        sender.fill_gossip(known_digest, now, message);
+        known_digest = receiver.receive_gossip(message, now);
+        schedule.end_call(peer);
       }
     }
-    ended += listener.expire(now).size();
+    ended += receiver.expire(now).size();
   }
   return ended;
 }
 
-TEST(GossipSchedule, ASilentPeerDoesNotEndSessionsAtTheOthers) {
+TEST(GossipSchedule, AnUnresponsivePeerDoesNotEndSessionsAtTheOthers) {
   EXPECT_EQ(sessions_ended(Pace::schedule), 0u);
 }
 
-TEST(GossipSchedule, RoundsOneAfterTheOtherWouldEndThem) {
-  EXPECT_GT(sessions_ended(Pace::one_after_the_other), 5u);
+TEST(GossipSchedule, SequentialRoundsWouldEndThem) {
+  EXPECT_GT(sessions_ended(Pace::sequential), 5u);
 }
 
-TEST(GossipSchedule, ASilentPeerHasOneMessageUnderWay) {
+TEST(GossipSchedule, AnUnresponsivePeerHasOneMessageInFlight) {
   GossipSchedule schedule;
-  EXPECT_EQ(schedule.start_round({"a", "b"}, 0, patience), (std::vector<std::string>{"a", "b"}));
-  schedule.settled("a");
-  EXPECT_EQ(schedule.start_round({"a", "b"}, constants::wide_tell_pause, patience), (std::vector<std::string>{"a"}));
-  EXPECT_EQ(schedule.start_round({"a", "b"}, patience, patience), (std::vector<std::string>{"b"}));
+  EXPECT_EQ(schedule.start_round({"a", "b"}, 0, timeout), (std::vector<std::string>{"a", "b"}));
+  schedule.end_call("a");
+  EXPECT_EQ(schedule.start_round({"a", "b"}, constants::wide_tell_pause, timeout), (std::vector<std::string>{"a"}));
+  EXPECT_EQ(schedule.start_round({"a", "b"}, timeout, timeout), (std::vector<std::string>{"b"}));
 }
 
 }  // namespace
--- a/source/tests/membership/voter_status_test.cpp
+++ b/source/tests/membership/voter_status_test.cpp
@@ -48,11 +48,11 @@
   EXPECT_EQ(membership::losses_to_spare(view.set, view.voters), 1u);
 }
 
-TEST(VoterStatus, TellsOfVoteEpochContactAndLeaving) {
+TEST(VoterStatus, ReportsVoteEpochContactAndLeaving) {
   std::vector<Peer> peers = all_well();
   peers[0].entry.leaving = true;
   peers[1].entry.voting = false;
-  peers[1].heard = now - common::seconds(1);
+  peers[1].last_heard = now - common::seconds(1);
   peers.pop_back();
   std::vector<membership::VoterStatus> const statuses = membership::voter_statuses(three(), peers, now);
   ASSERT_EQ(statuses.size(), 3u);
@@ -78,7 +78,7 @@
 
 TEST(VoterStatus, EachProblemIsNamed) {
   std::vector<Peer> peers = all_well();
-  peers[0].heard = now - common::constants::contact_bound - 1;
+  peers[0].last_heard = now - common::constants::contact_bound - 1;
   EXPECT_EQ(parts(view_of(peers)), (std::vector<std::string>{"voter", "majority"}));
   peers = all_well();
   peers[0].entry.leaving = true;
