--- a/source/config/change/change_marks.hpp
+++ b/source/config/change/change_marks.hpp
@@ -24,7 +24,7 @@
   unborn,     ///< names a revision that is still to come
 };
 struct IdStanding {
-  Standing standing = Standing::open;
+  Standing standing = Standing::pending;
   std::uint64_t revision = 0;  ///< as the mark tells it, where it was accepted
 };
 
--- a/source/config/change/proposal.cpp
+++ b/source/config/change/proposal.cpp
@@ -20,8 +20,8 @@
 IdStanding standing_of(schema::Value const& value, std::string const& id) {
   std::uint64_t const birth = birth_of(id);
   IdStanding const standing = standing_of(value, id, birth >= dropped_marks(value));
-  if (standing.standing == Standing::open && birth > value.revision) {
-    return IdStanding{Standing::unborn, 0};
+  if (standing.standing == Standing::pending && birth > value.revision) {
+    return IdStanding{Standing::future, 0};
   }
   return standing;
 }
@@ -40,14 +40,14 @@
       case Standing::forgotten:
         note->end = SetupProposalOutcome::forgotten;
         return consensus::Reject{"this id is older than what is remembered"};
-      case Standing::unborn:
-        note->end = SetupProposalOutcome::unborn;
+      case Standing::future:
+        note->end = SetupProposalOutcome::future_revision;
         return consensus::Reject{"this id names a revision that is still to come"};
-      case Standing::open:
+      case Standing::pending:
         break;
     }
     if (wanted.expected.has_value() && *wanted.expected != current.revision) {
-      note->end = SetupProposalOutcome::expectation;
+      note->end = SetupProposalOutcome::revision_mismatch;
       return consensus::Reject{"the revision is another"};
     }
     std::string content = wanted.content;
@@ -60,13 +60,13 @@
       content = *merged;
       SetupReading const reading = read_setup(content);
       if (!reading.good()) {
-        note->end = SetupProposalOutcome::faults;
+        note->end = SetupProposalOutcome::invalid;
         note->faults = reading.faults;
         return consensus::Reject{common::describe(reading.faults)};
       }
     }
     if (content.size() > common::constants::setup_limit) {
-      note->end = SetupProposalOutcome::size;
+      note->end = SetupProposalOutcome::too_large;
       return consensus::Reject{"the setup is larger than allowed"};
     }
     schema::Value next{current.revision + 1, content, current.marks};
@@ -77,7 +77,7 @@
 
 consensus::ProposalFunction veto_of(std::string const& id) {
   return [id](schema::Value const& current) -> consensus::Proposal {
-    if (standing_of(current, id).standing != Standing::open) {
+    if (standing_of(current, id).standing != Standing::pending) {
       return consensus::Keep{};
     }
     // A revision of its own with the same content, so that each revision has
--- a/source/config/routing/proposal.cpp
+++ b/source/config/routing/proposal.cpp
@@ -103,18 +103,18 @@
       return refuse(*note, RoutingProposalOutcome::forgotten, "too old to tell whether it was taken");
     }
     if (change->wanted.expected.has_value() && *change->wanted.expected != note->number) {
-      return refuse(*note, RoutingProposalOutcome::expectation, "another charter is in place");
+      return refuse(*note, RoutingProposalOutcome::base_mismatch, "another charter is in place");
     }
     Made const made = change->whole.has_value() ? *change->whole : make(change->wanted, notation, current.content);
     if (!made.reading.good()) {
       note->faults = made.reading.faults;
-      return refuse(*note, RoutingProposalOutcome::faults, common::describe(made.reading.faults));
+      return refuse(*note, RoutingProposalOutcome::invalid, common::describe(made.reading.faults));
     }
     if (made.reading.routing_config.number <= note->number) {
-      return refuse(*note, RoutingProposalOutcome::number, "the number does not rise");
+      return refuse(*note, RoutingProposalOutcome::stale_number, "the number does not rise");
     }
     if (made.content.size() > common::constants::routing_config_limit) {
-      return refuse(*note, RoutingProposalOutcome::size, "the charter is larger than allowed");
+      return refuse(*note, RoutingProposalOutcome::too_large, "the charter is larger than allowed");
     }
     schema::Value next{current.revision + 1, made.content, current.marks};
     add_mark(next, change->id, made.reading.routing_config.number, marks.kept);
--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -18,7 +18,7 @@
 
 LeasedTasks::LeasedTasks(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
                          UpdateService& updates, AcceptorService* holder, std::uint64_t identity,
-                         schema::Settings const& settings, config::Notation notation)
+                         schema::Settings const& settings, config::RoutingConfigFormat notation)
     : context_(context),
       caller_(caller),
       register_(register_client),
@@ -200,13 +200,13 @@
         if (found != values.end() && found->second.revision != routing_config_revision_) {
           routing_config = found->second;
         }
-        std::map<std::string, schema::Value>::const_iterator const halls = values.find(config::evacuated_register);
+        std::map<std::string, schema::Value>::const_iterator const halls = values.find(config::drained_zones_register);
         if (halls != values.end()) {
           evacuated = halls->second;
         }
       });
   if (routing_config.revision > 0) {
-    config::RoutingConfigReading reading = notation_.read(routing_config.content);
+    config::ParsedRoutingConfig reading = notation_.read(routing_config.content);
     std::lock_guard<std::mutex> const guard(lock_);
     routing_config_revision_ = routing_config.revision;
     routing_config_ = std::move(reading.routing_config);
@@ -215,7 +215,7 @@
       route = schema::Lane{.shares = std::move(route.shares), .set_point_ms = route.set_point_ms};
     }
   }
-  std::vector<std::string> const halls = config::evacuated_zones(evacuated.content);
+  std::vector<std::string> const halls = config::parse_drained_zones(evacuated.content);
   schema::PlatformList const list = updates_.list();
   std::lock_guard<std::mutex> const guard(lock_);
   return scheduling::build_pools(list, routing_config_, known.regions,
--- a/source/control_plane/leased_tasks/leased_tasks.hpp
+++ b/source/control_plane/leased_tasks/leased_tasks.hpp
@@ -24,7 +24,7 @@
  public:
   LeasedTasks(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
               UpdateService& updates, AcceptorService* holder, std::uint64_t identity, schema::Settings const& settings,
-              config::Notation notation);
+              config::RoutingConfigFormat notation);
   void begin();
   /// Settings that changed.
   void follow(schema::Settings const& settings);
@@ -63,7 +63,7 @@
   AcceptorService* holder_;
   std::uint64_t identity_;
   schema::Settings settings_;
-  config::Notation notation_;
+  config::RoutingConfigFormat notation_;
   std::string address_;
   std::size_t wanted_holders_;
   std::mutex lock_;
--- a/source/control_plane/main.cpp
+++ b/source/control_plane/main.cpp
@@ -63,12 +63,12 @@
         platform ? control_plane::ListReader(platform::read_list) : control_plane::ListReader());
     program.duties = std::make_unique<control_plane::LeasedTasks>(
         context, *program.caller, *program.register_client, *program.updates, program.holder.get(), identity, settings,
-        platform ? platform::notation() : config::own_notation());
+        platform ? platform::notation() : config::native_format());
     program.departure = std::make_unique<control_plane::DepartureService>(
         context, *program.register_client, *program.updates, *program.duties, program.holder.get());
     program.operators = std::make_unique<control_plane::Operator>(
         context, *program.register_client, *program.updates, program.holder.get(),
-        [&program] { return program.duties->describe(); }, platform ? platform::notation() : config::own_notation(),
+        [&program] { return program.duties->describe(); }, platform ? platform::notation() : config::native_format(),
         platform ? platform::operator_paths() : control_plane::OperatorPaths(), span(bounds.acknowledge_wait_ms));
     absl::Status status = common::serve_frames(
         context, settings.colleague_address, settings.connections,
--- a/source/control_plane/operator/operator.cpp
+++ b/source/control_plane/operator/operator.cpp
@@ -242,7 +242,7 @@
 }
 
 common::Answer Operator::change_routing_config(common::Ask const& ask, bool patch, common::Yield yield) {
-  config::WantedRoutingConfig wanted{ask.body(), patch, std::nullopt};
+  config::RoutingChangeRequest wanted{ask.body(), patch, std::nullopt};
   std::string const match(ask[http::field::if_match]);
   if (!match.empty() && match != "*") {
     wanted.expected = tag_revision(match);
@@ -262,17 +262,17 @@
     ++accepted_;
     common::note(common::Event::CharterChosen, std::to_string(number));
   } else if (std::holds_alternative<RegisterClient::Unknown>(result)) {
-    common::note(common::Event::CharterUnknown, config::id_of(wanted));
+    common::note(common::Event::CharterUnknown, config::change_id_of(wanted));
     return unknown("no majority of holders answered in time; send the same again");
   }
   if (note->end == config::RoutingProposalOutcome::forgotten) {
-    common::note(common::Event::CharterUnknown, config::id_of(wanted) + " is too old");
+    common::note(common::Event::CharterUnknown, config::change_id_of(wanted) + " is too old");
     return unknown("too old to tell whether it was taken before; nothing was done now");
   }
   std::string const tag = "\"" + std::to_string(number) + "\"";
   if (note->end == config::RoutingProposalOutcome::done) {
     if (wanted.expected.has_value()) {
-      answer_check_.acknowledged_on(config::routing_config_register, *wanted.expected, config::id_of(wanted));
+      answer_check_.acknowledged_on(config::routing_config_register, *wanted.expected, config::change_id_of(wanted));
     }
     spread(yield);
     common::Answer answer = common::answer_text(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
@@ -281,16 +281,16 @@
   }
   ++rejected_;
   common::note(common::Event::CharterRejected, common::describe(note->faults));
-  if (note->end == config::RoutingProposalOutcome::faults) {
+  if (note->end == config::RoutingProposalOutcome::invalid) {
     common::Answer answer = faults_answer(note->faults);
     answer.result(http::status::bad_request);
     return answer;
   }
-  if (note->end == config::RoutingProposalOutcome::number) {
+  if (note->end == config::RoutingProposalOutcome::stale_number) {
     return common::answer_error(http::status::bad_request, "number",
                                 "the number must be above the one in place, " + std::to_string(number));
   }
-  if (note->end == config::RoutingProposalOutcome::size) {
+  if (note->end == config::RoutingProposalOutcome::too_large) {
     return common::answer_error(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
   }
   common::Answer answer = common::answer_error(http::status::precondition_failed, "another",
@@ -307,11 +307,11 @@
 common::Answer Operator::evacuate(std::string const& zone, bool evacuated, common::CallerConnection const& caller,
                                   common::Yield yield) {
   // Known before anything else happens: what comes later may be newer than this order (section 13.3).
-  config::EvacuationOrder const order{zone, evacuated,
-                                      config::newest_order(register_.value(config::evacuated_register), zone)};
-  std::shared_ptr<config::EvacuationReport> const report = std::make_shared<config::EvacuationReport>();
-  RegisterClient::Result const result = register_.change(config::evacuated_register,
-                                                         config::evacuation_proposal(
+  config::ZoneDrainCommand const order{zone, evacuated,
+                                       config::newest_command(register_.value(config::drained_zones_register), zone)};
+  std::shared_ptr<config::ZoneDrainReport> const report = std::make_shared<config::ZoneDrainReport>();
+  RegisterClient::Result const result = register_.change(config::drained_zones_register,
+                                                         config::zone_drain_proposal(
                                                              order, [caller] { return caller.gone(); }, report),
                                                          constants::change_deadline, yield);
   if (std::holds_alternative<RegisterClient::Unknown>(result)) {
@@ -323,7 +323,7 @@
     return unknown("another order about this zone came meanwhile; send the same again");
   }
   if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
-    answer_check_.acknowledged(config::evacuated_register, done->value);
+    answer_check_.acknowledged(config::drained_zones_register, done->value);
   }
   ++accepted_;
   common::note(common::Event::EvacuationChosen, zone + (evacuated ? " is emptied" : " is taken back"));
@@ -332,7 +332,7 @@
 }
 
 common::Answer Operator::get_evacuated(common::Yield yield) {
-  std::optional<schema::Value> const value = confirmed("/evacuated", config::evacuated_register, yield);
+  std::optional<schema::Value> const value = confirmed("/evacuated", config::drained_zones_register, yield);
   if (!value.has_value()) {
     return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
@@ -365,7 +365,7 @@
 }
 
 common::Answer Operator::change_setup(common::Ask const& ask, bool patch, common::Yield yield) {
-  config::WantedChange wanted;
+  config::SetupChangeRequest wanted;
   wanted.patch = patch;
   wanted.id = std::string(ask["Change-Id"]);
   if (wanted.id.empty()) {
@@ -381,13 +381,13 @@
       return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one revision in quotes, or *");
     }
   }
-  absl::StatusOr<std::string> const content = config::canonical(ask.body());
+  absl::StatusOr<std::string> const content = config::canonical_json(ask.body());
   if (!content.ok()) {
     return common::answer_error(http::status::bad_request, "malformed", std::string(content.status().message()));
   }
   wanted.content = *content;
   if (!patch) {
-    config::SetupReading const reading = config::read_setup(wanted.content);
+    config::ParsedSetup const reading = config::read_setup(wanted.content);
     if (!reading.good()) {
       return faults_answer(reading.faults);
     }
@@ -395,7 +395,7 @@
   return apply(wanted, yield);
 }
 
-common::Answer Operator::apply(config::WantedChange const& wanted, common::Yield yield) {
+common::Answer Operator::apply(config::SetupChangeRequest const& wanted, common::Yield yield) {
   std::shared_ptr<config::SetupProposalReport> const note = std::make_shared<config::SetupProposalReport>();
   RegisterClient::Result const result = register_.change(
       consensus::setup_register, config::setup_proposal(wanted, note), constants::change_deadline, yield);
@@ -407,8 +407,8 @@
     return chosen(wanted.id, done->value.revision, yield);
   }
   if (consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&result)) {
-    config::IdStanding const known = config::standing_of(rejected->current, wanted.id);
-    if (known.standing == config::Standing::accepted) {
+    config::ChangeStatus const known = config::status_of(rejected->current, wanted.id);
+    if (known.state == config::ChangeState::accepted) {
       return chosen(wanted.id, known.revision, yield);
     }
     if (note->end == config::SetupProposalOutcome::forgotten) {
@@ -419,18 +419,18 @@
     }
     ++rejected_;
     common::note(common::Event::SetupRejected, wanted.id + " " + rejected->reason);
-    if (known.standing == config::Standing::rejected) {
+    if (known.state == config::ChangeState::rejected) {
       return outcome_answer(http::status::conflict, "rejected", wanted.id, rejected->current.revision,
                             "this id was given up before");
     }
-    if (note->end == config::SetupProposalOutcome::unborn) {
+    if (note->end == config::SetupProposalOutcome::future_revision) {
       return outcome_answer(http::status::bad_request, "rejected", wanted.id, rejected->current.revision,
                             rejected->reason);
     }
-    if (note->end == config::SetupProposalOutcome::faults) {
+    if (note->end == config::SetupProposalOutcome::invalid) {
       return faults_answer(note->faults);
     }
-    if (note->end == config::SetupProposalOutcome::size) {
+    if (note->end == config::SetupProposalOutcome::too_large) {
       return outcome_answer(http::status::payload_too_large, "rejected", wanted.id, rejected->current.revision,
                             rejected->reason);
     }
@@ -459,8 +459,8 @@
   // the same id makes "rejected" final (section 5.7).
   common::Moment const until = common::boot_now() + constants::change_deadline;
   while (common::boot_now() < until) {
-    config::IdStanding const known = config::standing_of(register_.value(consensus::setup_register), id);
-    if (known.standing != config::Standing::open && known.standing != config::Standing::unborn) {
+    config::ChangeStatus const known = config::status_of(register_.value(consensus::setup_register), id);
+    if (known.state != config::ChangeState::pending && known.state != config::ChangeState::future) {
       return told(known, id, yield);
     }
     common::pause(context_, constants::confirm_pause, yield);
@@ -473,24 +473,24 @@
     return answer;
   }
   RegisterClient::Result const result =
-      register_.change(consensus::setup_register, config::veto_of(id), constants::change_deadline, yield);
+      register_.change(consensus::setup_register, config::cancel_proposal(id), constants::change_deadline, yield);
   --outcomes_;
   if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
-    return told(config::standing_of(done->value, id), id, yield);
+    return told(config::status_of(done->value, id), id, yield);
   }
   return outcome_answer(http::status::gateway_timeout, "unknown", id, 0, "no majority of holders answered");
 }
 
-common::Answer Operator::told(config::IdStanding const& known, std::string const& id, common::Yield yield) {
-  switch (known.standing) {
-    case config::Standing::accepted:
+common::Answer Operator::told(config::ChangeStatus const& known, std::string const& id, common::Yield yield) {
+  switch (known.state) {
+    case config::ChangeState::accepted:
       // "Accepted" promises the same here as after a PUT (section 4.1); when
       // it was chosen is not known, so the whole wait counts from now.
       common::pause(context_, acknowledge_wait_, yield);
       return outcome_answer(http::status::ok, "accepted", id, known.revision);
-    case config::Standing::rejected:
+    case config::ChangeState::rejected:
       return outcome_answer(http::status::ok, "rejected", id, 0);
-    case config::Standing::unborn:
+    case config::ChangeState::future:
       return outcome_answer(http::status::not_found, "unborn", id, 0, "this id names a revision that is still to come");
     default:
       return outcome_answer(http::status::gone, "forgotten", id, 0, "too old: what became of it is no longer known");
@@ -508,7 +508,7 @@
   common::Tree patch(cJSON_CreateObject());
   cJSON* const entry = cJSON_AddObjectToObject(cJSON_AddObjectToObject(patch.get(), "halls"), name.c_str());
   cJSON_AddBoolToObject(entry, "evacuated", deed == "drain" ? 1 : 0);
-  config::WantedChange wanted;
+  config::SetupChangeRequest wanted;
   wanted.id = fresh_id("hall", yield);
   wanted.patch = true;
   wanted.content = common::print_tree(patch.get());
--- a/source/control_plane/operator/operator.hpp
+++ b/source/control_plane/operator/operator.hpp
@@ -21,7 +21,7 @@
  public:
   Operator(boost::asio::io_context& context, RegisterClient& register_client, UpdateService& updates,
            AcceptorService* holder, std::function<std::string()> duties,
-           config::Notation notation = config::own_notation(), OperatorPaths paths = {},
+           config::RoutingConfigFormat notation = config::native_format(), OperatorPaths paths = {},
            common::Span acknowledge_wait = common::constants::acknowledge_wait)
       : context_(context),
         register_(register_client),
@@ -57,9 +57,9 @@
   void spread(common::Yield yield);
   [[nodiscard]] common::Answer get_setup(common::Yield yield);
   [[nodiscard]] common::Answer change_setup(common::Ask const& ask, bool patch, common::Yield yield);
-  [[nodiscard]] common::Answer apply(config::WantedChange const& wanted, common::Yield yield);
+  [[nodiscard]] common::Answer apply(config::SetupChangeRequest const& wanted, common::Yield yield);
   [[nodiscard]] common::Answer outcome(std::string const& id, common::Yield yield);
-  [[nodiscard]] common::Answer told(config::IdStanding const& known, std::string const& id, common::Yield yield);
+  [[nodiscard]] common::Answer told(config::ChangeStatus const& known, std::string const& id, common::Yield yield);
   [[nodiscard]] std::string fresh_id(std::string const& name, common::Yield yield);
   [[nodiscard]] common::Answer hall(std::string const& target, common::Yield yield);
   [[nodiscard]] common::Answer chosen(std::string const& id, std::uint64_t revision, common::Yield yield);
@@ -71,7 +71,7 @@
   AcceptorService* holder_;
   HealthPages health_;
   std::function<std::string()> duties_;
-  config::Notation notation_;
+  config::RoutingConfigFormat notation_;
   OperatorPaths paths_;
   std::atomic<common::Span> acknowledge_wait_;
   ReadLatency read_latency_;
--- a/source/data_plane/main.cpp
+++ b/source/data_plane/main.cpp
@@ -36,7 +36,7 @@
         return absl::InvalidArgumentError("/threads must be 1 for a relay");
       }
       relay_server = std::make_unique<data_plane::RelayServer>(context, settings, data_plane::own_dialect(),
-                                                               config::own_notation(), data_plane::ListReader(),
+                                                               config::native_format(), data_plane::ListReader(),
                                                                common::random_identity());
       return relay_server->begin();
     }
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -28,7 +28,7 @@
     std::shared_ptr<Plan> const next = std::make_shared<Plan>(*plan_);
     for (schema::NamedValue const& update : freshness_.take(answer, asked, common::boot_now())) {
       if (update.name == consensus::setup_register) {
-        config::SetupReading const reading = config::read_setup(update.content);
+        config::ParsedSetup const reading = config::read_setup(update.content);
         common::check(common::Invariant::chosen_content_readable, update.content.empty() || reading.good(), [&] {
           return "setup revision " + std::to_string(update.revision) + ": " + common::describe(reading.faults);
         });
--- a/source/data_plane/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -632,7 +632,7 @@
       return;
     }
     std::vector<schema::Member> const targets =
-        scheduling::forward_targets(*plan_, field_.name(), pool(), serve_.bound);
+        scheduling::forward_targets(*plan_, field_.name(), pool(), serve_.has_home);
     if (targets.empty() || !field_.confirmed(common::boot_now())) {
       feed(scheduling::NoCapacity{});
       return;
--- a/source/data_plane/query/session.cpp
+++ b/source/data_plane/query/session.cpp
@@ -93,10 +93,10 @@
       config::decide(plan.setup, plan.region, std::string(header.method_string()), path, lookup, body_bytes);
   if (config::Serve const* const serve = std::get_if<config::Serve>(&disposition)) {
     verdict.serve = *serve;
-  } else if (config::GoHome const* const home = std::get_if<config::GoHome>(&disposition)) {
+  } else if (config::RedirectToHome const* const home = std::get_if<config::RedirectToHome>(&disposition)) {
     verdict.answer = send_home(plan, home->region, query, target);
   } else {
-    config::TurnAway const& away = std::get<config::TurnAway>(disposition);
+    config::RejectRequest const& away = std::get<config::RejectRequest>(disposition);
     verdict.answer = common::answer_error(static_cast<http::status>(away.status), away.error, away.message);
   }
   return verdict;
--- a/source/data_plane/relay/adopted_checks.cpp
+++ b/source/data_plane/relay/adopted_checks.cpp
@@ -7,7 +7,7 @@
 
 using common::Invariant;
 
-void check_routing_config(schema::NamedValue const& chosen, config::RoutingConfigReading const& reading) {
+void check_routing_config(schema::NamedValue const& chosen, config::ParsedRoutingConfig const& reading) {
   common::check(Invariant::chosen_content_readable, reading.good(), [&] {
     return "routing configuration revision " + std::to_string(chosen.revision) + ": " +
            common::describe(reading.faults);
--- a/source/data_plane/relay/adopted_checks.hpp
+++ b/source/data_plane/relay/adopted_checks.hpp
@@ -10,7 +10,7 @@
 
 /// Checks that a chosen routing configuration is valid: controllers accepted it by the same rules that it is read by
 /// here.
-void check_routing_config(schema::NamedValue const& chosen, config::RoutingConfigReading const& reading);
+void check_routing_config(schema::NamedValue const& chosen, config::ParsedRoutingConfig const& reading);
 /// Checks that the chosen value of the drained zones is a list.
 void check_evacuations(schema::NamedValue const& chosen);
 /// Checks that each route is found by its own host and prefix.
--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -81,7 +81,7 @@
 }
 
 RelayServer::RelayServer(asio::io_context& context, schema::Settings const& settings, Dialect dialect,
-                         config::Notation notation, ListReader list_reader, std::uint64_t identity)
+                         config::RoutingConfigFormat notation, ListReader list_reader, std::uint64_t identity)
     : context_(context),
       settings_(settings),
       dialect_(std::move(dialect)),
@@ -391,9 +391,9 @@
     if (update.name == config::routing_config_register) {
       apply_routing_config(update);
       common::note(common::Event::RevisionAdopted, "charter revision " + std::to_string(update.revision));
-    } else if (update.name == config::evacuated_register) {
+    } else if (update.name == config::drained_zones_register) {
       check_evacuations(update);
-      std::vector<std::string> const zones = config::evacuated_zones(update.content);
+      std::vector<std::string> const zones = config::parse_drained_zones(update.content);
       drained_zones_ = decltype(drained_zones_)(zones.begin(), zones.end());
       common::note(common::Event::RevisionAdopted, "evacuated " + update.content);
     } else if (update.name.rfind(consensus::split_prefix, 0) == 0) {
@@ -418,7 +418,7 @@
 }
 
 void RelayServer::apply_routing_config(schema::NamedValue const& update) {
-  config::RoutingConfigReading reading = notation_.read(update.content);
+  config::ParsedRoutingConfig reading = notation_.read(update.content);
   check_routing_config(update, reading);
   if (!reading.good()) {
     return;  // the previous one stays in force
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -74,7 +74,7 @@
 class RelayServer {
  public:
   RelayServer(boost::asio::io_context& context, schema::Settings const& settings, Dialect dialect,
-              config::Notation notation, ListReader list_reader, std::uint64_t identity);
+              config::RoutingConfigFormat notation, ListReader list_reader, std::uint64_t identity);
 
   /// Listens and starts its coroutines; an error names the setting or address that failed.
   [[nodiscard]] absl::Status begin();
@@ -166,7 +166,7 @@
   boost::asio::io_context& context_;
   schema::Settings settings_;
   Dialect dialect_;
-  config::Notation notation_;
+  config::RoutingConfigFormat notation_;
   ListReader list_reader_;
   std::uint64_t identity_;
   common::Caller caller_;
--- a/source/platform/notation.cpp
+++ b/source/platform/notation.cpp
@@ -128,8 +128,8 @@
   return service;
 }
 
-config::RoutingConfigReading read_routing_config(std::string const& text) {
-  config::RoutingConfigReading reading;
+config::ParsedRoutingConfig read_routing_config(std::string const& text) {
+  config::ParsedRoutingConfig reading;
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     reading.faults.push_back(common::Fault{"", std::string(tree.status().message())});
@@ -156,18 +156,19 @@
     target.header_wait_ms = limits.natural("header_wait_ms", target.header_wait_ms);
     target.idle_ms = limits.natural("idle_ms", target.idle_ms);
   }
-  std::vector<common::Fault> const more = config::check(reading.routing_config);
+  std::vector<common::Fault> const more = config::validate(reading.routing_config);
   reading.faults.insert(reading.faults.end(), more.begin(), more.end());
   return reading;
 }
 }  // namespace
 
-config::Notation notation() {
-  return config::Notation{read_routing_config,
-                          [](std::string const& current, std::string const& change) {
-                            return config::merge_named(current, change, "revision", {"channels", "plants"});
-                          },
-                          [](std::string const& text) { return config::number_in(text, "revision"); }};
+config::RoutingConfigFormat notation() {
+  return config::RoutingConfigFormat{
+      read_routing_config,
+      [](std::string const& current, std::string const& change) {
+        return config::merge_named(current, change, "revision", {"channels", "plants"});
+      },
+      [](std::string const& text) { return config::parse_number_field(text, "revision"); }};
 }
 
 }  // namespace finchlink::platform
--- a/source/platform/notation.hpp
+++ b/source/platform/notation.hpp
@@ -6,6 +6,6 @@
 
 /// The platform's configuration in terms of a charter (section 13.2). Its text
 /// is kept as it came; fields that we don't know are skipped in reading.
-[[nodiscard]] config::Notation notation();
+[[nodiscard]] config::RoutingConfigFormat notation();
 
 }  // namespace finchlink::platform
--- a/source/scheduling/plan/plan.cpp
+++ b/source/scheduling/plan/plan.cpp
@@ -153,8 +153,9 @@
     query_config.rule = rule;
   } else {
     decided.decision =
-        std::holds_alternative<config::GoHome>(disposition) ? ServingDecision::home : ServingDecision::none;
-    query_config.home = decided.decision == ServingDecision::home ? std::get<config::GoHome>(disposition).region : "";
+        std::holds_alternative<config::RedirectToHome>(disposition) ? ServingDecision::home : ServingDecision::none;
+    query_config.home =
+        decided.decision == ServingDecision::home ? std::get<config::RedirectToHome>(disposition).region : "";
   }
   decided.repeatable = query_config.rule.repeatable;
   decided.resumable = query_config.rule.resumable;
--- a/source/simulator/control/checker.cpp
+++ b/source/simulator/control/checker.cpp
@@ -129,14 +129,14 @@
   }
 }
 
-void Checker::settle(std::string const& id, config::IdStanding const& found) {
-  if (found.standing == config::Standing::rejected) {
+void Checker::settle(std::string const& id, config::ChangeStatus const& found) {
+  if (found.state == config::ChangeState::rejected) {
     rejected_.insert(id);
     kernel_.trace("vetoed " + id);
-  } else if (found.standing == config::Standing::accepted) {
+  } else if (found.state == config::ChangeState::accepted) {
     accepted_[id] = found.revision;
     floor_ = std::max(floor_, found.revision);
-  } else if (found.standing != config::Standing::forgotten) {
+  } else if (found.state != config::ChangeState::forgotten) {
     violate("the outcome of " + id + " was settled without a mark");
   }
 }
--- a/source/simulator/control/checker.hpp
+++ b/source/simulator/control/checker.hpp
@@ -42,7 +42,7 @@
   void refuse_expected(std::uint64_t expected, common::Moment began);
   void reject(std::string const& id);
   /// What a veto found of a change whose outcome was unknown.
-  void settle(std::string const& id, config::IdStanding const& found);
+  void settle(std::string const& id, config::ChangeStatus const& found);
   /// A read gave this revision; `floor` is what was known before it began.
   void read(std::uint64_t revision, std::uint64_t floor, common::Moment began);
 
--- a/source/simulator/control/operators.cpp
+++ b/source/simulator/control/operators.cpp
@@ -44,8 +44,8 @@
   });
 }
 
-config::WantedChange World::next_change(Machine const& machine, std::optional<std::uint64_t> expected) {
-  config::WantedChange wanted;
+config::SetupChangeRequest World::next_change(Machine const& machine, std::optional<std::uint64_t> expected) {
+  config::SetupChangeRequest wanted;
   wanted.id = "c" + std::to_string(next_change_id_++) + "." +
               std::to_string(newest_known(machine, consensus::setup_register).revision);
   wanted.expected = expected;
@@ -98,8 +98,8 @@
 }
 
 void World::end_rejected(std::shared_ptr<SetupChange> const& change, consensus::Rejected const& rejected) {
-  config::IdStanding const known = config::standing_of(rejected.current, change->wanted.id);
-  if (known.standing == config::Standing::accepted) {
+  config::ChangeStatus const known = config::status_of(rejected.current, change->wanted.id);
+  if (known.state == config::ChangeState::accepted) {
     acknowledge_later(change, known.revision);
     return;
   }
@@ -110,7 +110,7 @@
   }
   change->told = true;
   ++report_.rejected;
-  if (change->report->end == config::SetupProposalOutcome::expectation) {
+  if (change->report->end == config::SetupProposalOutcome::revision_mismatch) {
     checker_.refuse_expected(*change->wanted.expected, change->began);
   }
   checker_.reject(change->wanted.id);
@@ -145,10 +145,10 @@
     return;
   }
   network_.later(machine.process, constants::change_deadline, [this, &machine, id] {
-    start_change(machine, consensus::setup_register, config::veto_of(id), constants::change_deadline,
+    start_change(machine, consensus::setup_register, config::cancel_proposal(id), constants::change_deadline,
                  [this, id](ChangeEnd const& end) {
                    if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end)) {
-                     checker_.settle(id, config::standing_of(chosen->value, id));
+                     checker_.settle(id, config::status_of(chosen->value, id));
                    }
                  });
   });
--- a/source/simulator/control/world.hpp
+++ b/source/simulator/control/world.hpp
@@ -63,7 +63,7 @@
 /// One change of the setup as its operator sees it.
 struct SetupChange {
   Machine* machine = nullptr;
-  config::WantedChange wanted;
+  config::SetupChangeRequest wanted;
   std::shared_ptr<config::SetupProposalReport> report;
   std::uint64_t floor = 0;  ///< what was known before it began
   common::Moment began = 0;
@@ -180,7 +180,7 @@
   // --- operators ---
   void operator_loop(std::size_t number);
   void change_setup(std::size_t number, std::optional<std::uint64_t> expected, std::function<void(bool)> done);
-  [[nodiscard]] config::WantedChange next_change(Machine const& machine, std::optional<std::uint64_t> expected);
+  [[nodiscard]] config::SetupChangeRequest next_change(Machine const& machine, std::optional<std::uint64_t> expected);
   void end_setup_change(std::shared_ptr<SetupChange> const& change, ChangeEnd const& end);
   void end_rejected(std::shared_ptr<SetupChange> const& change, consensus::Rejected const& rejected);
   void acknowledge_later(std::shared_ptr<SetupChange> const& change, std::uint64_t revision);
--- a/source/simulator/operators/operators.cpp
+++ b/source/simulator/operators/operators.cpp
@@ -74,12 +74,12 @@
   void send(std::shared_ptr<Order> const& order, std::function<void(std::shared_ptr<Attempt> const&, Answer)> serve);
   void close(std::shared_ptr<Attempt> const& attempt);
   void end_attempt(std::shared_ptr<Attempt> const& attempt, AttemptEnd end);
-  void serve_routing_config(std::shared_ptr<Attempt> const& attempt, config::WantedRoutingConfig const& wanted,
+  void serve_routing_config(std::shared_ptr<Attempt> const& attempt, config::RoutingChangeRequest const& wanted,
                             Answer const& answer);
   void serve_evacuation(std::shared_ptr<Attempt> const& attempt, std::string const& zone, bool evacuated,
                         Answer const& answer);
-  void send_routing_config(config::WantedRoutingConfig const& wanted, bool again);
-  void judge_routing_config(std::shared_ptr<Attempt> const& attempt, config::WantedRoutingConfig const& wanted,
+  void send_routing_config(config::RoutingChangeRequest const& wanted, bool again);
+  void judge_routing_config(std::shared_ptr<Attempt> const& attempt, config::RoutingChangeRequest const& wanted,
                             config::RoutingProposalReport const& report, ChangeEnd const& end, Answer const& answer);
   OperatorLoad load_;
   Kernel& kernel_;
@@ -192,16 +192,16 @@
   std::uint64_t const number = current + 1 + kernel_.below(3);
   std::string const tag = "t" + std::to_string(next_tag_++);
   bool const patch = current > 0 && kernel_.chance(0.5);
-  config::WantedRoutingConfig const wanted{patch ? routing_config_patch(number, tag) : routing_config_text(number, tag),
-                                           patch, current};
+  config::RoutingChangeRequest const wanted{
+      patch ? routing_config_patch(number, tag) : routing_config_text(number, tag), patch, current};
   ++counts_.orders;
-  ChangeRecord& change = ledger_.change(config::id_of(wanted));
+  ChangeRecord& change = ledger_.change(config::change_id_of(wanted));
   change.began = kernel_.now();
   change.expected = current;
   send_routing_config(wanted, false);
 }
 
-void OperatorModel::State::send_routing_config(config::WantedRoutingConfig const& wanted, bool again) {
+void OperatorModel::State::send_routing_config(config::RoutingChangeRequest const& wanted, bool again) {
   std::shared_ptr<Order> const order = std::make_shared<Order>();
   order->until = kernel_.now() + routing_config_order_span;
   order->send_attempt = [this, wanted](std::shared_ptr<Order> const& own) {
@@ -210,11 +210,11 @@
     });
   };
   order->done = [this, wanted, again](AttemptEnd) {
-    ledger_.change(config::id_of(wanted)).closed = kernel_.now();
+    ledger_.change(config::change_id_of(wanted)).closed = kernel_.now();
     if (!again && kernel_.chance(load_.repeated_late)) {
       kernel_.after(kernel_.between(0, late_repeat_most), [this, wanted] {
         if (!stopped_) {
-          ledger_.change(config::id_of(wanted)).closed.reset();
+          ledger_.change(config::change_id_of(wanted)).closed.reset();
           send_routing_config(wanted, true);
         }
       });
@@ -224,20 +224,20 @@
 }
 
 void OperatorModel::State::serve_routing_config(std::shared_ptr<Attempt> const& attempt,
-                                                config::WantedRoutingConfig const& wanted, Answer const& answer) {
+                                                config::RoutingChangeRequest const& wanted, Answer const& answer) {
   std::shared_ptr<config::RoutingProposalReport> const report = std::make_shared<config::RoutingProposalReport>();
   access_.change(attempt->node, config::routing_config_register,
-                 config::routing_proposal(wanted, config::own_notation(), report, load_.marks),
+                 config::routing_proposal(wanted, config::native_format(), report, load_.marks),
                  [this, attempt, wanted, report, answer](ChangeEnd const& end) {
                    judge_routing_config(attempt, wanted, *report, end, answer);
                  });
 }
 
 void OperatorModel::State::judge_routing_config(std::shared_ptr<Attempt> const& attempt,
-                                                config::WantedRoutingConfig const& wanted,
+                                                config::RoutingChangeRequest const& wanted,
                                                 config::RoutingProposalReport const& report, ChangeEnd const& end,
                                                 Answer const& answer) {
-  std::string const id = config::id_of(wanted);
+  std::string const id = config::change_id_of(wanted);
   consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end);
   consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&end);
   if (chosen != nullptr) {
@@ -266,7 +266,7 @@
     ++counts_.refused;
     HistoryEntry refusal{Kind::refused, HistoryEntry::no_revision, attempt->began, kernel_.now()};
     refusal.change = id;
-    if (report.end == config::RoutingProposalOutcome::expectation) {
+    if (report.end == config::RoutingProposalOutcome::base_mismatch) {
       refusal.expected = wanted.expected;
     }
     ledger_.add(config::routing_config_register, refusal);
@@ -296,15 +296,16 @@
 void OperatorModel::State::serve_evacuation(std::shared_ptr<Attempt> const& attempt, std::string const& zone,
                                             bool evacuated, Answer const& answer) {
   ledger_.zone_order(attempt->number) = ZoneRecord{zone, evacuated, attempt->began, std::nullopt, attempt->closed};
-  schema::Value const known = without_owners(access_.value(attempt->node, config::evacuated_register));
-  config::EvacuationOrder const order{zone, evacuated, config::newest_order(known, zone, load_.evacuation.marks_kept)};
-  std::shared_ptr<config::EvacuationReport> const report = std::make_shared<config::EvacuationReport>();
+  schema::Value const known = without_owners(access_.value(attempt->node, config::drained_zones_register));
+  config::ZoneDrainCommand const order{zone, evacuated,
+                                       config::newest_command(known, zone, load_.evacuation.marks_kept)};
+  std::shared_ptr<config::ZoneDrainReport> const report = std::make_shared<config::ZoneDrainReport>();
   std::function<bool()> const caller_gone = [attempt] { return !attempt->open && attempt->close_heard; };
-  access_.change(attempt->node, config::evacuated_register,
-                 with_owner(config::evacuation_proposal(order, caller_gone, report, load_.evacuation), attempt->number),
+  access_.change(attempt->node, config::drained_zones_register,
+                 with_owner(config::zone_drain_proposal(order, caller_gone, report, load_.evacuation), attempt->number),
                  [this, attempt, report, answer](ChangeEnd const& end) {
                    if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end)) {
-                     ledger_.observe(config::evacuated_register, chosen->value);
+                     ledger_.observe(config::drained_zones_register, chosen->value);
                      ++counts_.acknowledged;
                      if (attempt->open) {  // somebody may hear it
                        ledger_.acknowledge_zone(attempt->number, chosen->value.revision, kernel_.now());
@@ -313,10 +314,10 @@
                      return;
                    }
                    if (consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&end)) {
-                     ledger_.observe(config::evacuated_register, rejected->current);
+                     ledger_.observe(config::drained_zones_register, rejected->current);
                    }
-                   counts_.superseded += report->end == config::EvacuationOutcome::superseded ? 1 : 0;
-                   counts_.caller_gone += report->end == config::EvacuationOutcome::caller_gone ? 1 : 0;
+                   counts_.superseded += report->end == config::ZoneDrainOutcome::superseded ? 1 : 0;
+                   counts_.caller_gone += report->end == config::ZoneDrainOutcome::caller_gone ? 1 : 0;
                    counts_.unknown += std::holds_alternative<std::monostate>(end) ? 1 : 0;
                    answer(AttemptEnd::unclear);
                  });
@@ -333,7 +334,7 @@
   access_.confirmed(node, [this, node, began] {
     ++counts_.reads;
     for (std::string const& name :
-         {std::string(config::routing_config_register), std::string(config::evacuated_register),
+         {std::string(config::routing_config_register), std::string(config::drained_zones_register),
           std::string(consensus::voter_set_register)}) {
       schema::Value const value = access_.value(node, name);
       ledger_.observe(name, value);
--- a/source/simulator/operators/operators.hpp
+++ b/source/simulator/operators/operators.hpp
@@ -28,7 +28,7 @@
   double impatient = 0.3;      ///< part of the orders about zones given up after one sending
   std::size_t zones = 3;
   config::MarkOptions marks{.kept = 6};  ///< few, so that marks are dropped within a run
-  config::EvacuationGuards evacuation;
+  config::ZoneDrainGuards evacuation;
 };
 
 struct OperatorCounts {
--- a/source/simulator/operators/order_ledger.cpp
+++ b/source/simulator/operators/order_ledger.cpp
@@ -50,7 +50,7 @@
 void OrderLedger::observe(std::string const& name, schema::Value const& value) {
   if (value.revision > 0 && name == config::routing_config_register) {
     observe_routing_config(value);
-  } else if (value.revision > 0 && name == config::evacuated_register) {
+  } else if (value.revision > 0 && name == config::drained_zones_register) {
     observe_zones(value);
   }
 }
@@ -98,7 +98,7 @@
   // It found the zone as wanted and wrote nothing: a read.
   HistoryEntry read{Kind::read, revision, record.began, now};
   read.subject = record.zone;
-  histories_[config::evacuated_register].push_back(read);
+  histories_[config::drained_zones_register].push_back(read);
 }
 
 void OrderLedger::add_routing_config_history() {
@@ -138,7 +138,7 @@
 }
 
 void OrderLedger::add_evacuation_history() {
-  History& history = histories_[config::evacuated_register];
+  History& history = histories_[config::drained_zones_register];
   std::map<std::string, bool> evacuated;
   for (std::pair<std::uint64_t const, std::uint64_t> const& owner : zone_order_of_) {
     ZoneRecord const& record = zone_orders_[owner.second];
@@ -171,7 +171,7 @@
     }
     std::map<std::uint64_t, std::string>::const_iterator const seen = zones_at_.find(revision);
     if (seen != zones_at_.end()) {
-      std::vector<std::string> const zones = config::evacuated_zones(seen->second);
+      std::vector<std::string> const zones = config::parse_drained_zones(seen->second);
       if (std::set<std::string>(zones.begin(), zones.end()) != expected) {
         violate_("evacuations revision " + std::to_string(revision) + " is not what was ordered");
       }
--- a/source/simulator/query_path/arrivals.cpp
+++ b/source/simulator/query_path/arrivals.cpp
@@ -57,7 +57,7 @@
   }
   scheduling::Plan const& plan = *proxies_[proxy]->plan;
   config::Disposition const decided = disposition(plan.setup, plan.region, mix, home);
-  if (config::GoHome const* const there = std::get_if<config::GoHome>(&decided)) {
+  if (config::RedirectToHome const* const there = std::get_if<config::RedirectToHome>(&decided)) {
     if (hops < most_hops) {
       kernel_.after(hop_within_region(),
                     [this, mix, home, tries, hops, to = there->region] { arrive(mix, home, tries, hops + 1, to); });
@@ -141,7 +141,7 @@
   }
   Proxy const& from = *proxies_[query->proxy];
   std::vector<schema::Member> const targets =
-      scheduling::forward_targets(*query->footing.plan, from.name, "model", query->footing.serve.bound);
+      scheduling::forward_targets(*query->footing.plan, from.name, "model", query->footing.serve.has_home);
   if (targets.empty()) {
     feed(query, scheduling::NoCapacity{});
     return;
--- a/source/simulator/query_path/deployment.cpp
+++ b/source/simulator/query_path/deployment.cpp
@@ -38,7 +38,7 @@
   if (!tree.ok()) {
     return absl::InvalidArgumentError(folder + "/fleet.json: " + std::string(tree.status().message()));
   }
-  config::SetupReading const reading = config::read_setup(texts["setup.json"]);
+  config::ParsedSetup const reading = config::read_setup(texts["setup.json"]);
   if (!reading.good()) {
     return absl::InvalidArgumentError(
         folder + "/setup.json: " + (reading.json ? common::describe(reading.faults) : reading.reason));
--- a/source/tests/common/fuzz_test.cpp
+++ b/source/tests/common/fuzz_test.cpp
@@ -265,14 +265,14 @@
     text << file.rdbuf();
     for (int round = 0; round < rounds() / 2; ++round) {
       std::string const document = spoiled(text.str(), random);
-      config::SetupReading const reading = config::read_setup(document);
+      config::ParsedSetup const reading = config::read_setup(document);
       faulty += reading.good() ? 0 : 1;
       if (reading.good()) {  // what is taken can be written and read again
-        absl::StatusOr<std::string> const canonical = config::canonical(document);
+        absl::StatusOr<std::string> const canonical = config::canonical_json(document);
         ASSERT_TRUE(canonical.ok());
         EXPECT_TRUE(config::read_setup(*canonical).good());
       }
-      (void)config::patched(text.str(), document);
+      (void)config::apply_merge_patch(text.str(), document);
     }
   }
   EXPECT_GT(faulty, 0);
--- a/source/tests/config/evacuation_test.cpp
+++ b/source/tests/config/evacuation_test.cpp
@@ -6,30 +6,30 @@
 namespace {
 
 using Zones = std::vector<std::string>;
-using Outcome = config::EvacuationOutcome;
+using Outcome = config::ZoneDrainOutcome;
 
 /// A register of one holder: what an order writes is what the next one finds.
 struct Register {
   schema::Value value;
-  config::EvacuationGuards guards;
+  config::ZoneDrainGuards guards;
 
   /// What a node that is up to date, or was at an older value, knows of a zone.
-  config::EvacuationOrder order(std::string const& zone, bool evacuated) const {
+  config::ZoneDrainCommand order(std::string const& zone, bool evacuated) const {
     return known_at(value, zone, evacuated);
   }
-  config::EvacuationOrder known_at(schema::Value const& known, std::string const& zone, bool evacuated) const {
-    return config::EvacuationOrder{zone, evacuated, config::newest_order(known, zone, guards.marks_kept)};
+  config::ZoneDrainCommand known_at(schema::Value const& known, std::string const& zone, bool evacuated) const {
+    return config::ZoneDrainCommand{zone, evacuated, config::newest_command(known, zone, guards.marks_kept)};
   }
-  Outcome carry_out(config::EvacuationOrder const& order, bool caller_gone = false) {
-    std::shared_ptr<config::EvacuationReport> const report = std::make_shared<config::EvacuationReport>();
-    consensus::Proposal const proposal = config::evacuation_proposal(
+  Outcome carry_out(config::ZoneDrainCommand const& order, bool caller_gone = false) {
+    std::shared_ptr<config::ZoneDrainReport> const report = std::make_shared<config::ZoneDrainReport>();
+    consensus::Proposal const proposal = config::zone_drain_proposal(
         order, [caller_gone] { return caller_gone; }, report, guards)(value);
     if (schema::Value const* const next = std::get_if<schema::Value>(&proposal)) {
       value = *next;
     }
     return report->end;
   }
-  Zones zones() const { return config::evacuated_zones(value.content); }
+  Zones zones() const { return config::parse_drained_zones(value.content); }
 };
 
 TEST(EvacuationProposal, ZonesAreAddedAndTakenAwayOnce) {
@@ -46,13 +46,13 @@
   EXPECT_EQ(held.zones(), (Zones{"b\"c"}));
   EXPECT_EQ(held.value.revision, 5u);      // one for each order
   EXPECT_EQ(held.value.marks.size(), 2u);  // one for each zone
-  EXPECT_TRUE(config::evacuated_zones("").empty());
+  EXPECT_TRUE(config::parse_drained_zones("").empty());
 }
 
 TEST(EvacuationProposal, ALateOneDoesNotOvertakeWhatWasWithdrawn) {
   // Read by a node that freezes; sent again to another, acknowledged, withdrawn.
   Register held;
-  config::EvacuationOrder const late = held.order("a", true);
+  config::ZoneDrainCommand const late = held.order("a", true);
   EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
   EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
   EXPECT_EQ(held.carry_out(late), Outcome::superseded);
@@ -62,7 +62,7 @@
   EXPECT_EQ(held.zones(), Zones{"a"});
 
   Register unfenced{{}, {.fenced = false}};
-  config::EvacuationOrder const again = unfenced.order("a", true);
+  config::ZoneDrainCommand const again = unfenced.order("a", true);
   EXPECT_EQ(unfenced.carry_out(unfenced.order("a", true)), Outcome::carried_out);
   EXPECT_EQ(unfenced.carry_out(unfenced.order("a", false)), Outcome::carried_out);
   EXPECT_EQ(unfenced.carry_out(again), Outcome::carried_out);
@@ -72,13 +72,13 @@
 TEST(EvacuationProposal, AWithdrawalThatFindsNothingToDoFencesAsWell) {
   // Given up everywhere and withdrawn to be sure, before the frozen node comes back.
   Register held;
-  config::EvacuationOrder const late = held.order("a", true);
+  config::ZoneDrainCommand const late = held.order("a", true);
   EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
   EXPECT_EQ(held.carry_out(late), Outcome::superseded);
   EXPECT_TRUE(held.zones().empty());
 
   Register uncounted{{}, {.orders_counted = false}};
-  config::EvacuationOrder const again = uncounted.order("a", true);
+  config::ZoneDrainCommand const again = uncounted.order("a", true);
   EXPECT_EQ(uncounted.carry_out(uncounted.order("a", false)), Outcome::carried_out);
   EXPECT_EQ(uncounted.carry_out(again), Outcome::carried_out);
   EXPECT_EQ(uncounted.zones(), Zones{"a"}) << "the guard is not what the test is about";
@@ -124,7 +124,7 @@
 
 TEST(EvacuationProposal, DroppedMarksFenceToo) {
   Register held{{}, {.marks_kept = 2}};
-  config::EvacuationOrder const late = held.order("a", true);
+  config::ZoneDrainCommand const late = held.order("a", true);
   EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
   EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
   for (std::string const zone : {"b", "c", "d"}) {
--- a/source/tests/config/routing_config_test.cpp
+++ b/source/tests/config/routing_config_test.cpp
@@ -21,9 +21,9 @@
 /// A register of one holder: what a wish writes is what the next one finds.
 struct Register {
   schema::Value value;
-  Told change(config::WantedRoutingConfig const& wanted) {
+  Told change(config::RoutingChangeRequest const& wanted) {
     std::shared_ptr<config::RoutingProposalReport> const note = std::make_shared<config::RoutingProposalReport>();
-    consensus::Proposal const desired = config::routing_proposal(wanted, config::own_notation(), note)(value);
+    consensus::Proposal const desired = config::routing_proposal(wanted, config::native_format(), note)(value);
     bool const taken = std::holds_alternative<schema::Value>(desired);
     if (taken) {
       value = std::get<schema::Value>(desired);
@@ -39,7 +39,7 @@
   EXPECT_TRUE(held.change({routing_config_text(5, "/b/"), false, 3}).taken);
   Told const late = held.change({routing_config_text(6, "/c/"), false, 3});
   EXPECT_FALSE(late.taken);
-  EXPECT_EQ(late.note.end, config::RoutingProposalOutcome::expectation);
+  EXPECT_EQ(late.note.end, config::RoutingProposalOutcome::base_mismatch);
   EXPECT_EQ(late.note.number, 5u);
   EXPECT_EQ(held.value.content, routing_config_text(5, "/b/"));
 }
@@ -56,14 +56,15 @@
   EXPECT_EQ(held.value, before);
   // Another text under the same number and expectation is another change.
   EXPECT_EQ(held.change({routing_config_text(3, "/z/"), false, 0}).note.end,
-            config::RoutingProposalOutcome::expectation);
+            config::RoutingProposalOutcome::base_mismatch);
 }
 
 TEST(RoutingProposal, TheNumberMustRise) {
   Register held;
   EXPECT_TRUE(held.change({routing_config_text(7), false, 0}).taken);
-  EXPECT_EQ(held.change({routing_config_text(7, "/b/"), false, 7}).note.end, config::RoutingProposalOutcome::number);
-  EXPECT_EQ(held.change({routing_config_text(6), false, 7}).note.end, config::RoutingProposalOutcome::number);
+  EXPECT_EQ(held.change({routing_config_text(7, "/b/"), false, 7}).note.end,
+            config::RoutingProposalOutcome::stale_number);
+  EXPECT_EQ(held.change({routing_config_text(6), false, 7}).note.end, config::RoutingProposalOutcome::stale_number);
   EXPECT_TRUE(held.change({routing_config_text(90), false, 7}).taken);
 }
 
@@ -71,15 +72,15 @@
   Register held;
   Told const unknown = held.change({routing_config_text(1, "/a/", "other"), false, 0});
   EXPECT_FALSE(unknown.taken);
-  EXPECT_EQ(unknown.note.end, config::RoutingProposalOutcome::faults);
+  EXPECT_EQ(unknown.note.end, config::RoutingProposalOutcome::invalid);
   EXPECT_FALSE(unknown.note.faults.empty());
-  EXPECT_EQ(held.change({"{\"number\":", false, 0}).note.end, config::RoutingProposalOutcome::faults);
+  EXPECT_EQ(held.change({"{\"number\":", false, 0}).note.end, config::RoutingProposalOutcome::invalid);
   EXPECT_EQ(
       held.change({routing_config_text(1).replace(routing_config_text(1).find("1000}"), 4, "0"), false, 0}).note.end,
-      config::RoutingProposalOutcome::faults);
+      config::RoutingProposalOutcome::invalid);
   EXPECT_EQ(held.value.revision, 0u);
   std::string const large = routing_config_text(1) + std::string(common::constants::routing_config_limit, ' ');
-  EXPECT_EQ(held.change({large, false, 0}).note.end, config::RoutingProposalOutcome::size);
+  EXPECT_EQ(held.change({large, false, 0}).note.end, config::RoutingProposalOutcome::too_large);
 }
 
 TEST(RoutingProposal, PatchesAreLaidOverWhatIsFound) {
@@ -88,14 +89,14 @@
   std::string const patch =
       R"({"number":2,"upsert":{"lanes":[{"name":"m","prefix":"/m/","shares":[{"service":"s"}],"deadline_ms":5}]},"remove":{"lanes":["l"]}})";
   EXPECT_TRUE(held.change({patch, true, 1}).taken);
-  config::RoutingConfigReading const reading = config::own_notation().read(held.value.content);
+  config::ParsedRoutingConfig const reading = config::native_format().read(held.value.content);
   ASSERT_TRUE(reading.good());
   ASSERT_EQ(reading.routing_config.lanes.size(), 1u);
   EXPECT_EQ(reading.routing_config.lanes[0].name, "m");
   EXPECT_EQ(held.change({patch, true, 1}).note.end, config::RoutingProposalOutcome::done);
   // A lane of an unknown service is found only in the merged whole.
   EXPECT_EQ(held.change({R"({"number":3,"remove":{"services":["s"]}})", true, 2}).note.end,
-            config::RoutingProposalOutcome::faults);
+            config::RoutingProposalOutcome::invalid);
 }
 
 /// A register after `count` charters with the numbers 10, 20, 30 ...
@@ -120,7 +121,7 @@
 TEST(RoutingProposal, WhatWasTakenIsNeverRefusedLater) {
   // 64 marks were kept once, and a change repeated behind 65 others was refused.
   Register held;
-  std::vector<config::WantedRoutingConfig> taken;
+  std::vector<config::RoutingChangeRequest> taken;
   for (std::uint64_t number = 1; number <= 2 * kept; ++number) {
     bool const patch = number % 3 == 0;
     std::string const text = patch ? "{\"number\":" + std::to_string(number) + "}" : routing_config_text(number);
@@ -141,7 +142,7 @@
   Register held = after_many(kept + 40);
   std::uint64_t const newest = 10 * (kept + 40);
   std::uint64_t const oldest = held.value.marks.front().revision;
-  config::RoutingProposalOutcome const another = config::RoutingProposalOutcome::expectation;
+  config::RoutingProposalOutcome const another = config::RoutingProposalOutcome::base_mismatch;
   // A version in force once, whose successor is known; one that never was; one still to come.
   EXPECT_EQ(held.change({routing_config_text(newest + 5), false, newest - 10}).note.end, another);
   EXPECT_EQ(held.change({routing_config_text(newest + 5), false, newest - 7}).note.end, another);
@@ -152,7 +153,7 @@
   EXPECT_EQ(held.change({routing_config_text(oldest, "/z/"), false, 10}).note.end, another);
   EXPECT_EQ(held.change({R"({"number":)" + std::to_string(newest + 5) + "}", true, 10}).note.end, another);
   EXPECT_EQ(held.change({routing_config_text(newest, "/z/"), false, std::nullopt}).note.end,
-            config::RoutingProposalOutcome::number);
+            config::RoutingProposalOutcome::stale_number);
   // One that can't be read was never taken, however old.
   EXPECT_EQ(held.change({"{\"number\":", false, 10}).note.end, another);
   // Both are forgotten: it may have been taken.
@@ -168,8 +169,8 @@
   Register held = after_many(kept + 1);
   std::shared_ptr<config::RoutingProposalReport> const note = std::make_shared<config::RoutingProposalReport>();
   config::MarkOptions const off{.forgotten_known = false};
-  (void)config::routing_proposal({routing_config_text(10), false, 0}, config::own_notation(), note, off)(held.value);
-  EXPECT_EQ(note->end, config::RoutingProposalOutcome::expectation) << "the guard is not what the test is about";
+  (void)config::routing_proposal({routing_config_text(10), false, 0}, config::native_format(), note, off)(held.value);
+  EXPECT_EQ(note->end, config::RoutingProposalOutcome::base_mismatch) << "the guard is not what the test is about";
 }
 
 TEST(RoutingProposal, MarksTakeTheBytesThatThePageNames) {
--- a/source/tests/config/setup_test.cpp
+++ b/source/tests/config/setup_test.cpp
@@ -20,7 +20,7 @@
   return text.str();
 }
 
-bool has_fault(config::SetupReading const& reading, std::string const& path) {
+bool has_fault(config::ParsedSetup const& reading, std::string const& path) {
   for (common::Fault const& fault : reading.faults) {
     if (fault.path == path) {
       return true;
@@ -31,17 +31,17 @@
 
 TEST(Setup, BothDeploymentsAreGoodAndReadBackTheSame) {
   for (std::string const name : {"pruebaviva", "corrib"}) {
-    config::SetupReading const reading = config::read_setup(file("deployments/" + name + "/setup.json"));
+    config::ParsedSetup const reading = config::read_setup(file("deployments/" + name + "/setup.json"));
     ASSERT_TRUE(reading.good()) << name << common::describe(reading.faults);
     common::Tree const written(schema::write(reading.setup));
-    config::SetupReading const again = config::read_setup(common::print_tree(written.get()));
+    config::ParsedSetup const again = config::read_setup(common::print_tree(written.get()));
     ASSERT_TRUE(again.good()) << common::describe(again.faults);
     EXPECT_EQ(again.setup, reading.setup);
   }
 }
 
 TEST(Setup, NamesEveryFaultWithItsPath) {
-  config::SetupReading const reading =
+  config::ParsedSetup const reading =
       config::read_setup(R"({"regions":{"a":{"halls":["x","y"]},"b":{"halls":["x"]}},"halls":{"z":{}},
     "rules":{"r/1":{"match":{"path":"/p","path_prefix":"/q"},"kind":"odd","deadline_ms":3,"colour":1,"home":{"region":"c"},"selector":{"key":"k","op":"in","values":[]}}}})");
   ASSERT_TRUE(reading.json);
@@ -55,10 +55,10 @@
 }
 
 TEST(Setup, MergePatchFollowsItsStandard) {
-  EXPECT_EQ(*config::patched(R"({"a":"b","c":{"d":"e","f":"g"}})", R"({"a":"z","c":{"f":null}})"),
+  EXPECT_EQ(*config::apply_merge_patch(R"({"a":"b","c":{"d":"e","f":"g"}})", R"({"a":"z","c":{"f":null}})"),
             R"({"a":"z","c":{"d":"e"}})");
-  EXPECT_EQ(*config::patched(R"({"a":[1,2]})", R"({"a":[3],"b":{"c":null}})"), R"({"a":[3],"b":{}})");
-  EXPECT_EQ(*config::patched("", R"({"x":1})"), R"({"x":1})");
+  EXPECT_EQ(*config::apply_merge_patch(R"({"a":[1,2]})", R"({"a":[3],"b":{"c":null}})"), R"({"a":[3],"b":{}})");
+  EXPECT_EQ(*config::apply_merge_patch("", R"({"x":1})"), R"({"x":1})");
 }
 
 TEST(Selector, JoinsItsTerms) {
@@ -98,7 +98,7 @@
 
 schema::Value after(schema::Value value, std::string const& id) {
   std::shared_ptr<config::SetupProposalReport> const note = std::make_shared<config::SetupProposalReport>();
-  config::WantedChange wanted;
+  config::SetupChangeRequest wanted;
   wanted.id = id;
   wanted.patch = true;
   wanted.content = R"({"halls":{"h":{"labels":{"mark":"x"}}}})";
@@ -110,29 +110,30 @@
   schema::Value value{1, R"({"regions":{"r":{"halls":["h"]}},"rules":{}})", {{"first.0", 1}}};
   value = after(value, "mine.1");
   std::uint64_t const taken = value.revision;
-  ASSERT_EQ(config::standing_of(value, "mine.1").revision, taken);
+  ASSERT_EQ(config::status_of(value, "mine.1").revision, taken);
   for (std::size_t turn = 0; turn < 2 * common::constants::marks_kept; ++turn) {
     value = after(value, "storm-" + std::to_string(turn) + "." + std::to_string(value.revision));
     // Never a false no, never a second effect.
-    config::Standing const known = config::standing_of(value, "mine.1").standing;
-    ASSERT_TRUE(known == config::Standing::accepted || known == config::Standing::forgotten) << turn;
+    config::ChangeState const known = config::status_of(value, "mine.1").standing;
+    ASSERT_TRUE(known == config::ChangeState::accepted || known == config::ChangeState::forgotten) << turn;
     EXPECT_EQ(after(value, "mine.1").revision, value.revision) << "took effect twice";
-    EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::veto_of("mine.1")(value)));
+    EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::cancel_proposal("mine.1")(value)));
   }
-  EXPECT_EQ(config::standing_of(value, "mine.1").standing, config::Standing::forgotten);
+  EXPECT_EQ(config::status_of(value, "mine.1").standing, config::ChangeState::forgotten);
   EXPECT_LE(value.marks.size(), common::constants::marks_kept);
   // One that was never sent, born of late, is surely open, and its veto lasts.
   std::string const fresh = "fresh." + std::to_string(value.revision);
-  EXPECT_EQ(config::standing_of(value, fresh).standing, config::Standing::open);
-  value = std::get<schema::Value>(config::veto_of(fresh)(value));
+  EXPECT_EQ(config::status_of(value, fresh).standing, config::ChangeState::pending);
+  value = std::get<schema::Value>(config::cancel_proposal(fresh)(value));
   EXPECT_EQ(after(value, fresh).revision, value.revision);
-  EXPECT_EQ(config::standing_of(value, fresh).standing, config::Standing::rejected);
+  EXPECT_EQ(config::status_of(value, fresh).standing, config::ChangeState::rejected);
 }
 
 TEST(Change, AskingForMadeUpIdsWritesNothingForTheUnborn) {
   schema::Value const value{7, "{}", {{"a.6", 7}}};
-  EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::veto_of("x.8")(value)));
-  EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::veto_of("x")(value)));  // born before what is remembered
+  EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::cancel_proposal("x.8")(value)));
+  EXPECT_TRUE(
+      std::holds_alternative<consensus::Keep>(config::cancel_proposal("x")(value)));  // born before what is remembered
   EXPECT_EQ(after(value, "x.8").revision, 7u);
 }
 
--- a/source/tests/config/tenancy_test.cpp
+++ b/source/tests/config/tenancy_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 std::string faults_of(std::string const& tenancy, std::string const& tenants = "[]") {
-  config::RoutingConfigReading const reading = config::own_notation().read(
+  config::ParsedRoutingConfig const reading = config::native_format().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","prefix":"/a/b/","home_regions":["east"],"shares":[{"service":"s"}],"tenancy":)" +
       tenancy + "}],\"tenants\":" + tenants + "}");
   return common::describe(reading.faults);
@@ -37,7 +37,7 @@
 }
 
 TEST(Tenancy, TenantsWithoutALaneAreAFault) {
-  config::RoutingConfigReading const reading = config::own_notation().read(
+  config::ParsedRoutingConfig const reading = config::native_format().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","shares":[{"service":"s"}]}],"tenants":[{"name":"t"}]})");
   EXPECT_NE(common::describe(reading.faults).find("/tenants"), std::string::npos);
 }
@@ -45,10 +45,10 @@
 TEST(Tenancy, PatchesChangeTenants) {
   std::string const whole =
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","shares":[{"service":"s"}],"tenancy":{"header":"A"}}],"tenants":[{"name":"t"}]})";
-  absl::StatusOr<std::string> const merged = config::own_notation().merge(
+  absl::StatusOr<std::string> const merged = config::native_format().merge(
       whole, R"({"number":2,"upsert":{"tenants":[{"name":"u","home_regions":["east"]}]},"remove":{"tenants":["t"]}})");
   ASSERT_TRUE(merged.ok());
-  config::RoutingConfigReading const reading = config::own_notation().read(*merged);
+  config::ParsedRoutingConfig const reading = config::native_format().read(*merged);
   ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
   scheduling::RouteTable const route_table(reading.routing_config);
   EXPECT_EQ(route_table.tenant("t"), nullptr);
--- a/source/tests/control_plane/answer_check_test.cpp
+++ b/source/tests/control_plane/answer_check_test.cpp
@@ -69,9 +69,9 @@
 }
 
 TEST(AnswerCheck, WhatACharterProposalFoundValidIsWhatIsAcknowledged) {
-  config::WantedRoutingConfig wanted{"{\"number\":3,\"lanes\":[],\"services\":[]}", false, std::nullopt};
+  config::RoutingChangeRequest wanted{"{\"number\":3,\"lanes\":[],\"services\":[]}", false, std::nullopt};
   std::shared_ptr<config::RoutingProposalReport> const note = std::make_shared<config::RoutingProposalReport>();
-  consensus::Proposal const proposal = config::routing_proposal(wanted, config::own_notation(), note)(schema::Value{});
+  consensus::Proposal const proposal = config::routing_proposal(wanted, config::native_format(), note)(schema::Value{});
   ASSERT_TRUE(std::holds_alternative<schema::Value>(proposal)) << common::describe(note->faults);
   AnswerCheck checked;
   checked.acknowledged(routing_config, std::get<schema::Value>(proposal), note->valid_digest);
--- a/source/tests/platform/notation_test.cpp
+++ b/source/tests/platform/notation_test.cpp
@@ -28,7 +28,7 @@
 }
 
 TEST(PlatformNotation, ReadsACharter) {
-  config::RoutingConfigReading const reading = platform::notation().read(whole);
+  config::ParsedRoutingConfig const reading = platform::notation().read(whole);
   ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
   schema::Charter const& routing_config = reading.routing_config;
   EXPECT_EQ(routing_config.number, 7u);
@@ -78,7 +78,7 @@
       R"({"revision":9,"upsert":{"channels":[{"name":"r-3","host":"b.example","path_prefix":"/z/","kind":"unsafe","deadline_ms":1.5,"plant":"p"},)"
       R"({"name":"r-1","host":"a.example","path_prefix":"/w/","kind":"stream","deadline_ms":8000,"plant":"p"}]},"remove":{"channels":["r-2","r-none"]}})");
   ASSERT_TRUE(merged.ok()) << merged.status();
-  config::RoutingConfigReading const reading = platform::notation().read(*merged);
+  config::ParsedRoutingConfig const reading = platform::notation().read(*merged);
   ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
   EXPECT_EQ(reading.routing_config.number, 9u);
   ASSERT_EQ(reading.routing_config.lanes.size(), 2u);
--- a/source/tests/relay/adopted_checks_test.cpp
+++ b/source/tests/relay/adopted_checks_test.cpp
@@ -52,14 +52,14 @@
     entry.shares = {schema::Share{"s", 1}};
     entry.deadline_ms = 1000;
   }
-  EXPECT_TRUE(config::check(routing_config).empty()) << common::describe(config::check(routing_config));
+  EXPECT_TRUE(config::validate(routing_config).empty()) << common::describe(config::validate(routing_config));
   ExpectedViolations const expected({Invariant::routes_complete});
   check_routes(1, scheduling::RouteTable(routing_config));
   EXPECT_EQ(expected.count(Invariant::routes_complete), 1u);
 }
 
 TEST(AdoptedChecks, AnInvalidRoutingConfigIsReported) {
-  config::Notation const notation = config::own_notation();
+  config::RoutingConfigFormat const notation = config::native_format();
   schema::NamedValue chosen{"charter", 4, "{\"number\":3,\"lanes\":[],\"services\":[]}", 0};
   check_routing_config(chosen, notation.read(chosen.content));
   ExpectedViolations const expected({Invariant::chosen_content_readable});
--- a/source/tests/relay/fleet.hpp
+++ b/source/tests/relay/fleet.hpp
@@ -347,7 +347,7 @@
                     [this](schema::Message const& message, common::Yield yield) { return answer(message, yield); })
                     .ok());
     server = std::make_unique<data_plane::RelayServer>(*context, settings, data_plane::own_dialect(),
-                                                       config::own_notation(), nullptr, 7);
+                                                       config::native_format(), nullptr, 7);
     EXPECT_TRUE(server->begin().ok());
     if (with_routing_config) {
       EXPECT_TRUE(until(
--- a/source/tests/relay/forwarding_test.cpp
+++ b/source/tests/relay/forwarding_test.cpp
@@ -78,13 +78,13 @@
   ASSERT_TRUE(fleet.arrived(worker, 1));
   worker.arrivals.back().line->send(success("q1", "good"));
   ASSERT_EQ(status_of(fleet.answer_on(caller)), 200u);
-  fleet.publish(config::evacuated_register, 1, "[\"north\"]");
+  fleet.publish(config::drained_zones_register, 1, "[\"north\"]");
   ASSERT_TRUE(fleet.until([&] { return !fleet.server->balancer().usable("w1"); }));
   caller->send(query("/plain/a", "q2", "body"));
   fleet.run_for(20);
   caller->close();
   fleet.run_for(20);
-  fleet.publish(config::evacuated_register, 2, "[]");
+  fleet.publish(config::drained_zones_register, 2, "[]");
   ASSERT_TRUE(fleet.until([&] { return fleet.server->balancer().usable("w1"); }));
   EXPECT_TRUE(fleet.until([&] { return fleet.server->counters().outcomes["abandoned"] == 1; }, 1000));
   EXPECT_EQ(worker.arrivals.size(), 1u);
