--- a/source/config/change/change_marks.cpp
+++ b/source/config/change/change_marks.cpp
@@ -24,16 +24,15 @@
   return value.revision - std::min<std::uint64_t>(value.revision, value.marks.size());
 }
 
-IdStanding standing_of(schema::Value const& value, std::string const& id, bool kept_if_taken,
-                       MarkOptions const& options) {
+ChangeStatus status_of(schema::Value const& value, std::string const& id, bool mark_kept, MarkOptions const& options) {
   std::optional<schema::ChangeMark> const mark = options.found ? find_mark(value, id) : std::nullopt;
   if (mark.has_value()) {
-    return IdStanding{mark->revision > 0 ? Standing::accepted : Standing::rejected, mark->revision};
+    return ChangeStatus{mark->revision > 0 ? ChangeState::accepted : ChangeState::rejected, mark->revision};
   }
-  if (!kept_if_taken && options.forgotten_known) {
-    return IdStanding{Standing::forgotten, 0};
+  if (!mark_kept && options.forgotten_known) {
+    return ChangeStatus{ChangeState::forgotten, 0};
   }
-  return IdStanding{};
+  return ChangeStatus{};
 }
 
 }  // namespace finchlink::config
--- a/source/config/disposition/disposition.hpp
+++ b/source/config/disposition/disposition.hpp
@@ -10,26 +10,32 @@
 
 namespace finchlink::config {
 
-/// What is to become of a query in one region under one setup (section 9.2).
-/// It is decided by the header, and again whenever the setup changed since,
-/// up to the moment that bytes go to a worker (section 9.7).
+/// The disposition of a query: how one region handles it under one setup
+/// (docs/design.md section 9.2). It is decided from the request header, and
+/// again whenever the setup has changed since, until bytes go to a worker
+/// (section 9.7).
+
+/// Serve the query in this region under the named rule.
 struct Serve {
   std::string rule;
-  bool bound = false;  ///< it has a home, and this is it
+  bool has_home = false;  ///< the query has a home region, and it is this one
   friend bool operator==(Serve const&, Serve const&) = default;
 };
-struct GoHome {
+/// Redirect the query to its home region.
+struct RedirectToHome {
   std::string region;
-  friend bool operator==(GoHome const&, GoHome const&) = default;
+  friend bool operator==(RedirectToHome const&, RedirectToHome const&) = default;
 };
-struct TurnAway {
+/// Reject the query with an HTTP status, an error code and a text for the client.
+struct RejectRequest {
   int status = 404;
   std::string error;
   std::string message;
-  friend bool operator==(TurnAway const&, TurnAway const&) = default;
+  friend bool operator==(RejectRequest const&, RejectRequest const&) = default;
 };
-using Disposition = std::variant<Serve, GoHome, TurnAway>;
+using Disposition = std::variant<Serve, RedirectToHome, RejectRequest>;
 
+/// Decides the disposition of a query in `region`; `body_bytes` is the size of its body.
 [[nodiscard]] Disposition decide(schema::Setup const& setup, std::string const& region, std::string_view method,
                                  std::string_view path, HeaderLookup const& header, std::size_t body_bytes);
 
--- a/source/config/evacuation/proposal.cpp
+++ b/source/config/evacuation/proposal.cpp
@@ -8,7 +8,7 @@
 
 namespace finchlink::config {
 
-std::vector<std::string> evacuated_zones(std::string const& content) {
+std::vector<std::string> parse_drained_zones(std::string const& content) {
   std::vector<std::string> zones;
   absl::StatusOr<common::Tree> const tree = common::read_tree(content);
   if (tree.ok() && cJSON_IsArray(tree->get()) != 0) {
@@ -21,12 +21,12 @@
   return zones;
 }
 
-std::uint64_t newest_order(schema::Value const& value, std::string const& zone, std::size_t marks_kept) {
+std::uint64_t newest_command(schema::Value const& value, std::string const& zone, std::size_t marks_kept) {
   std::optional<schema::ChangeMark> const mark = find_mark(value, zone);
   if (mark.has_value()) {
     return mark->revision;
   }
-  // Marks are in the order of their revisions, so a dropped one is older than all.
+  // Marks are ordered by revision, so a dropped one is older than all that are kept.
   return value.marks.size() < marks_kept ? 0 : value.marks.front().revision;
 }
 
@@ -39,8 +39,8 @@
   return common::print_tree(list.get());
 }
 
-std::string with_zone(std::vector<std::string> zones, std::string const& zone, bool evacuated) {
-  if (evacuated) {
+std::string with_zone(std::vector<std::string> zones, std::string const& zone, bool drained) {
+  if (drained) {
     zones.push_back(zone);
   } else {
     std::erase(zones, zone);
@@ -48,9 +48,9 @@
   return print_zones(zones);
 }
 
-/// The next value: its content, and the order as the zone's newest.
-schema::Value with_order(schema::Value const& current, std::string const& zone, std::string content,
-                         std::size_t marks_kept) {
+/// The next value, with the new content and the zone's mark moved to the new revision.
+schema::Value with_command(schema::Value const& current, std::string const& zone, std::string content,
+                           std::size_t marks_kept) {
   schema::Value next{current.revision + 1, std::move(content), current.marks};
   std::erase_if(next.marks, [&zone](schema::ChangeMark const& mark) { return mark.id == zone; });
   add_mark(next, zone, next.revision, marks_kept);
@@ -58,28 +58,29 @@
 }
 }  // namespace
 
-consensus::ProposalFunction evacuation_proposal(EvacuationOrder const& order, std::function<bool()> caller_gone,
-                                                std::shared_ptr<EvacuationReport> const& report,
-                                                EvacuationGuards const& guards) {
-  return [order, caller_gone = std::move(caller_gone), report,
+consensus::ProposalFunction zone_drain_proposal(ZoneDrainCommand const& command, std::function<bool()> caller_gone,
+                                                std::shared_ptr<ZoneDrainReport> const& report,
+                                                ZoneDrainGuards const& guards) {
+  return [command, caller_gone = std::move(caller_gone), report,
           guards](schema::Value const& current) -> consensus::Proposal {
-    *report = EvacuationReport{};
+    *report = ZoneDrainReport{};
     if (guards.caller_watched && caller_gone && caller_gone()) {
-      report->end = EvacuationOutcome::caller_gone;
+      report->end = ZoneDrainOutcome::caller_gone;
       return consensus::Reject{"nobody waits for this order any more"};
     }
-    std::vector<std::string> const zones = evacuated_zones(current.content);
-    bool const as_wanted = (std::find(zones.begin(), zones.end(), order.zone) != zones.end()) == order.evacuated;
-    if (!as_wanted && guards.fenced && newest_order(current, order.zone, guards.marks_kept) != order.known_order) {
-      report->end = EvacuationOutcome::superseded;
+    std::vector<std::string> const zones = parse_drained_zones(current.content);
+    bool const as_requested = (std::find(zones.begin(), zones.end(), command.zone) != zones.end()) == command.drained;
+    if (!as_requested && guards.fenced &&
+        newest_command(current, command.zone, guards.marks_kept) != command.known_revision) {
+      report->end = ZoneDrainOutcome::superseded;
       return consensus::Reject{"another order about this zone came meanwhile"};
     }
-    report->end = EvacuationOutcome::carried_out;
-    if (as_wanted && !guards.orders_counted) {
+    report->end = ZoneDrainOutcome::applied;
+    if (as_requested && !guards.orders_counted) {
       return consensus::Keep{};
     }
-    std::string const content = as_wanted ? print_zones(zones) : with_zone(zones, order.zone, order.evacuated);
-    return with_order(current, order.zone, content, guards.marks_kept);
+    std::string const content = as_requested ? print_zones(zones) : with_zone(zones, command.zone, command.drained);
+    return with_command(current, command.zone, content, guards.marks_kept);
   };
 }
 
--- a/source/config/label/selector.cpp
+++ b/source/config/label/selector.cpp
@@ -5,7 +5,8 @@
 namespace finchlink::config {
 
 namespace {
-bool term(schema::Selector const& selector, Labels const& labels) {
+/// Whether the selector's own operator matches, without all, any and none.
+bool matches_term(schema::Selector const& selector, Labels const& labels) {
   if (selector.op.empty()) {
     return true;
   }
@@ -19,12 +20,12 @@
   if (selector.op == "notin") {
     return !listed;
   }
-  return listed;  // equals has one value, in has several
+  return listed;  // equals: the list has one value; in: several
 }
 }  // namespace
 
 bool selects(schema::Selector const& selector, Labels const& labels) {
-  if (!term(selector, labels)) {
+  if (!matches_term(selector, labels)) {
     return false;
   }
   for (schema::Selector const& part : selector.all) {
@@ -44,9 +45,9 @@
                      [&labels](schema::Selector const& part) { return selects(part, labels); });
 }
 
-std::string region_of(schema::Setup const& setup, std::string const& hall) {
+std::string region_of(schema::Setup const& setup, std::string const& zone) {
   for (std::pair<std::string const, schema::Region> const& region : setup.regions) {
-    if (std::find(region.second.halls.begin(), region.second.halls.end(), hall) != region.second.halls.end()) {
+    if (std::find(region.second.halls.begin(), region.second.halls.end(), zone) != region.second.halls.end()) {
       return region.first;
     }
   }
@@ -55,9 +56,9 @@
 
 Labels worker_labels(schema::Setup const& setup, schema::WorkerEntry const& worker) {
   Labels labels = worker.labels;
-  std::map<std::string, schema::Hall>::const_iterator const hall = setup.halls.find(worker.zone);
-  if (hall != setup.halls.end()) {
-    for (std::pair<std::string const, std::string> const& label : hall->second.labels) {
+  std::map<std::string, schema::Hall>::const_iterator const zone = setup.halls.find(worker.zone);
+  if (zone != setup.halls.end()) {
+    for (std::pair<std::string const, std::string> const& label : zone->second.labels) {
       labels[label.first] = label.second;
     }
   }
--- a/source/config/routing/proposal.cpp
+++ b/source/config/routing/proposal.cpp
@@ -6,12 +6,12 @@
 
 namespace finchlink::config {
 
-std::string id_of(WantedRoutingConfig const& wanted) {
+std::string change_id_of(RoutingChangeRequest const& request) {
   common::Digest digest;
-  digest.add(wanted.content)
-      .add(wanted.patch ? 1 : 0)
-      .add(wanted.expected.has_value() ? 1 : 0)
-      .add(wanted.expected.value_or(0));
+  digest.add(request.content)
+      .add(request.patch ? 1 : 0)
+      .add(request.expected.has_value() ? 1 : 0)
+      .add(request.expected.value_or(0));
   return digest.text();
 }
 
@@ -20,29 +20,30 @@
 }
 
 namespace {
-/// What a change makes of the charter that was found.
-struct Made {
-  RoutingConfigReading reading;
+/// The configuration that a change results in, given the current one.
+struct BuiltConfig {
+  ParsedRoutingConfig parsed;
   std::string content;
 };
 
-Made make(WantedRoutingConfig const& wanted, Notation const& notation, std::string const& current) {
-  Made made;
-  made.content = wanted.content;
-  if (wanted.patch) {
-    absl::StatusOr<std::string> const merged = notation.merge(current, wanted.content);
+BuiltConfig build(RoutingChangeRequest const& request, RoutingConfigFormat const& format, std::string const& current) {
+  BuiltConfig built;
+  built.content = request.content;
+  if (request.patch) {
+    absl::StatusOr<std::string> const merged = format.merge(current, request.content);
     if (!merged.ok()) {
-      made.reading.faults.push_back(common::Fault{"", std::string(merged.status().message())});
-      return made;
+      built.parsed.faults.push_back(common::Fault{"", std::string(merged.status().message())});
+      return built;
     }
-    made.content = *merged;
+    built.content = *merged;
   }
-  made.reading = notation.read(made.content);
-  return made;
+  built.parsed = format.read(built.content);
+  return built;
 }
 }  // namespace
 
-bool kept_if_taken(schema::Value const& value, WantedRoutingConfig const& wanted, std::optional<std::uint64_t> number) {
+bool mark_kept_if_applied(schema::Value const& value, RoutingChangeRequest const& request,
+                          std::optional<std::uint64_t> number) {
   if (dropped_marks(value) == 0) {
     return true;
   }
@@ -50,79 +51,79 @@
     return false;
   }
   std::uint64_t const oldest = value.marks.front().revision;
-  return wanted.expected.value_or(0) >= oldest || number.value_or(0) >= oldest;
+  return request.expected.value_or(0) >= oldest || number.value_or(0) >= oldest;
 }
 
 namespace {
-/// The change and what is made of it once, for all ballots.
-struct RoutingConfigChange {
-  WantedRoutingConfig wanted;
+/// A request with all that doesn't depend on the register, built once for all ballots.
+struct PreparedChange {
+  RoutingChangeRequest request;
   std::string id;
-  std::optional<Made> whole;  ///< a whole charter says the same whatever is found
+  std::optional<BuiltConfig> whole;  ///< only of a whole configuration, which is the same on top of any current one
   std::optional<std::uint64_t> number;
 };
 
-RoutingConfigChange prepare(WantedRoutingConfig const& wanted, Notation const& notation) {
-  RoutingConfigChange change{wanted, id_of(wanted), std::nullopt, std::nullopt};
-  if (!wanted.patch) {
-    change.whole = make(wanted, notation, "");
-    change.number = change.whole->reading.routing_config.number;
-  } else if (notation.number) {
-    change.number = notation.number(wanted.content);
+PreparedChange prepare(RoutingChangeRequest const& request, RoutingConfigFormat const& format) {
+  PreparedChange change{request, change_id_of(request), std::nullopt, std::nullopt};
+  if (!request.patch) {
+    change.whole = build(request, format, "");
+    change.number = change.whole->parsed.routing_config.number;
+  } else if (format.number) {
+    change.number = format.number(request.content);
   }
   return change;
 }
 
-Standing standing_of(schema::Value const& current, RoutingConfigChange const& change, MarkOptions const& marks) {
-  // One that can't be read was never taken.
-  bool const malformed = change.whole.has_value() && !change.whole->reading.good();
-  return standing_of(current, change.id, malformed || kept_if_taken(current, change.wanted, change.number), marks)
-      .standing;
+ChangeState state_of(schema::Value const& current, PreparedChange const& change, MarkOptions const& marks) {
+  // A document that can't be parsed was never applied.
+  bool const malformed = change.whole.has_value() && !change.whole->parsed.good();
+  return status_of(current, change.id, malformed || mark_kept_if_applied(current, change.request, change.number), marks)
+      .state;
 }
 
-consensus::Reject refuse(RoutingProposalReport& note, RoutingProposalOutcome end, std::string const& reason) {
-  note.end = end;
+consensus::Reject reject(RoutingProposalReport& report, RoutingProposalOutcome end, std::string const& reason) {
+  report.end = end;
   return consensus::Reject{reason};
 }
 }  // namespace
 
-consensus::ProposalFunction routing_proposal(WantedRoutingConfig const& wanted, Notation const& notation,
-                                             std::shared_ptr<RoutingProposalReport> const& note,
+consensus::ProposalFunction routing_proposal(RoutingChangeRequest const& request, RoutingConfigFormat const& format,
+                                             std::shared_ptr<RoutingProposalReport> const& report,
                                              MarkOptions const& marks) {
-  std::shared_ptr<RoutingConfigChange const> const change =
-      std::make_shared<RoutingConfigChange const>(prepare(wanted, notation));
-  return [change, notation, note, marks](schema::Value const& current) -> consensus::Proposal {
-    *note = RoutingProposalReport{};
-    note->number = number_of(current);
-    Standing const standing = standing_of(current, *change, marks);
-    if (standing == Standing::accepted) {
-      note->number = find_mark(current, change->id)->revision;
-      return refuse(*note, RoutingProposalOutcome::done, "done");
+  std::shared_ptr<PreparedChange const> const change = std::make_shared<PreparedChange const>(prepare(request, format));
+  return [change, format, report, marks](schema::Value const& current) -> consensus::Proposal {
+    *report = RoutingProposalReport{};
+    report->number = number_of(current);
+    ChangeState const state = state_of(current, *change, marks);
+    if (state == ChangeState::accepted) {
+      report->number = find_mark(current, change->id)->revision;
+      return reject(*report, RoutingProposalOutcome::done, "done");
     }
-    if (standing == Standing::forgotten) {
-      return refuse(*note, RoutingProposalOutcome::forgotten, "too old to tell whether it was taken");
+    if (state == ChangeState::forgotten) {
+      return reject(*report, RoutingProposalOutcome::forgotten, "too old to tell whether it was taken");
     }
-    if (change->wanted.expected.has_value() && *change->wanted.expected != note->number) {
-      return refuse(*note, RoutingProposalOutcome::base_mismatch, "another charter is in place");
+    if (change->request.expected.has_value() && *change->request.expected != report->number) {
+      return reject(*report, RoutingProposalOutcome::base_mismatch, "another charter is in place");
     }
-    Made const made = change->whole.has_value() ? *change->whole : make(change->wanted, notation, current.content);
-    if (!made.reading.good()) {
-      note->faults = made.reading.faults;
-      return refuse(*note, RoutingProposalOutcome::invalid, common::describe(made.reading.faults));
+    BuiltConfig const built =
+        change->whole.has_value() ? *change->whole : build(change->request, format, current.content);
+    if (!built.parsed.good()) {
+      report->faults = built.parsed.faults;
+      return reject(*report, RoutingProposalOutcome::invalid, common::describe(built.parsed.faults));
     }
-    if (made.reading.routing_config.number <= note->number) {
-      return refuse(*note, RoutingProposalOutcome::stale_number, "the number does not rise");
+    if (built.parsed.routing_config.number <= report->number) {
+      return reject(*report, RoutingProposalOutcome::stale_number, "the number does not rise");
     }
-    if (made.content.size() > common::constants::routing_config_limit) {
-      return refuse(*note, RoutingProposalOutcome::too_large, "the charter is larger than allowed");
+    if (built.content.size() > common::constants::routing_config_limit) {
+      return reject(*report, RoutingProposalOutcome::too_large, "the charter is larger than allowed");
     }
-    schema::Value next{current.revision + 1, made.content, current.marks};
-    add_mark(next, change->id, made.reading.routing_config.number, marks.kept);
+    schema::Value next{current.revision + 1, built.content, current.marks};
+    add_mark(next, change->id, built.parsed.routing_config.number, marks.kept);
     common::check(common::Invariant::charter_number_rises, number_of(next) > number_of(current), [&] {
       return "revision " + std::to_string(next.revision) + " brings number " + std::to_string(number_of(next)) +
              " after " + std::to_string(number_of(current));
     });
-    note->valid_digest = common::Digest().add(next.content).text();
+    report->valid_digest = common::Digest().add(next.content).text();
     return next;
   };
 }
--- a/source/config/routing/routing_config.cpp
+++ b/source/config/routing/routing_config.cpp
@@ -11,21 +11,22 @@
 namespace finchlink::config {
 
 namespace {
-std::string place(char const* list, std::size_t index, char const* field) {
+/// JSON pointer of a field of a list's item.
+std::string item_path(char const* list, std::size_t index, char const* field) {
   return std::string("/") + list + "/" + std::to_string(index) + field;
 }
 
-RoutingConfigReading read_own(std::string const& text) {
-  RoutingConfigReading reading;
+ParsedRoutingConfig read_native(std::string const& text) {
+  ParsedRoutingConfig parsed;
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
-    reading.faults.push_back(common::Fault{"", std::string(tree.status().message())});
-    return reading;
+    parsed.faults.push_back(common::Fault{"", std::string(tree.status().message())});
+    return parsed;
   }
-  schema::read(tree->get(), "", reading.routing_config, reading.faults);
-  std::vector<common::Fault> const more = check(reading.routing_config);
-  reading.faults.insert(reading.faults.end(), more.begin(), more.end());
-  return reading;
+  schema::read(tree->get(), "", parsed.routing_config, parsed.faults);
+  std::vector<common::Fault> const errors = validate(parsed.routing_config);
+  parsed.faults.insert(parsed.faults.end(), errors.begin(), errors.end());
+  return parsed;
 }
 }  // namespace
 
@@ -53,48 +54,48 @@
     if ((items != nullptr && cJSON_IsArray(items) == 0) || (names != nullptr && cJSON_IsArray(names) == 0)) {
       return common::make_error(absl::StatusCode::kInvalidArgument, "charter", list + " must be a list");
     }
-    std::set<std::string> gone;
+    std::set<std::string> removed;
     for (cJSON const* name = names == nullptr ? nullptr : names->child; name != nullptr; name = name->next) {
       if (cJSON_IsString(name) == 0) {
         return common::make_error(absl::StatusCode::kInvalidArgument, "charter", "names to remove must be strings");
       }
-      gone.insert(name->valuestring);
+      removed.insert(name->valuestring);
     }
-    std::map<std::string, cJSON const*> given;
+    std::map<std::string, cJSON const*> upserted;
     std::vector<std::string> order;
     for (cJSON const* item = items == nullptr ? nullptr : items->child; item != nullptr; item = item->next) {
       cJSON const* const name = cJSON_GetObjectItemCaseSensitive(item, "name");
       if (cJSON_IsString(name) == 0) {
         return common::make_error(absl::StatusCode::kInvalidArgument, "charter", "an item of " + list + " has no name");
       }
-      if (given.count(name->valuestring) == 0) {
+      if (upserted.count(name->valuestring) == 0) {
         order.emplace_back(name->valuestring);
       }
-      given[name->valuestring] = item;
+      upserted[name->valuestring] = item;
     }
-    if (gone.empty() && given.empty()) {
+    if (removed.empty() && upserted.empty()) {
       continue;
     }
-    // Built anew in one pass: a replaced item keeps its place, new ones follow.
+    // Rebuilds the list in one pass: a replaced item keeps its position, new ones are appended.
     cJSON* const merged = cJSON_CreateArray();
     std::set<std::string> placed;
-    cJSON* const before = cJSON_GetObjectItemCaseSensitive(target->get(), list.c_str());
-    while (before != nullptr && before->child != nullptr) {
-      common::Tree item(cJSON_DetachItemViaPointer(before, before->child));
+    cJSON* const current_list = cJSON_GetObjectItemCaseSensitive(target->get(), list.c_str());
+    while (current_list != nullptr && current_list->child != nullptr) {
+      common::Tree item(cJSON_DetachItemViaPointer(current_list, current_list->child));
       cJSON const* const name = cJSON_GetObjectItemCaseSensitive(item.get(), "name");
       std::string const key = cJSON_IsString(name) != 0 ? name->valuestring : "";
-      std::map<std::string, cJSON const*>::const_iterator const replacement = given.find(key);
-      if (replacement != given.end()) {
+      std::map<std::string, cJSON const*>::const_iterator const replacement = upserted.find(key);
+      if (replacement != upserted.end()) {
         if (placed.insert(key).second) {
           cJSON_AddItemToArray(merged, cJSON_Duplicate(replacement->second, 1));
         }
-      } else if (gone.count(key) == 0) {
+      } else if (removed.count(key) == 0) {
         cJSON_AddItemToArray(merged, item.release());
       }
     }
     for (std::string const& name : order) {
       if (placed.count(name) == 0) {
-        cJSON_AddItemToArray(merged, cJSON_Duplicate(given[name], 1));
+        cJSON_AddItemToArray(merged, cJSON_Duplicate(upserted[name], 1));
       }
     }
     cJSON_DeleteItemFromObjectCaseSensitive(target->get(), list.c_str());
@@ -103,7 +104,7 @@
   return common::print_tree(target->get());
 }
 
-std::optional<std::uint64_t> number_in(std::string const& text, std::string const& number_field) {
+std::optional<std::uint64_t> parse_number_field(std::string const& text, std::string const& number_field) {
   absl::StatusOr<common::Tree> const tree = common::read_tree(text);
   if (!tree.ok()) {
     return std::nullopt;
@@ -115,15 +116,15 @@
   return static_cast<std::uint64_t>(number->valuedouble);
 }
 
-Notation own_notation() {
-  return Notation{read_own,
-                  [](std::string const& current, std::string const& change) {
-                    return merge_named(current, change, "number", {"lanes", "services", "tenants"});
-                  },
-                  [](std::string const& text) { return number_in(text, "number"); }};
+RoutingConfigFormat native_format() {
+  return RoutingConfigFormat{read_native,
+                             [](std::string const& current, std::string const& change) {
+                               return merge_named(current, change, "number", {"lanes", "services", "tenants"});
+                             },
+                             [](std::string const& text) { return parse_number_field(text, "number"); }};
 }
 
-std::vector<common::Fault> check(schema::Charter const& routing_config) {
+std::vector<common::Fault> validate(schema::Charter const& routing_config) {
   std::vector<common::Fault> faults;
   if (routing_config.number == 0) {
     faults.push_back(common::Fault{"/number", "must be above 0"});
@@ -131,34 +132,35 @@
   std::set<std::string> services;
   for (std::size_t index = 0; index < routing_config.services.size(); ++index) {
     if (!services.insert(routing_config.services[index].name).second) {
-      faults.push_back(common::Fault{place("services", index, "/name"), "is there twice"});
+      faults.push_back(common::Fault{item_path("services", index, "/name"), "is there twice"});
     }
   }
   std::set<std::string> names;
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> prefixes;
   for (std::size_t index = 0; index < routing_config.lanes.size(); ++index) {
     schema::Lane const& route = routing_config.lanes[index];
     if (!names.insert(route.name).second) {
-      faults.push_back(common::Fault{place("lanes", index, "/name"), "is there twice"});
+      faults.push_back(common::Fault{item_path("lanes", index, "/name"), "is there twice"});
     }
-    if (!places.insert(std::make_pair(route.host, route.prefix)).second) {
-      faults.push_back(common::Fault{place("lanes", index, "/prefix"), "another lane has this host and prefix"});
+    if (!prefixes.insert(std::make_pair(route.host, route.prefix)).second) {
+      faults.push_back(common::Fault{item_path("lanes", index, "/prefix"), "another lane has this host and prefix"});
     }
     double weights = 0;
     for (schema::Share const& share : route.shares) {
       weights += share.weight;
       if (services.count(share.service) == 0) {
-        faults.push_back(common::Fault{place("lanes", index, "/shares"), "names an unknown service: " + share.service});
+        faults.push_back(
+            common::Fault{item_path("lanes", index, "/shares"), "names an unknown service: " + share.service});
       }
     }
     if (!(weights > 0)) {
-      faults.push_back(common::Fault{place("lanes", index, "/shares"), "weights add up to nothing"});
+      faults.push_back(common::Fault{item_path("lanes", index, "/shares"), "weights add up to nothing"});
     }
     if (!(route.deadline_ms > 0)) {
-      faults.push_back(common::Fault{place("lanes", index, "/deadline_ms"), "must be above 0"});
+      faults.push_back(common::Fault{item_path("lanes", index, "/deadline_ms"), "must be above 0"});
     }
   }
-  check_tenancies(routing_config, faults);
+  validate_tenancies(routing_config, faults);
   return faults;
 }
 
--- a/source/config/routing/routing_config.hpp
+++ b/source/config/routing/routing_config.hpp
@@ -13,40 +13,41 @@
 
 namespace finchlink::config {
 
-/// A charter as it was read (section 13.1), with every fault by its place.
-struct RoutingConfigReading {
+/// A parsed routing configuration (docs/design.md section 13.1), with its validation errors.
+struct ParsedRoutingConfig {
   schema::Charter routing_config;
   std::vector<common::Fault> faults;
   [[nodiscard]] bool good() const { return faults.empty(); }
 };
 
-/// How operators write a charter down. What they wrote is kept as it came, so
-/// that it is read back number for number; only reading and merging know the form.
-struct Notation {
-  /// A whole charter. Faults of its form and, by `check`, of what it says.
-  std::function<RoutingConfigReading(std::string const& text)> read;
-  /// A partial change laid over a whole one; gives a whole text.
+/// A format in which operators write the routing configuration. The register
+/// keeps their text as it came, so that it reads back with every number as
+/// written; only parsing and merging know the format.
+struct RoutingConfigFormat {
+  /// Parses and validates a whole configuration: its form, and what `validate` finds.
+  std::function<ParsedRoutingConfig(std::string const& text)> read;
+  /// Applies a partial change to a whole configuration; returns a whole one.
   std::function<absl::StatusOr<std::string>(std::string const& current, std::string const& change)> merge;
-  /// The number that a charter, whole or partial, brings; nothing where it can't be read.
+  /// The number that a configuration, whole or partial, brings; nothing if it can't be read.
   std::function<std::optional<std::uint64_t>(std::string const& text)> number;
 };
 
-/// Our own notation: the JSON of schema::Charter; a change is
+/// The native format: the JSON of schema::Charter; a partial change is
 /// {"number", "upsert": {"lanes", "services", "tenants"}, "remove": {the same}}.
-[[nodiscard]] Notation own_notation();
+[[nodiscard]] RoutingConfigFormat native_format();
 
-/// {"upsert": {LIST: items}, "remove": {LIST: names}} laid over a whole text:
-/// items of the lists are replaced or added by their "name", and the number is
-/// taken over. All other members of the text stay as they are.
+/// Applies {"upsert": {LIST: items}, "remove": {LIST: names}} to a whole
+/// configuration: items of the lists are replaced or added by their "name", and
+/// the number is taken over. All other members of the text stay as they are.
 [[nodiscard]] absl::StatusOr<std::string> merge_named(std::string const& current, std::string const& change,
                                                       std::string const& number_field,
                                                       std::vector<std::string> const& lists);
 
-/// A whole number above 0 that stands in a member of a JSON object.
-[[nodiscard]] std::optional<std::uint64_t> number_in(std::string const& text, std::string const& number_field);
+/// The integer above 0 in the named member of a JSON object; nothing if there is none.
+[[nodiscard]] std::optional<std::uint64_t> parse_number_field(std::string const& text, std::string const& number_field);
 
-/// What parts say of each other: unknown services, lanes of one host and
-/// prefix, weights that add up to nothing, names that repeat, no deadline.
-[[nodiscard]] std::vector<common::Fault> check(schema::Charter const& routing_config);
+/// Validates a configuration as a whole: unknown services, routes with the same
+/// host and prefix, weights that sum to 0, repeated names, missing deadlines.
+[[nodiscard]] std::vector<common::Fault> validate(schema::Charter const& routing_config);
 
 }  // namespace finchlink::config
--- a/source/config/routing/tenancy.cpp
+++ b/source/config/routing/tenancy.cpp
@@ -7,15 +7,16 @@
 namespace finchlink::config {
 
 namespace {
-/// A header's name by RFC 9110: letters, digits and some marks.
-bool good_header(std::string const& name) {
+/// Whether a text is a header name by RFC 9110: letters, digits and some punctuation.
+bool is_header_name(std::string const& name) {
   return std::all_of(name.begin(), name.end(), [](char letter) {
     return (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') || (letter >= '0' && letter <= '9') ||
            std::string("!#$%&'*+-.^_`|~").find(letter) != std::string::npos;
   });
 }
 
-bool of_connection(std::string name) {
+/// Whether a header concerns the connection, the framing or the host.
+bool is_connection_header(std::string name) {
   std::transform(name.begin(), name.end(), name.begin(), [](char letter) {
     return static_cast<char>(letter >= 'A' && letter <= 'Z' ? letter - 'A' + 'a' : letter);
   });
@@ -25,21 +26,21 @@
   return names.count(name) > 0;
 }
 
-void check_tenancy(schema::Lane const& route, std::string const& place, std::vector<common::Fault>& faults) {
+void validate_tenancy(schema::Lane const& route, std::string const& place, std::vector<common::Fault>& faults) {
   schema::Tenancy const& tenancy = *route.tenancy;
   if (tenancy.header.empty() == (tenancy.path_segment == 0)) {
     faults.push_back(common::Fault{place, "must name a header or a path_segment, and not both"});
   }
-  if (!good_header(tenancy.header)) {
+  if (!is_header_name(tenancy.header)) {
     faults.push_back(common::Fault{place + "/header", "is no header's name"});
-  } else if (of_connection(tenancy.header)) {
+  } else if (is_connection_header(tenancy.header)) {
     faults.push_back(common::Fault{place + "/header", "concerns connections or hosts, not tenants"});
   }
-  // A prefix begins and ends with a slash: between its slashes stand the
-  // parts that are alike in all of the lane's paths.
-  std::size_t const alike = static_cast<std::size_t>(
+  // A prefix begins and ends with a slash; the segments between its slashes are
+  // the same in all paths of the route, so none of them can name the tenant.
+  std::size_t const shared_segments = static_cast<std::size_t>(
       std::max<std::ptrdiff_t>(std::count(route.prefix.begin(), route.prefix.end(), '/') - 1, 0));
-  if (tenancy.path_segment > 0 && tenancy.path_segment <= alike) {
+  if (tenancy.path_segment > 0 && tenancy.path_segment <= shared_segments) {
     faults.push_back(common::Fault{place + "/path_segment",
                                    "stands in the lane's prefix, so that all queries would name one tenant"});
   }
@@ -55,17 +56,17 @@
 }
 }  // namespace
 
-void check_tenancies(schema::Charter const& routing_config, std::vector<common::Fault>& faults) {
+void validate_tenancies(schema::Charter const& routing_config, std::vector<common::Fault>& faults) {
   std::set<std::string> names;
-  bool any = false;
+  bool has_tenancy = false;
   for (std::size_t index = 0; index < routing_config.lanes.size(); ++index) {
     schema::Lane const& route = routing_config.lanes[index];
     if (route.tenancy.has_value()) {
-      any = true;
-      check_tenancy(route, "/lanes/" + std::to_string(index) + "/tenancy", faults);
+      has_tenancy = true;
+      validate_tenancy(route, "/lanes/" + std::to_string(index) + "/tenancy", faults);
     }
   }
-  if (!routing_config.tenants.empty() && !any) {
+  if (!routing_config.tenants.empty() && !has_tenancy) {
     faults.push_back(common::Fault{"/tenants", "no lane says where its tenant is named"});
   }
   for (std::size_t index = 0; index < routing_config.tenants.size(); ++index) {
@@ -75,13 +76,14 @@
       faults.push_back(common::Fault{place + "/name", "is there twice"});
     }
     for (schema::Lane const& route : routing_config.lanes) {
-      bool const bound = route.tenancy.has_value() && !route.home_regions.empty() && !tenant.home_regions.empty();
-      bool const meets =
-          !bound ||
+      bool const both_restricted =
+          route.tenancy.has_value() && !route.home_regions.empty() && !tenant.home_regions.empty();
+      bool const has_region =
+          !both_restricted ||
           std::any_of(tenant.home_regions.begin(), tenant.home_regions.end(), [&route](std::string const& region) {
             return std::find(route.home_regions.begin(), route.home_regions.end(), region) != route.home_regions.end();
           });
-      if (!meets) {
+      if (!has_region) {
         faults.push_back(common::Fault{place + "/home_regions", "leaves no region on lane " + route.name});
       }
     }
--- a/source/config/routing/tenancy.hpp
+++ b/source/config/routing/tenancy.hpp
@@ -7,10 +7,11 @@
 
 namespace finchlink::config {
 
-/// What a charter says of tenants (section 14.1): each lane with tenancy has
-/// exactly one place where the tenant is named, that place can name more than
-/// one, public parts are named once, tenants too, and no tenant's homes leave a
-/// lane without any.
-void check_tenancies(schema::Charter const& routing_config, std::vector<common::Fault>& faults);
+/// Validates the tenant settings of a routing configuration (docs/design.md
+/// section 14.1) and appends the errors to `faults`: each route with tenancy
+/// names its tenant in exactly one place, that place can hold more than one
+/// name, public parts and tenants are unique, and no tenant's home regions leave
+/// a route without any region.
+void validate_tenancies(schema::Charter const& routing_config, std::vector<common::Fault>& faults);
 
 }  // namespace finchlink::config
--- a/source/config/rule/rule.cpp
+++ b/source/config/rule/rule.cpp
@@ -15,14 +15,15 @@
   if (!match.path_prefix.empty() && path.substr(0, match.path_prefix.size()) != match.path_prefix) {
     return false;
   }
-  for (std::pair<std::string const, std::string> const& wanted : match.headers) {
-    if (header(wanted.first) != wanted.second) {
+  for (std::pair<std::string const, std::string> const& required : match.headers) {
+    if (header(required.first) != required.second) {
       return false;
     }
   }
   return true;
 }
 
+/// Segment of a path, counted from 1; empty if there are fewer.
 std::string_view segment(std::string_view path, std::uint64_t number) {
   std::size_t begin = 0;
   for (std::uint64_t count = 0; count < number; ++count) {
@@ -39,27 +40,27 @@
 std::optional<std::string> find_rule(schema::Setup const& setup, std::string_view method, std::string_view path,
                                      HeaderLookup const& header) {
   std::optional<std::string> best;
-  std::tuple<std::int64_t, std::size_t, std::size_t> best_weight;
+  std::tuple<std::int64_t, std::size_t, std::size_t> best_precedence;
   for (std::pair<std::string const, schema::Rule> const& rule : setup.rules) {
     schema::Match const& match = rule.second.match;
     if (!matches(match, method, path, header)) {
       continue;
     }
-    std::tuple<std::int64_t, std::size_t, std::size_t> const weight{
+    std::tuple<std::int64_t, std::size_t, std::size_t> const precedence{
         rule.second.rank, match.path.empty() ? match.path_prefix.size() : match.path.size() + 1, match.headers.size()};
-    if (!best.has_value() || weight > best_weight) {
+    if (!best.has_value() || precedence > best_precedence) {
       best = rule.first;
-      best_weight = weight;
+      best_precedence = precedence;
     }
   }
   return best;
 }
 
-HomeVerdict find_home(schema::Setup const& setup, schema::Rule const& rule, std::string_view path,
-                      HeaderLookup const& header) {
-  HomeVerdict verdict;
+QueryHome find_home(schema::Setup const& setup, schema::Rule const& rule, std::string_view path,
+                    HeaderLookup const& header) {
+  QueryHome home;
   if (!rule.home.has_value()) {
-    return verdict;
+    return home;
   }
   std::string region = rule.home->region;
   if (!rule.home->header.empty()) {
@@ -68,12 +69,12 @@
     region = std::string(segment(path, rule.home->path_segment));
   }
   if (region.empty()) {
-    return verdict;  // the query names no home, so it has none
+    return home;  // the query names no home
   }
-  verdict.bound = true;
-  verdict.region = region;
-  verdict.known = setup.regions.count(region) > 0;
-  return verdict;
+  home.has_home = true;
+  home.region = region;
+  home.is_known_region = setup.regions.count(region) > 0;
+  return home;
 }
 
 }  // namespace finchlink::config
--- a/source/config/rule/rule.hpp
+++ b/source/config/rule/rule.hpp
@@ -9,20 +9,23 @@
 
 namespace finchlink::config {
 
-/// How a header of the query is looked up; empty when it is not there.
+/// Looks up a header of the query; empty if it is absent.
 using HeaderLookup = std::function<std::string(std::string const& name)>;
 
-/// The rule that a query falls under, from method, path and headers alone.
+/// The rule that applies to a query, by method, path and headers alone. Of
+/// several, the one of the highest rank, then the longest path (an exact path
+/// beats a prefix of its length), then the most headers; nothing if none matches.
 [[nodiscard]] std::optional<std::string> find_rule(schema::Setup const& setup, std::string_view method,
                                                    std::string_view path, HeaderLookup const& header);
 
-/// What the rule says of a query's home (section 9.2).
-struct HomeVerdict {
-  bool bound = false;  ///< it has a home
-  bool known = true;   ///< the home it names is a region
+/// The home region of a query under its rule (docs/design.md section 9.2).
+struct QueryHome {
+  bool has_home = false;        ///< the query has a home
+  bool is_known_region = true;  ///< the setup has the region that it names
   std::string region;
 };
-[[nodiscard]] HomeVerdict find_home(schema::Setup const& setup, schema::Rule const& rule, std::string_view path,
-                                    HeaderLookup const& header);
+/// Finds the home that the rule or the query itself names.
+[[nodiscard]] QueryHome find_home(schema::Setup const& setup, schema::Rule const& rule, std::string_view path,
+                                  HeaderLookup const& header);
 
 }  // namespace finchlink::config
--- a/source/config/setup/setup.hpp
+++ b/source/config/setup/setup.hpp
@@ -11,21 +11,23 @@
 
 namespace finchlink::config {
 
-/// What reading a setup document gives: the setup, or all that is wrong.
-struct SetupReading {
-  bool json = false;  ///< false: not a JSON document at all
-  std::string reason;
+/// A parsed setup document: the setup, or all of its validation errors.
+struct ParsedSetup {
+  bool json = false;   ///< false: not a JSON document at all
+  std::string reason;  ///< why it is not JSON
   schema::Setup setup;
   std::vector<common::Fault> faults;
   [[nodiscard]] bool good() const { return json && faults.empty(); }
 };
 
-/// Reads and checks an operators' document (section 2.2): shape by schema,
-/// then what the parts say of each other.
-[[nodiscard]] SetupReading read_setup(std::string_view text);
+/// Parses and validates an operator's document (docs/design.md section 2.2):
+/// its form by the schema, then the references between its parts.
+[[nodiscard]] ParsedSetup read_setup(std::string_view text);
 
-/// The canonical text of a document: sorted members, no spaces.
-[[nodiscard]] absl::StatusOr<std::string> canonical(std::string_view text);
-[[nodiscard]] absl::StatusOr<std::string> patched(std::string_view text, std::string_view patch);
+/// The canonical form of a JSON document: sorted members, no spaces.
+[[nodiscard]] absl::StatusOr<std::string> canonical_json(std::string_view text);
+/// Applies a JSON merge patch (RFC 7396) to a document, an empty one counts as
+/// {}; returns the canonical form.
+[[nodiscard]] absl::StatusOr<std::string> apply_merge_patch(std::string_view text, std::string_view patch);
 
 }  // namespace finchlink::config
--- a/source/tests/config/evacuation_test.cpp
+++ b/source/tests/config/evacuation_test.cpp
@@ -8,22 +8,23 @@
 using Zones = std::vector<std::string>;
 using Outcome = config::ZoneDrainOutcome;
 
-/// A register of one holder: what an order writes is what the next one finds.
+/// A register with a single acceptor: each command finds what the one before it wrote.
 struct Register {
   schema::Value value;
   config::ZoneDrainGuards guards;
 
-  /// What a node that is up to date, or was at an older value, knows of a zone.
-  config::ZoneDrainCommand order(std::string const& zone, bool evacuated) const {
-    return known_at(value, zone, evacuated);
+  /// A command that arrives at a node that is up to date.
+  config::ZoneDrainCommand command(std::string const& zone, bool drained) const {
+    return known_at(value, zone, drained);
   }
-  config::ZoneDrainCommand known_at(schema::Value const& known, std::string const& zone, bool evacuated) const {
-    return config::ZoneDrainCommand{zone, evacuated, config::newest_command(known, zone, guards.marks_kept)};
+  /// A command that arrives at a node that knows an older value.
+  config::ZoneDrainCommand known_at(schema::Value const& known, std::string const& zone, bool drained) const {
+    return config::ZoneDrainCommand{zone, drained, config::newest_command(known, zone, guards.marks_kept)};
   }
-  Outcome carry_out(config::ZoneDrainCommand const& order, bool caller_gone = false) {
+  Outcome apply(config::ZoneDrainCommand const& command, bool caller_gone = false) {
     std::shared_ptr<config::ZoneDrainReport> const report = std::make_shared<config::ZoneDrainReport>();
     consensus::Proposal const proposal = config::zone_drain_proposal(
-        order, [caller_gone] { return caller_gone; }, report, guards)(value);
+        command, [caller_gone] { return caller_gone; }, report, guards)(value);
     if (schema::Value const* const next = std::get_if<schema::Value>(&proposal)) {
       value = *next;
     }
@@ -32,107 +33,111 @@
   Zones zones() const { return config::parse_drained_zones(value.content); }
 };
 
-TEST(EvacuationProposal, ZonesAreAddedAndTakenAwayOnce) {
-  Register held;
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(held.order("b\"c", true)), Outcome::carried_out);
-  std::string const content = held.value.content;
-  // Said twice it is acknowledged again, and the content stays as it is.
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.value.content, content);
-  EXPECT_EQ(held.zones(), (Zones{"a", "b\"c"}));
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(held.zones(), (Zones{"b\"c"}));
-  EXPECT_EQ(held.value.revision, 5u);      // one for each order
-  EXPECT_EQ(held.value.marks.size(), 2u);  // one for each zone
+TEST(ZoneDrainProposal, ZonesAreAddedAndRemovedOnce) {
+  Register reg;
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  EXPECT_EQ(reg.apply(reg.command("b\"c", true)), Outcome::applied);
+  std::string const content = reg.value.content;
+  // A repeated command is acknowledged again and leaves the content as it is.
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  EXPECT_EQ(reg.value.content, content);
+  EXPECT_EQ(reg.zones(), (Zones{"a", "b\"c"}));
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);
+  EXPECT_EQ(reg.zones(), (Zones{"b\"c"}));
+  EXPECT_EQ(reg.value.revision, 5u);      // one for each command
+  EXPECT_EQ(reg.value.marks.size(), 2u);  // one for each zone
   EXPECT_TRUE(config::parse_drained_zones("").empty());
 }
 
-TEST(EvacuationProposal, ALateOneDoesNotOvertakeWhatWasWithdrawn) {
-  // Read by a node that freezes; sent again to another, acknowledged, withdrawn.
-  Register held;
-  config::ZoneDrainCommand const late = held.order("a", true);
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(late), Outcome::superseded);
-  EXPECT_TRUE(held.zones().empty());
-  // Sent again, by someone who waits, it is an order of now.
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.zones(), Zones{"a"});
+TEST(ZoneDrainProposal, LateCommandIsSupersededByNewerOnes) {
+  // A node reads the command and freezes. The client repeats it at another node,
+  // which acknowledges it; then the zone is restored and the first node resumes.
+  Register reg;
+  config::ZoneDrainCommand const late = reg.command("a", true);
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);
+  EXPECT_EQ(reg.apply(late), Outcome::superseded);
+  EXPECT_TRUE(reg.zones().empty());
+  // The same command, if a client sends it now, is a new one.
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  EXPECT_EQ(reg.zones(), Zones{"a"});
 
   Register unfenced{{}, {.fenced = false}};
-  config::ZoneDrainCommand const again = unfenced.order("a", true);
-  EXPECT_EQ(unfenced.carry_out(unfenced.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(unfenced.carry_out(unfenced.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(unfenced.carry_out(again), Outcome::carried_out);
-  EXPECT_EQ(unfenced.zones(), Zones{"a"}) << "the guard is not what the test is about";
+  config::ZoneDrainCommand const again = unfenced.command("a", true);
+  EXPECT_EQ(unfenced.apply(unfenced.command("a", true)), Outcome::applied);
+  EXPECT_EQ(unfenced.apply(unfenced.command("a", false)), Outcome::applied);
+  EXPECT_EQ(unfenced.apply(again), Outcome::applied);
+  EXPECT_EQ(unfenced.zones(), Zones{"a"})
+      << "without the guard the late command must take effect, else this test covers something else";
 }
 
-TEST(EvacuationProposal, AWithdrawalThatFindsNothingToDoFencesAsWell) {
-  // Given up everywhere and withdrawn to be sure, before the frozen node comes back.
-  Register held;
-  config::ZoneDrainCommand const late = held.order("a", true);
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(late), Outcome::superseded);
-  EXPECT_TRUE(held.zones().empty());
+TEST(ZoneDrainProposal, RestoreWithoutEffectFencesEarlierCommands) {
+  // The client gives up on its drain command and restores the zone to be sure,
+  // before the frozen node that holds the command resumes.
+  Register reg;
+  config::ZoneDrainCommand const late = reg.command("a", true);
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);
+  EXPECT_EQ(reg.apply(late), Outcome::superseded);
+  EXPECT_TRUE(reg.zones().empty());
 
   Register uncounted{{}, {.orders_counted = false}};
-  config::ZoneDrainCommand const again = uncounted.order("a", true);
-  EXPECT_EQ(uncounted.carry_out(uncounted.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(uncounted.carry_out(again), Outcome::carried_out);
-  EXPECT_EQ(uncounted.zones(), Zones{"a"}) << "the guard is not what the test is about";
+  config::ZoneDrainCommand const again = uncounted.command("a", true);
+  EXPECT_EQ(uncounted.apply(uncounted.command("a", false)), Outcome::applied);
+  EXPECT_EQ(uncounted.apply(again), Outcome::applied);
+  EXPECT_EQ(uncounted.zones(), Zones{"a"})
+      << "without the guard the late command must take effect, else this test covers something else";
 }
 
-TEST(EvacuationProposal, NothingIsChangedForACallerThatHasGone) {
-  Register held;
-  EXPECT_EQ(held.carry_out(held.order("a", true), true), Outcome::caller_gone);
-  EXPECT_EQ(held.value.revision, 0u);
-  held.guards.caller_watched = false;
-  EXPECT_EQ(held.carry_out(held.order("a", true), true), Outcome::carried_out);
+TEST(ZoneDrainProposal, NothingChangesForADisconnectedClient) {
+  Register reg;
+  EXPECT_EQ(reg.apply(reg.command("a", true), true), Outcome::caller_gone);
+  EXPECT_EQ(reg.value.revision, 0u);
+  reg.guards.caller_watched = false;
+  EXPECT_EQ(reg.apply(reg.command("a", true), true), Outcome::applied);
 }
 
-TEST(EvacuationProposal, ARepeatedOneIsAcknowledgedWhereverItIsSent) {
-  Register held;
-  schema::Value const before = held.value;
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  // The answer was lost; the next node has not heard of it yet.
-  EXPECT_EQ(held.carry_out(held.known_at(before, "a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.zones(), Zones{"a"});
-  // Other zones do not matter, also to a node that is behind.
-  EXPECT_EQ(held.carry_out(held.known_at(before, "b", true)), Outcome::carried_out);
-  EXPECT_EQ(held.zones(), (Zones{"a", "b"}));
+TEST(ZoneDrainProposal, RepeatedCommandIsAcknowledgedByAnyNode) {
+  Register reg;
+  schema::Value const before = reg.value;
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  // The response was lost; the next node doesn't know of the change yet.
+  EXPECT_EQ(reg.apply(reg.known_at(before, "a", true)), Outcome::applied);
+  EXPECT_EQ(reg.zones(), Zones{"a"});
+  // Commands about other zones don't fence, also at a node that is behind.
+  EXPECT_EQ(reg.apply(reg.known_at(before, "b", true)), Outcome::applied);
+  EXPECT_EQ(reg.zones(), (Zones{"a", "b"}));
 }
 
-TEST(EvacuationProposal, ANodeThatIsBehindIsNotRefusedForGood) {
-  Register held;
-  schema::Value const before = held.value;
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(held.known_at(before, "a", false)), Outcome::superseded);
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);  // it has read meanwhile
-  EXPECT_TRUE(held.zones().empty());
+TEST(ZoneDrainProposal, LaggingNodeSucceedsAfterCatchingUp) {
+  Register reg;
+  schema::Value const before = reg.value;
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  EXPECT_EQ(reg.apply(reg.known_at(before, "a", false)), Outcome::superseded);
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);  // the node has caught up
+  EXPECT_TRUE(reg.zones().empty());
 }
 
-TEST(EvacuationProposal, ContentOfBeforeIsRead) {
-  Register held;
-  held.value = schema::Value{4, R"(["a","b"])", {}};
-  EXPECT_EQ(held.zones(), (Zones{"a", "b"}));
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
-  EXPECT_EQ(held.zones(), Zones{"b"});
-  EXPECT_EQ(held.value.revision, 5u);
+TEST(ZoneDrainProposal, ContentWithoutMarksIsRead) {
+  Register reg;
+  reg.value = schema::Value{4, R"(["a","b"])", {}};
+  EXPECT_EQ(reg.zones(), (Zones{"a", "b"}));
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);
+  EXPECT_EQ(reg.zones(), Zones{"b"});
+  EXPECT_EQ(reg.value.revision, 5u);
 }
 
-TEST(EvacuationProposal, DroppedMarksFenceToo) {
-  Register held{{}, {.marks_kept = 2}};
-  config::ZoneDrainCommand const late = held.order("a", true);
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
-  EXPECT_EQ(held.carry_out(held.order("a", false)), Outcome::carried_out);
+TEST(ZoneDrainProposal, DroppedMarksFenceToo) {
+  Register reg{{}, {.marks_kept = 2}};
+  config::ZoneDrainCommand const late = reg.command("a", true);
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
+  EXPECT_EQ(reg.apply(reg.command("a", false)), Outcome::applied);
   for (std::string const zone : {"b", "c", "d"}) {
-    EXPECT_EQ(held.carry_out(held.order(zone, true)), Outcome::carried_out);
+    EXPECT_EQ(reg.apply(reg.command(zone, true)), Outcome::applied);
   }
-  EXPECT_EQ(held.value.marks.size(), 2u);
-  EXPECT_EQ(held.carry_out(late), Outcome::superseded);
-  EXPECT_EQ(held.carry_out(held.order("a", true)), Outcome::carried_out);
+  EXPECT_EQ(reg.value.marks.size(), 2u);
+  EXPECT_EQ(reg.apply(late), Outcome::superseded);
+  EXPECT_EQ(reg.apply(reg.command("a", true)), Outcome::applied);
 }
 
 }  // namespace
--- a/source/tests/config/setup_test.cpp
+++ b/source/tests/config/setup_test.cpp
@@ -13,15 +13,15 @@
 namespace finchlink {
 namespace {
 
-std::string file(std::string const& path) {
+std::string read_file(std::string const& path) {
   std::ifstream stream(std::string(FINCHLINK_SOURCE_FOLDER) + "/" + path);
   std::stringstream text;
   text << stream.rdbuf();
   return text.str();
 }
 
-bool has_fault(config::ParsedSetup const& reading, std::string const& path) {
-  for (common::Fault const& fault : reading.faults) {
+bool has_fault(config::ParsedSetup const& parsed, std::string const& path) {
+  for (common::Fault const& fault : parsed.faults) {
     if (fault.path == path) {
       return true;
     }
@@ -29,58 +29,58 @@
   return false;
 }
 
-TEST(Setup, BothDeploymentsAreGoodAndReadBackTheSame) {
+TEST(Setup, BothDeploymentsAreValidAndRoundTrip) {
   for (std::string const name : {"pruebaviva", "corrib"}) {
-    config::ParsedSetup const reading = config::read_setup(file("deployments/" + name + "/setup.json"));
-    ASSERT_TRUE(reading.good()) << name << common::describe(reading.faults);
-    common::Tree const written(schema::write(reading.setup));
+    config::ParsedSetup const parsed = config::read_setup(read_file("deployments/" + name + "/setup.json"));
+    ASSERT_TRUE(parsed.good()) << name << common::describe(parsed.faults);
+    common::Tree const written(schema::write(parsed.setup));
     config::ParsedSetup const again = config::read_setup(common::print_tree(written.get()));
     ASSERT_TRUE(again.good()) << common::describe(again.faults);
-    EXPECT_EQ(again.setup, reading.setup);
+    EXPECT_EQ(again.setup, parsed.setup);
   }
 }
 
 TEST(Setup, NamesEveryFaultWithItsPath) {
-  config::ParsedSetup const reading =
+  config::ParsedSetup const parsed =
       config::read_setup(R"({"regions":{"a":{"halls":["x","y"]},"b":{"halls":["x"]}},"halls":{"z":{}},
     "rules":{"r/1":{"match":{"path":"/p","path_prefix":"/q"},"kind":"odd","deadline_ms":3,"colour":1,"home":{"region":"c"},"selector":{"key":"k","op":"in","values":[]}}}})");
-  ASSERT_TRUE(reading.json);
+  ASSERT_TRUE(parsed.json);
   for (std::string const path :
        {"/regions/b/halls/0", "/halls/z", "/rules/r~11/match", "/rules/r~11/kind", "/rules/r~11/deadline_ms",
         "/rules/r~11/colour", "/rules/r~11/home/region", "/rules/r~11/selector/values"}) {
-    EXPECT_TRUE(has_fault(reading, path)) << path << " not in " << common::describe(reading.faults);
+    EXPECT_TRUE(has_fault(parsed, path)) << path << " not in " << common::describe(parsed.faults);
   }
   EXPECT_FALSE(config::read_setup("{\"regions\":").json);
   EXPECT_TRUE(has_fault(config::read_setup("{\"regions\":{},\"regions\":{},\"rules\":{}}"), "/regions"));
 }
 
-TEST(Setup, MergePatchFollowsItsStandard) {
+TEST(Setup, MergePatchFollowsRfc7396) {
   EXPECT_EQ(*config::apply_merge_patch(R"({"a":"b","c":{"d":"e","f":"g"}})", R"({"a":"z","c":{"f":null}})"),
             R"({"a":"z","c":{"d":"e"}})");
   EXPECT_EQ(*config::apply_merge_patch(R"({"a":[1,2]})", R"({"a":[3],"b":{"c":null}})"), R"({"a":[3],"b":{}})");
   EXPECT_EQ(*config::apply_merge_patch("", R"({"x":1})"), R"({"x":1})");
 }
 
-TEST(Selector, JoinsItsTerms) {
+TEST(Selector, CombinesItsTerms) {
   config::Labels const labels{{"kind", "model"}, {"site", "cork"}};
-  std::function<bool(std::string const&)> const says = [&labels](std::string const& text) {
+  std::function<bool(std::string const&)> const matches = [&labels](std::string const& text) {
     schema::Selector selector;
     std::vector<common::Fault> faults;
     schema::read(common::read_tree(text)->get(), "", selector, faults);
     EXPECT_TRUE(faults.empty());
     return config::selects(selector, labels);
   };
-  EXPECT_TRUE(says("{}"));
-  EXPECT_TRUE(says(R"({"key":"kind","op":"equals","values":["model"]})"));
-  EXPECT_FALSE(says(R"({"key":"kind","op":"notin","values":["model","web"]})"));
-  EXPECT_TRUE(says(R"({"key":"absent","op":"notin","values":["x"]})"));
+  EXPECT_TRUE(matches("{}"));
+  EXPECT_TRUE(matches(R"({"key":"kind","op":"equals","values":["model"]})"));
+  EXPECT_FALSE(matches(R"({"key":"kind","op":"notin","values":["model","web"]})"));
+  EXPECT_TRUE(matches(R"({"key":"absent","op":"notin","values":["x"]})"));
   EXPECT_FALSE(
-      says(R"({"all":[{"key":"site","op":"exists"},{"none":[{"key":"kind","op":"in","values":["model"]}]}]})"));
-  EXPECT_TRUE(says(R"({"any":[{"key":"absent","op":"exists"},{"key":"site","op":"in","values":["x","cork"]}]})"));
+      matches(R"({"all":[{"key":"site","op":"exists"},{"none":[{"key":"kind","op":"in","values":["model"]}]}]})"));
+  EXPECT_TRUE(matches(R"({"any":[{"key":"absent","op":"exists"},{"key":"site","op":"in","values":["x","cork"]}]})"));
 }
 
 TEST(Rule, HomeComesFromPathAndHeadersAlone) {
-  schema::Setup const setup = config::read_setup(file("deployments/pruebaviva/setup.json")).setup;
+  schema::Setup const setup = config::read_setup(read_file("deployments/pruebaviva/setup.json")).setup;
   config::HeaderLookup const bogota = [](std::string const& name) {
     return name == "Finchlink-Home" ? std::string("bogota") : std::string();
   };
@@ -89,51 +89,52 @@
   EXPECT_EQ(config::find_rule(setup, "GET", "/v1/verdict", none), std::nullopt);
   EXPECT_EQ(config::find_rule(setup, "GET", "/v1/badge/x", none), "badge");
   EXPECT_EQ(config::find_home(setup, setup.rules.at("verdict"), "/v1/verdict", bogota).region, "bogota");
-  EXPECT_FALSE(config::find_home(setup, setup.rules.at("verdict"), "/v1/verdict", none).bound);
+  EXPECT_FALSE(config::find_home(setup, setup.rules.at("verdict"), "/v1/verdict", none).has_home);
   schema::Rule by_path = setup.rules.at("verdict");
   by_path.home = schema::Home{"", "", 2};
   EXPECT_EQ(config::find_home(setup, by_path, "/v1/antioquia/x", none).region, "antioquia");
-  EXPECT_FALSE(config::find_home(setup, by_path, "/v1/elsewhere/x", none).known);
+  EXPECT_FALSE(config::find_home(setup, by_path, "/v1/elsewhere/x", none).is_known_region);
 }
 
+/// The value after a change with this id.
 schema::Value after(schema::Value value, std::string const& id) {
-  std::shared_ptr<config::SetupProposalReport> const note = std::make_shared<config::SetupProposalReport>();
-  config::SetupChangeRequest wanted;
-  wanted.id = id;
-  wanted.patch = true;
-  wanted.content = R"({"halls":{"h":{"labels":{"mark":"x"}}}})";
-  consensus::Proposal const desired = config::setup_proposal(wanted, note)(value);
-  return std::holds_alternative<schema::Value>(desired) ? std::get<schema::Value>(desired) : value;
+  std::shared_ptr<config::SetupProposalReport> const report = std::make_shared<config::SetupProposalReport>();
+  config::SetupChangeRequest request;
+  request.id = id;
+  request.patch = true;
+  request.content = R"({"halls":{"h":{"labels":{"mark":"x"}}}})";
+  consensus::Proposal const proposal = config::setup_proposal(request, report)(value);
+  return std::holds_alternative<schema::Value>(proposal) ? std::get<schema::Value>(proposal) : value;
 }
 
-TEST(Change, OutcomeAfterAStormIsTrueOrNoLongerKnown) {
+TEST(Change, OutcomeAfterManyChangesIsCorrectOrForgotten) {
   schema::Value value{1, R"({"regions":{"r":{"halls":["h"]}},"rules":{}})", {{"first.0", 1}}};
   value = after(value, "mine.1");
-  std::uint64_t const taken = value.revision;
-  ASSERT_EQ(config::status_of(value, "mine.1").revision, taken);
+  std::uint64_t const applied = value.revision;
+  ASSERT_EQ(config::status_of(value, "mine.1").revision, applied);
   for (std::size_t turn = 0; turn < 2 * common::constants::marks_kept; ++turn) {
     value = after(value, "storm-" + std::to_string(turn) + "." + std::to_string(value.revision));
-    // Never a false no, never a second effect.
-    config::ChangeState const known = config::status_of(value, "mine.1").standing;
+    // An applied change is never reported as rejected and never applied twice.
+    config::ChangeState const known = config::status_of(value, "mine.1").state;
     ASSERT_TRUE(known == config::ChangeState::accepted || known == config::ChangeState::forgotten) << turn;
-    EXPECT_EQ(after(value, "mine.1").revision, value.revision) << "took effect twice";
+    EXPECT_EQ(after(value, "mine.1").revision, value.revision) << "applied twice";
     EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::cancel_proposal("mine.1")(value)));
   }
-  EXPECT_EQ(config::status_of(value, "mine.1").standing, config::ChangeState::forgotten);
+  EXPECT_EQ(config::status_of(value, "mine.1").state, config::ChangeState::forgotten);
   EXPECT_LE(value.marks.size(), common::constants::marks_kept);
-  // One that was never sent, born of late, is surely open, and its veto lasts.
+  // A recent id that was never sent is pending for certain, and stays cancelled once it is cancelled.
   std::string const fresh = "fresh." + std::to_string(value.revision);
-  EXPECT_EQ(config::status_of(value, fresh).standing, config::ChangeState::pending);
+  EXPECT_EQ(config::status_of(value, fresh).state, config::ChangeState::pending);
   value = std::get<schema::Value>(config::cancel_proposal(fresh)(value));
   EXPECT_EQ(after(value, fresh).revision, value.revision);
-  EXPECT_EQ(config::status_of(value, fresh).standing, config::ChangeState::rejected);
+  EXPECT_EQ(config::status_of(value, fresh).state, config::ChangeState::rejected);
 }
 
-TEST(Change, AskingForMadeUpIdsWritesNothingForTheUnborn) {
+TEST(Change, CancellingAFutureOrForgottenIdWritesNothing) {
   schema::Value const value{7, "{}", {{"a.6", 7}}};
   EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::cancel_proposal("x.8")(value)));
-  EXPECT_TRUE(
-      std::holds_alternative<consensus::Keep>(config::cancel_proposal("x")(value)));  // born before what is remembered
+  // An id without a base revision is older than the kept marks.
+  EXPECT_TRUE(std::holds_alternative<consensus::Keep>(config::cancel_proposal("x")(value)));
   EXPECT_EQ(after(value, "x.8").revision, 7u);
 }
 
--- a/source/tests/config/tenancy_test.cpp
+++ b/source/tests/config/tenancy_test.cpp
@@ -7,20 +7,21 @@
 namespace finchlink {
 namespace {
 
+/// Validation errors of a configuration with this tenancy and these tenants; empty if there are none.
 std::string faults_of(std::string const& tenancy, std::string const& tenants = "[]") {
-  config::ParsedRoutingConfig const reading = config::native_format().read(
+  config::ParsedRoutingConfig const parsed = config::native_format().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","prefix":"/a/b/","home_regions":["east"],"shares":[{"service":"s"}],"tenancy":)" +
       tenancy + "}],\"tenants\":" + tenants + "}");
-  return common::describe(reading.faults);
+  return common::describe(parsed.faults);
 }
 
-TEST(Tenancy, GoodOnesHaveNoFault) {
+TEST(Tenancy, ValidOnesHaveNoFault) {
   EXPECT_EQ(faults_of(R"({"header":"Customer"})"), "");
   EXPECT_EQ(faults_of(R"({"path_segment":3,"required":false,"public_parts":["aa","bb"]})"), "");
   EXPECT_EQ(faults_of(R"({"header":"Customer"})", R"([{"name":"t","home_regions":["west","east"]}])"), "");
 }
 
-TEST(Tenancy, FaultsAreNamedByTheirPlace) {
+TEST(Tenancy, FaultsNameTheirPath) {
   EXPECT_NE(faults_of("{}").find("/lanes/0/tenancy"), std::string::npos);
   EXPECT_NE(faults_of(R"({"header":"A","path_segment":3})").find("not both"), std::string::npos);
   EXPECT_NE(faults_of(R"({"header":"A b"})").find("is no header's name"), std::string::npos);
@@ -36,10 +37,10 @@
   EXPECT_NE(faults_of(R"({"header":"A","unknown":1})").find("unknown"), std::string::npos);
 }
 
-TEST(Tenancy, TenantsWithoutALaneAreAFault) {
-  config::ParsedRoutingConfig const reading = config::native_format().read(
+TEST(Tenancy, TenantsWithoutATenancyRouteAreAFault) {
+  config::ParsedRoutingConfig const parsed = config::native_format().read(
       R"({"number":1,"services":[{"name":"s"}],"lanes":[{"name":"l","shares":[{"service":"s"}]}],"tenants":[{"name":"t"}]})");
-  EXPECT_NE(common::describe(reading.faults).find("/tenants"), std::string::npos);
+  EXPECT_NE(common::describe(parsed.faults).find("/tenants"), std::string::npos);
 }
 
 TEST(Tenancy, PatchesChangeTenants) {
@@ -48,15 +49,15 @@
   absl::StatusOr<std::string> const merged = config::native_format().merge(
       whole, R"({"number":2,"upsert":{"tenants":[{"name":"u","home_regions":["east"]}]},"remove":{"tenants":["t"]}})");
   ASSERT_TRUE(merged.ok());
-  config::ParsedRoutingConfig const reading = config::native_format().read(*merged);
-  ASSERT_TRUE(reading.good()) << common::describe(reading.faults);
-  scheduling::RouteTable const route_table(reading.routing_config);
+  config::ParsedRoutingConfig const parsed = config::native_format().read(*merged);
+  ASSERT_TRUE(parsed.good()) << common::describe(parsed.faults);
+  scheduling::RouteTable const route_table(parsed.routing_config);
   EXPECT_EQ(route_table.tenant("t"), nullptr);
   ASSERT_NE(route_table.tenant("u"), nullptr);
   EXPECT_EQ(route_table.tenant("u")->home_regions, std::vector<std::string>{"east"});
 }
 
-schema::Tenancy by_header(bool required) {
+schema::Tenancy header_tenancy(bool required) {
   schema::Tenancy tenancy;
   tenancy.header = "Customer";
   tenancy.required = required;
@@ -64,16 +65,17 @@
 }
 
 TEST(Tenant, IsReadFromItsHeader) {
-  EXPECT_EQ(scheduling::read_tenant(by_header(true), {"acme"}, "/").name, "acme");
-  EXPECT_EQ(scheduling::read_tenant(by_header(true), {}, "/").end, scheduling::TenantStatus::refused);
-  EXPECT_EQ(scheduling::read_tenant(by_header(true), {""}, "/").end, scheduling::TenantStatus::refused);
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {}, "/").end, scheduling::TenantStatus::absent);
-  // Which of two a worker or a log would take is not known.
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"acme", "acme"}, "/").end, scheduling::TenantStatus::refused);
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {"a b"}, "/").end, scheduling::TenantStatus::refused);
-  // Two fields that somebody on the way has joined are still two.
-  EXPECT_STREQ(scheduling::read_tenant(by_header(false), {"acme,other"}, "/").fault, "ambiguous_tenant");
-  EXPECT_EQ(scheduling::read_tenant(by_header(false), {std::string(129, 'x')}, "/").end,
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(true), {"acme"}, "/").name, "acme");
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(true), {}, "/").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(true), {""}, "/").end, scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(false), {}, "/").end, scheduling::TenantStatus::absent);
+  // With two header fields, a worker or a log may use either of them.
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(false), {"acme", "acme"}, "/").end,
+            scheduling::TenantStatus::refused);
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(false), {"a b"}, "/").end, scheduling::TenantStatus::refused);
+  // Two fields that an intermediary joined into one are still two.
+  EXPECT_STREQ(scheduling::read_tenant(header_tenancy(false), {"acme,other"}, "/").fault, "ambiguous_tenant");
+  EXPECT_EQ(scheduling::read_tenant(header_tenancy(false), {std::string(129, 'x')}, "/").end,
             scheduling::TenantStatus::refused);
 }
 
@@ -91,9 +93,9 @@
   EXPECT_EQ(scheduling::read_tenant(tenancy, {}, "/v/..acme/x").name, "..acme");
 }
 
-TEST(Tenant, APathThatAFrontMayReadInAnotherWayIsRefused) {
-  // Who stands before us may check the tenant of the path as RFC 3986 removes
-  // dots, or with slashes merged: it would let one tenant through as another.
+TEST(Tenant, PathThatAFrontProxyMayReadDifferentlyIsRejected) {
+  // A front proxy may authorize the tenant of the path after it removed dot
+  // segments (RFC 3986) or merged slashes: one tenant would pass as another.
   schema::Tenancy tenancy;
   for (bool const required : {true, false}) {
     tenancy.required = required;
@@ -107,25 +109,27 @@
   }
 }
 
-TEST(Tenant, OneNameInTwoRealmsIsTwoTenants) {
-  schema::Tenancy lower = by_header(true);
+TEST(Tenant, OneNameInTwoNamespacesIsTwoTenants) {
+  schema::Tenancy lower = header_tenancy(true);
   lower.header = "customer";
-  EXPECT_EQ(scheduling::tenant_namespace_of(by_header(true), "logs"), scheduling::tenant_namespace_of(lower, "diffs"));
+  EXPECT_EQ(scheduling::tenant_namespace_of(header_tenancy(true), "logs"),
+            scheduling::tenant_namespace_of(lower, "diffs"));
   schema::Tenancy path;
   path.path_segment = 3;
   EXPECT_NE(scheduling::tenant_namespace_of(path, "rides"), scheduling::tenant_namespace_of(path, "tickets"));
-  EXPECT_NE(scheduling::tenant_namespace_of(path, "logs"), scheduling::tenant_namespace_of(by_header(true), "logs"));
+  EXPECT_NE(scheduling::tenant_namespace_of(path, "logs"),
+            scheduling::tenant_namespace_of(header_tenancy(true), "logs"));
 }
 
-TEST(Tenant, HomesOfLaneAndTenantBothBind) {
-  std::vector<std::string> joined;
-  EXPECT_TRUE(scheduling::intersect_homes({"a", "b"}, {"b", "c"}, joined));
-  EXPECT_EQ(joined, std::vector<std::string>{"b"});
-  EXPECT_TRUE(scheduling::intersect_homes({}, {"b"}, joined));
-  EXPECT_EQ(joined, std::vector<std::string>{"b"});
-  EXPECT_TRUE(scheduling::intersect_homes({"a"}, {}, joined));
-  EXPECT_EQ(joined, std::vector<std::string>{"a"});
-  EXPECT_FALSE(scheduling::intersect_homes({"a"}, {"b"}, joined));
+TEST(Tenant, HomeRegionsOfRouteAndTenantAreIntersected) {
+  std::vector<std::string> regions;
+  EXPECT_TRUE(scheduling::intersect_homes({"a", "b"}, {"b", "c"}, regions));
+  EXPECT_EQ(regions, std::vector<std::string>{"b"});
+  EXPECT_TRUE(scheduling::intersect_homes({}, {"b"}, regions));
+  EXPECT_EQ(regions, std::vector<std::string>{"b"});
+  EXPECT_TRUE(scheduling::intersect_homes({"a"}, {}, regions));
+  EXPECT_EQ(regions, std::vector<std::string>{"a"});
+  EXPECT_FALSE(scheduling::intersect_homes({"a"}, {"b"}, regions));
 }
 
 }  // namespace
