--- a/source/control_plane/departure/departure_service.cpp
+++ b/source/control_plane/departure/departure_service.cpp
@@ -8,13 +8,13 @@
 namespace constants = common::constants;
 
 void DepartureService::begin(common::Moment until) {
-  bool const voting_disk = acceptor_ != nullptr && !acceptor_->silent();
-  departure_.emplace(voting_disk ? acceptor_->incarnation() : 0, until);
+  bool const is_acceptor_active = acceptor_ != nullptr && !acceptor_->silent();
+  departure_.emplace(is_acceptor_active ? acceptor_->incarnation() : 0, until);
   updates_.set_leaving();
-  duties_.release();
+  leased_tasks_.release_leases();
   common::start(context_, [this](common::Yield yield) {
     while (true) {
-      // Each telling runs by itself: a peer that is silent holds none up.
+      // Each round runs in its own coroutine, so that an unresponsive peer delays no other round.
       updates_.announce(false);
       common::pause(context_, constants::departure_pause, yield);
     }
@@ -30,13 +30,13 @@
     step_ = step;
     common::note(common::Event::VoterLeaving, membership::name_of(step));
   }
-  return membership::stays(step) || duties_.releasing();
+  return membership::stays(step) || leased_tasks_.releasing();
 }
 
 schema::VoterSet DepartureService::newest_set() {
-  schema::VoterSet const known = register_.set();
-  schema::VoterSet const own = acceptor_ != nullptr ? acceptor_->set() : schema::VoterSet{};
-  return own.epoch > known.epoch ? own : known;
+  schema::VoterSet const client_set = register_.set();
+  schema::VoterSet const acceptor_set = acceptor_ != nullptr ? acceptor_->set() : schema::VoterSet{};
+  return acceptor_set.epoch > client_set.epoch ? acceptor_set : client_set;
 }
 
 }  // namespace finchlink::control_plane
--- a/source/control_plane/departure/departure_service.hpp
+++ b/source/control_plane/departure/departure_service.hpp
@@ -10,32 +10,36 @@
 
 namespace finchlink::control_plane {
 
-/// Leaves by agreement (section 5.8): tells the peers that this process ends,
-/// gives its leases back, and holds the end up while the core wants it to stay.
-/// Everything else is served on meanwhile. begin() and busy() are called by the
-/// daemon's drain, one after the other.
+/// Carries out a coordinated departure (section 5.8): announces to the peers that this process ends, releases its
+/// leases, and delays the end while membership::Departure decides that the process must stay. All other requests are
+/// served meanwhile. begin() and busy() are called by the daemon's drain, one after the other.
 class DepartureService {
  public:
-  /// `acceptor` is null where this process has no disk.
+  /// The references must outlive this object. `acceptor` is null where this process has no disk.
   DepartureService(boost::asio::io_context& context, RegisterClient& register_client, UpdateService& updates,
-                   LeasedTasks& duties, AcceptorService* acceptor)
-      : context_(context), register_(register_client), updates_(updates), duties_(duties), acceptor_(acceptor) {}
-
-  /// The process was told to end and is stopped at `until`.
+                   LeasedTasks& leased_tasks, AcceptorService* acceptor)
+      : context_(context),
+        register_(register_client),
+        updates_(updates),
+        leased_tasks_(leased_tasks),
+        acceptor_(acceptor) {}
+
+  /// Starts the departure; the process is stopped at `until` at the latest.
   void begin(common::Moment until);
-  /// Whether it stays on.
+  /// Whether the process must stay: its vote or its leases are still being handed over. Logs each change of the step.
   [[nodiscard]] bool busy();
 
  private:
+  /// Returns the newest voter set that the register client or the local acceptor knows.
   [[nodiscard]] schema::VoterSet newest_set();
 
   boost::asio::io_context& context_;
   RegisterClient& register_;
   UpdateService& updates_;
-  LeasedTasks& duties_;
-  AcceptorService* acceptor_;
+  LeasedTasks& leased_tasks_;
+  AcceptorService* acceptor_;  ///< null where this process has no disk
   std::optional<membership::Departure> departure_;
-  std::optional<membership::DepartureStep> step_;
+  std::optional<membership::DepartureStep> step_;  ///< the one logged last
 };
 
 }  // namespace finchlink::control_plane
