--- a/source/consensus/acceptor/acceptor.cpp
+++ b/source/consensus/acceptor/acceptor.cpp
@@ -203,7 +203,7 @@
   std::map<std::string, schema::Withheld> withheld;
   std::size_t bytes_left = inline_bytes_;
   for (std::pair<std::size_t, std::string> const& entry : sizes) {
-    if (!fits(entry.first, bytes_left)) {
+    if (!reserve_room(entry.first, bytes_left)) {
       schema::Value& value = cells[entry.second].value;
       value = schema::Value{value.revision, "", {}};  // a receiver that knows this revision needs no transfer
       withheld[entry.second] = schema::Withheld{entry.first, digest_of(entry.second)};
--- a/source/consensus/majority_reader/majority_reader.cpp
+++ b/source/consensus/majority_reader/majority_reader.cpp
@@ -40,7 +40,7 @@
 }
 }  // namespace
 
-bool lacks(std::vector<Voter> const& voters, HalfAccepted const& half, std::uint64_t incarnation) {
+bool lacks(std::vector<Voter> const& voters, PartiallyAccepted const& half, std::uint64_t incarnation) {
   bool const accepted = std::find(half.sources.begin(), half.sources.end(), incarnation) != half.sources.end();
   return contains_voter(voters, incarnation) && !accepted;
 }
@@ -223,7 +223,7 @@
     open.told = true;
     std::map<std::string, schema::Value>::const_iterator const held = values_.find(name);
     bool const same = tally.missing && held != values_.end() && held->second.revision == tally.value.revision;
-    HalfAccepted half{name, tally.best, std::nullopt, tally.digest, tally.sources};
+    PartiallyAccepted half{name, tally.best, std::nullopt, tally.digest, tally.sources};
     if (same) {
       half.value = held->second;  // chosen before, and a revision is chosen once
     } else if (tally.valued) {
--- a/source/consensus/majority_reader/majority_reader.hpp
+++ b/source/consensus/majority_reader/majority_reader.hpp
@@ -29,7 +29,7 @@
 /// A register's newest ballot was accepted by some and is not known to be at a majority (section 5.10). A voter
 /// that lacks it takes it under the very same ballot: no proposer is overtaken by that, and however many do it at
 /// once they do the same. Told once for a ballot.
-struct HalfAccepted {
+struct PartiallyAccepted {
   std::string name;
   Ballot accepted;
   std::optional<schema::Value> value;  ///< nothing: it was too large for the answers, and has this digest
@@ -47,10 +47,11 @@
   std::string digest;
   std::vector<std::uint64_t> sources;  ///< incarnations, in the order in which they answered
 };
-using MajorityReaderAction = std::variant<SendRead, Confirmed, Unsettled, NewerVoters, MissingChosen, HalfAccepted>;
+using MajorityReaderAction =
+    std::variant<SendRead, Confirmed, Unsettled, NewerVoters, MissingChosen, PartiallyAccepted>;
 
 /// Whether this voter is to take a half-done change that others accepted.
-[[nodiscard]] bool lacks(std::vector<Voter> const& voters, HalfAccepted const& half, std::uint64_t incarnation);
+[[nodiscard]] bool lacks(std::vector<Voter> const& voters, PartiallyAccepted const& half, std::uint64_t incarnation);
 
 /// Majority reads in one round (section 5.6), over all registers at once.
 class MajorityReader {
--- a/source/consensus/transfer/transfer_client.cpp
+++ b/source/consensus/transfer/transfer_client.cpp
@@ -15,10 +15,10 @@
     absl::StatusOr<schema::Message> const answer =
         caller.call(receiver.source(), receiver.request(), constants::piece_deadline, yield);
     TransferState const state = answer.ok() ? receiver.receive(*answer) : receiver.no_answer();
-    if (state == TransferState::whole) {
+    if (state == TransferState::complete) {
       return receiver.take();
     }
-    if (state == TransferState::gone) {
+    if (state == TransferState::unavailable) {
       return std::nullopt;
     }
     if (receiver.received() > before) {
--- a/source/consensus/transfer/value_receiver.cpp
+++ b/source/consensus/transfer/value_receiver.cpp
@@ -43,7 +43,7 @@
   ++silences_;
   next_source();
   bool const lost = silences_ >= common::constants::transfer_silences_most || superseded_;
-  return lost && guards_.given_up ? TransferState::gone : TransferState::under_way;
+  return lost && guards_.given_up ? TransferState::unavailable : TransferState::in_progress;
 }
 
 TransferState ValueReceiver::drop_source() {
@@ -51,7 +51,7 @@
     sources_.erase(sources_.begin() + static_cast<std::ptrdiff_t>(turn_ % sources_.size()));
     turn_ = 0;
   }
-  return sources_.empty() ? TransferState::gone : TransferState::under_way;
+  return sources_.empty() ? TransferState::unavailable : TransferState::in_progress;
 }
 
 TransferState ValueReceiver::receive(schema::Message const& answer) {
@@ -62,7 +62,7 @@
   }
   if (guards_.key_checked && !(piece->key == key_)) {
     next_source();
-    return TransferState::under_way;
+    return TransferState::in_progress;
   }
   if (piece->total == 0 || piece->total > common::constants::frame_limit) {
     return drop_source();
@@ -75,21 +75,21 @@
   if (guards_.key_checked && !same) {
     begin_anew();  // one of two sources has other bytes; the digest of the whole decides
     next_source();
-    return TransferState::under_way;
+    return TransferState::in_progress;
   }
   if (piece->offset != bytes_.size() || piece->bytes.empty() || piece->bytes.size() > total_ - bytes_.size()) {
-    return TransferState::under_way;  // sent twice, or late: the same place is asked for again
+    return TransferState::in_progress;  // sent twice, or late: the same place is asked for again
   }
   bytes_ += piece->bytes;
   if (bytes_.size() < total_) {
-    return TransferState::under_way;
+    return TransferState::in_progress;
   }
   if (guards_.digest_checked && common::Digest().add(bytes_).text() != digest_) {
     begin_anew();
     next_source();
-    return TransferState::under_way;
+    return TransferState::in_progress;
   }
-  return TransferState::whole;
+  return TransferState::complete;
 }
 
 }  // namespace finchlink::consensus
--- a/source/consensus/write_ahead_log/file_device.cpp
+++ b/source/consensus/write_ahead_log/file_device.cpp
@@ -38,7 +38,7 @@
 }
 }  // namespace
 
-absl::StatusOr<Device> open_files(std::string const& folder, std::size_t files, std::size_t file_bytes) {
+absl::StatusOr<Device> open_log_files(std::string const& folder, std::size_t files, std::size_t file_bytes) {
   if (mkdir(folder.c_str(), 0750) != 0 && errno != EEXIST) {
     return make_system_error(folder);
   }
--- a/source/consensus/write_ahead_log/file_device.hpp
+++ b/source/consensus/write_ahead_log/file_device.hpp
@@ -10,6 +10,7 @@
 
 /// The ring's files under the data folder, preallocated, with a lock so that
 /// no second process uses them (section 5.3).
-[[nodiscard]] absl::StatusOr<Device> open_files(std::string const& folder, std::size_t files, std::size_t file_bytes);
+[[nodiscard]] absl::StatusOr<Device> open_log_files(std::string const& folder, std::size_t files,
+                                                    std::size_t file_bytes);
 
 }  // namespace finchlink::consensus
--- a/source/control_plane/acceptor/acceptor_service.cpp
+++ b/source/control_plane/acceptor/acceptor_service.cpp
@@ -49,7 +49,7 @@
 bool AcceptorService::open_disk() {
   ring_.reset();  // lets go of the folder before it is taken again
   absl::StatusOr<consensus::Device> device =
-      consensus::open_files(folder_, constants::ring_files, constants::ring_file_bytes);
+      consensus::open_log_files(folder_, constants::ring_files, constants::ring_file_bytes);
   if (!device.ok()) {
     failure_ = std::string(device.status().message());
     return false;
@@ -92,7 +92,7 @@
   } else {
     holder_.emplace(*records, address_, founders_, now);
     synced_ballots_.check_recovered(*holder_);
-    absl::Status const renewed = ring_->renew(holder_->snapshot_records());
+    absl::Status const renewed = ring_->rewrite(holder_->snapshot_records());
     if (!renewed.ok()) {
       holder_.reset();
       failure_ = std::string(renewed.message());
--- a/source/control_plane/register_client/register_client.cpp
+++ b/source/control_plane/register_client/register_client.cpp
@@ -175,7 +175,7 @@
     round.missing.push_back(left->name);
     return true;
   }
-  if (consensus::HalfAccepted const* const half = std::get_if<consensus::HalfAccepted>(&action)) {
+  if (consensus::PartiallyAccepted const* const half = std::get_if<consensus::PartiallyAccepted>(&action)) {
     result.half_accepted.push_back(*half);
     return false;
   }
@@ -229,7 +229,7 @@
   for (consensus::MissingChosen const& value : result.missing) {
     obtain(value, holders);
   }
-  for (consensus::HalfAccepted const& half : result.half_accepted) {
+  for (consensus::PartiallyAccepted const& half : result.half_accepted) {
     spread(half);
   }
   // Someone's change is half done, and the voters don't spread it: a sure read settles it (section 5.6). The
@@ -253,14 +253,14 @@
   }
 }
 
-void RegisterClient::spread(consensus::HalfAccepted const& half) {
-  if (!own_voter_.has_value() || !consensus::lacks(set().holders, half, own_voter_->incarnation())) {
+void RegisterClient::spread(consensus::PartiallyAccepted const& half) {
+  if (!own_voter_.has_value() || !consensus::needs_accept(set().holders, half, own_voter_->incarnation())) {
     return;
   }
   common::start(context_, [this, half](common::Yield yield) { spread_now(half, yield); });
 }
 
-void RegisterClient::spread_now(consensus::HalfAccepted const& half, common::Yield yield) {
+void RegisterClient::spread_now(consensus::PartiallyAccepted const& half, common::Yield yield) {
   std::optional<schema::Value> value = half.value;
   if (!value.has_value()) {
     value = fetch(half.name, consensus::NeededValue{half.accepted, half.digest, half.sources}, set(),
@@ -271,7 +271,7 @@
   }
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    confirm_.keep(half.name, half.accepted, *value);
+    confirm_.cache_value(half.name, half.accepted, *value);
   }
   own_voter_->take_accepted(half.name, half.accepted, *value, yield);
   hurry_.ring();
@@ -337,7 +337,7 @@
       core.start_above(confirm_.known(name));
       std::map<std::string, schema::Value>::const_iterator const found = confirm_.values().find(name);
       if (found != confirm_.values().end() && !fetched) {
-        core.know(confirm_.known(name), found->second);
+        core.set_known_value(confirm_.known(name), found->second);
       }
     }
     fetched = false;
@@ -405,7 +405,7 @@
     if (needed.has_value()) {
       std::optional<schema::Value> const value = fetch(name, *needed, holders, until, yield);
       if (value.has_value()) {
-        core.know(needed->accepted, *value);
+        core.set_known_value(needed->accepted, *value);
         fetched = true;
         continue;
       }
--- a/source/control_plane/register_client/register_client.hpp
+++ b/source/control_plane/register_client/register_client.hpp
@@ -68,8 +68,8 @@
   /// One majority read; whether it confirmed all registers.
   [[nodiscard]] bool confirm_once(common::Yield yield);
   /// Hands a half-done change to the own voter, if that lacks it; fetches the value first where it must.
-  void spread(consensus::HalfAccepted const& half);
-  void spread_now(consensus::HalfAccepted const& half, common::Yield yield);
+  void spread(consensus::PartiallyAccepted const& half);
+  void spread_now(consensus::PartiallyAccepted const& half, common::Yield yield);
   /// Settles a half-done change with a ballot of its own, beside the reads; one at a time for each register.
   void settle(std::string const& name);
   /// A value that a majority chose and that no answer carried.
@@ -80,7 +80,7 @@
     bool confirmed = false;
     std::vector<std::string> unsettled;  ///< registers that are to be settled
     std::vector<consensus::MissingChosen> missing;
-    std::vector<consensus::HalfAccepted> half_accepted;
+    std::vector<consensus::PartiallyAccepted> half_accepted;
   };
   [[nodiscard]] ReadResult read_once(common::Yield yield);
   /// One voter's answer to the read under way; whether the read is over.
--- a/source/data_plane/contents/content_fetcher.cpp
+++ b/source/data_plane/contents/content_fetcher.cpp
@@ -60,7 +60,7 @@
     }
     transfer->added.clear();
     if (transfer->superseded) {
-      receiver.supersede();
+      receiver.mark_superseded();
     }
     return true;
   };
--- a/source/simulator/control/controller_loops.cpp
+++ b/source/simulator/control/controller_loops.cpp
@@ -71,7 +71,7 @@
       fetch_chosen(machine, *missing);
     } else if (consensus::Unsettled const* const open = std::get_if<consensus::Unsettled>(&result)) {
       settle(machine, *open);
-    } else if (consensus::HalfAccepted const* const half = std::get_if<consensus::HalfAccepted>(&result)) {
+    } else if (consensus::PartiallyAccepted const* const half = std::get_if<consensus::PartiallyAccepted>(&result)) {
       take_half_done(machine, *half);
     } else if (std::holds_alternative<consensus::Confirmed>(result)) {
       observe_confirmed(machine);
@@ -79,14 +79,14 @@
   }
 }
 
-void World::take_half_done(Machine& machine, consensus::HalfAccepted const& half) {
+void World::take_half_done(Machine& machine, consensus::PartiallyAccepted const& half) {
   if (!machine.acceptor.has_value() || machine.silent ||
-      !consensus::lacks(machine.voters.holders, half, machine.acceptor->incarnation())) {
+      !consensus::needs_accept(machine.voters.holders, half, machine.acceptor->incarnation())) {
     return;
   }
   std::function<void(schema::Value const&)> const take = [this, &machine, half](schema::Value const& value) {
     if (machine.acceptor.has_value() && !machine.silent) {
-      machine.reader.keep(half.name, half.accepted, value);
+      machine.reader.cache_value(half.name, half.accepted, value);
       submit(machine, machine.acceptor->take_accepted(half.name, half.accepted, value),
              [](std::optional<schema::Message> const&) {});
     }
--- a/source/simulator/control/proposals.cpp
+++ b/source/simulator/control/proposals.cpp
@@ -46,7 +46,7 @@
             return;
           }
           if (bytes.has_value()) {
-            run->proposer->know(needed.accepted, *common::unpack<schema::Value>(*bytes));
+            run->proposer->set_known_value(needed.accepted, *common::unpack<schema::Value>(*bytes));
           }
           begin_ballot(run, bytes.has_value());
         });
@@ -59,7 +59,7 @@
   run->proposer->start_above(machine.reader.known(name));
   std::map<std::string, schema::Value>::const_iterator const value = machine.reader.values().find(name);
   if (value != machine.reader.values().end() && !fetched) {
-    run->proposer->know(machine.reader.known(name), value->second);
+    run->proposer->set_known_value(machine.reader.known(name), value->second);
   }
   if (machine.voters.epoch == 0) {
     retry_ballot(run, number);
--- a/source/simulator/control/transfers.cpp
+++ b/source/simulator/control/transfers.cpp
@@ -15,9 +15,9 @@
   }
   std::size_t const before = receiver->received();
   Reply const take = [this, &process, name, receiver, done, before](std::optional<schema::Message> const& answer) {
-    consensus::TransferState const state = answer.has_value() ? receiver->receive(*answer) : receiver->no_answer();
-    if (state != consensus::TransferState::under_way) {
-      bool const whole = state == consensus::TransferState::whole;
+    consensus::TransferState const state = answer.has_value() ? receiver->receive(*answer) : receiver->record_timeout();
+    if (state != consensus::TransferState::in_progress) {
+      bool const whole = state == consensus::TransferState::complete;
       report_.transfers += whole ? 1 : 0;
       done(whole ? std::optional<std::string>(receiver->take()) : std::nullopt);
       return;
--- a/source/simulator/control/world.hpp
+++ b/source/simulator/control/world.hpp
@@ -142,7 +142,7 @@
   void look_for_voters(Machine& machine);
   void take_read(Machine& machine, schema::Message const& answer);
   /// Has the own acceptor take what others accepted, if it lacks it (section 5.10).
-  void take_half_done(Machine& machine, consensus::HalfAccepted const& half);
+  void take_half_done(Machine& machine, consensus::PartiallyAccepted const& half);
   void settle(Machine& machine, consensus::Unsettled const& open);
   void observe_confirmed(Machine& machine);
   void fetch_chosen(Machine& machine, consensus::MissingChosen const& missing);
--- a/source/tests/consensus/acceptor_test.cpp
+++ b/source/tests/consensus/acceptor_test.cpp
@@ -390,14 +390,14 @@
       actions = confirm.receive(*group.acceptors[index].receive(schema::Read{1, {}, round}, 0).reply);
     }
     for (MajorityReaderAction const& action : actions) {
-      HalfAccepted const* const half = std::get_if<HalfAccepted>(&action);
+      PartiallyAccepted const* const half = std::get_if<PartiallyAccepted>(&action);
       ASSERT_TRUE(half != nullptr || std::holds_alternative<Unsettled>(action));
       if (half != nullptr) {
         ++sent;
         EXPECT_EQ(half->accepted, (Ballot{1, 99, 3}));
         EXPECT_EQ(half->value.value_or(schema::Value{}).content, "half");
-        EXPECT_FALSE(lacks(group.acceptors[0].set().holders, *half, group.acceptors[0].incarnation()));
-        EXPECT_TRUE(lacks(group.acceptors[0].set().holders, *half, group.acceptors[1].incarnation()));
+        EXPECT_FALSE(needs_accept(group.acceptors[0].set().holders, *half, group.acceptors[0].incarnation()));
+        EXPECT_TRUE(needs_accept(group.acceptors[0].set().holders, *half, group.acceptors[1].incarnation()));
       }
       settled = settled || half == nullptr;
     }
--- a/source/tests/consensus/narrow_link.hpp
+++ b/source/tests/consensus/narrow_link.hpp
@@ -75,11 +75,11 @@
 };
 
 /// Someone far away from all that answer it, by a narrow way there and back.
-class FarAway {
+class RemoteClient {
  public:
   using Answerer = std::function<std::optional<schema::Message>(std::string const& address, schema::Message const&)>;
   using Reply = std::function<void(std::optional<schema::Message> const&)>;
-  FarAway(simulator::Kernel& kernel, double bits_per_second, common::Span one_way, Answerer answerer)
+  RemoteClient(simulator::Kernel& kernel, double bits_per_second, common::Span one_way, Answerer answerer)
       : kernel_(kernel),
         up(kernel, bits_per_second, one_way),
         down(kernel, bits_per_second, one_way),
@@ -117,11 +117,11 @@
              receiver->no_answer();
            } else {
              consensus::TransferState const state = receiver->receive(*answer);
-             if (state == consensus::TransferState::whole) {
+             if (state == consensus::TransferState::complete) {
                done(receiver->take());
                return;
              }
-             if (state == consensus::TransferState::gone) {
+             if (state == consensus::TransferState::unavailable) {
                done(std::nullopt);
                return;
              }
@@ -153,9 +153,9 @@
 }
 
 /// Three founded acceptors a, b, c, spoken to directly.
-struct Trio {
+struct ThreeAcceptors {
   std::vector<consensus::Acceptor> acceptors;
-  explicit Trio(consensus::Guards guards = {}) {
+  explicit ThreeAcceptors(consensus::Guards guards = {}) {
     for (std::size_t index = 0; index < 3; ++index) {
       acceptors.emplace_back(100 + index, std::string(1, static_cast<char>('a' + index)),
                              std::vector<std::string>{"a", "b", "c"}, 0, guards);
--- a/source/tests/consensus/promise_record_test.cpp
+++ b/source/tests/consensus/promise_record_test.cpp
@@ -29,8 +29,8 @@
 }
 
 TEST(PromiseRecord, APromiseWritesNoValue) {
-  Trio trio;
-  trio.accept(noise(constants::routing_config_limit), 3, {0});
+  ThreeAcceptors trio;
+  trio.accept(incompressible_bytes(constants::routing_config_limit), 3, {0});
   Outcome const promised = trio.acceptors[0].receive(schema::Prepare{"charter", Ballot{1, 4, 1}, {}}, 0);
   ASSERT_EQ(promised.records.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<schema::PromiseRecord>(promised.records[0]));
@@ -39,7 +39,7 @@
 
 TEST(PromiseRecord, StandsAfterARestart) {
   for (bool const replayed : {true, false}) {
-    Trio trio;
+    ThreeAcceptors trio;
     std::vector<schema::Record> records = trio.acceptors[0].snapshot_records();
     for (schema::Message const& message :
          {schema::Message(schema::Prepare{"charter", Ballot{1, 2, 1}, {}}),
@@ -131,10 +131,10 @@
   Logged(Device const& inner, std::size_t file_bytes, bool alone)
       : device(counted(inner)),
         log(device, constants::ring_files, file_bytes),
-        acceptor(Trio().acceptors[0].snapshot_records(), "a", founders, 0),
+        acceptor(ThreeAcceptors().acceptors[0].snapshot_records(), "a", founders, 0),
         promises_alone(alone) {
     EXPECT_TRUE(log.recover().ok());
-    EXPECT_TRUE(log.renew(acceptor.snapshot_records()).ok());
+    EXPECT_TRUE(log.rewrite(acceptor.snapshot_records()).ok());
     written = syncs = 0;
   }
   Device counted(Device const& inner) {
@@ -173,10 +173,10 @@
       ASSERT_NE(mkdtemp(folder.data()), nullptr);
       std::uint64_t const changes = changes_of(60) / (size > 1000000 ? 5 : 1);
       {
-        absl::StatusOr<Device> const device = open_files(folder, constants::ring_files, constants::ring_file_bytes);
+        absl::StatusOr<Device> const device = open_log_files(folder, constants::ring_files, constants::ring_file_bytes);
         ASSERT_TRUE(device.ok()) << device.status();
         Logged logged(*device, constants::ring_file_bytes, alone);
-        std::string const content = noise(size);
+        std::string const content = incompressible_bytes(size);
         std::chrono::steady_clock::time_point const began = std::chrono::steady_clock::now();
         for (std::uint64_t round = 1; round <= changes; ++round) {
           logged.change(round, content);
@@ -189,14 +189,14 @@
                     seconds * 1000 / static_cast<double>(changes));
         std::printf(", snapshot %zu B", common::pack(logged.acceptor.snapshot_records()).size());
       }
-      absl::StatusOr<Device> const device = open_files(folder, constants::ring_files, constants::ring_file_bytes);
+      absl::StatusOr<Device> const device = open_log_files(folder, constants::ring_files, constants::ring_file_bytes);
       ASSERT_TRUE(device.ok());
       std::chrono::steady_clock::time_point const began = std::chrono::steady_clock::now();
       WriteAheadLog again(*device, constants::ring_files, constants::ring_file_bytes);
       absl::StatusOr<std::vector<schema::Record>> const records = again.recover();
       ASSERT_TRUE(records.ok()) << records.status();
       Acceptor const recovered(*records, "a", founders, 0);
-      ASSERT_TRUE(again.renew(recovered.snapshot_records()).ok());
+      ASSERT_TRUE(again.rewrite(recovered.snapshot_records()).ok());
       std::printf(", %zu records, recovered and renewed in %.1f ms\n", records->size(),
                   std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count() * 1000);
       EXPECT_EQ(recovered.cells().at("charter").value.revision, changes);
@@ -211,7 +211,7 @@
   Logged logged(disk.device(), constants::ring_file_bytes, true);
   std::uint64_t const changes = changes_of(40);
   for (std::uint64_t round = 1; round <= changes; ++round) {
-    logged.change(round, noise(constants::routing_config_limit, round));
+    logged.change(round, incompressible_bytes(constants::routing_config_limit, round));
     if (round % 13 == 0 || round == changes) {
       disk.lose_power(0);
       WriteAheadLog again(disk.device(), constants::ring_files, constants::ring_file_bytes);
@@ -225,16 +225,17 @@
 
 TEST(PromiseRecord, TheLargestSnapshotFitsIntoAFileWithRoomForAChange) {
   // The largest routing configuration, the largest setup, and hundreds of splits and idempotency marks.
-  Trio trio;
-  trio.accept(noise(constants::routing_config_limit), 3, {0});
-  schema::Value setup{1, noise(constants::setup_limit), {}};
+  ThreeAcceptors trio;
+  trio.accept(incompressible_bytes(constants::routing_config_limit), 3, {0});
+  schema::Value setup{1, incompressible_bytes(constants::setup_limit), {}};
   for (std::size_t mark = 0; mark < constants::marks_kept; ++mark) {
     setup.marks.push_back(schema::ChangeMark{std::string(64, 'x'), mark});
   }
   (void)trio.acceptors[0].receive(schema::Accept{"setup", Ballot{1, 3, 1}, setup}, 0);
   for (int pool = 0; pool < 200; ++pool) {
-    (void)trio.acceptors[0].receive(
-        schema::Accept{split_register(std::to_string(pool)), Ballot{1, 3, 1}, schema::Value{1, noise(2000), {}}}, 0);
+    (void)trio.acceptors[0].receive(schema::Accept{split_register(std::to_string(pool)), Ballot{1, 3, 1},
+                                                   schema::Value{1, incompressible_bytes(2000), {}}},
+                                    0);
   }
   std::size_t const snapshot_bytes = common::pack(trio.acceptors[0].snapshot_records()).size();
   std::printf("[ figure ] the largest snapshot: %zu B of %zu B\n", snapshot_bytes, constants::ring_file_bytes);
--- a/source/tests/consensus/transfer_test.cpp
+++ b/source/tests/consensus/transfer_test.cpp
@@ -34,8 +34,8 @@
     ValueSender second;
     ValueReceiver receiver(key_of(bytes), {"a", "b"}, TransferGuards{.resumes = resumes});
     std::size_t pieces = 0;
-    TransferState state = TransferState::under_way;
-    for (std::size_t turn = 0; turn < 60 && state == TransferState::under_way; ++turn) {
+    TransferState state = TransferState::in_progress;
+    for (std::size_t turn = 0; turn < 60 && state == TransferState::in_progress; ++turn) {
       if (turn % 5 == 4) {
         receiver.no_answer();  // every fifth piece is lost, and the other source asked
         continue;
@@ -43,7 +43,7 @@
       ++pieces;
       state = receiver.receive(piece(receiver.source() == "a" ? first : second, receiver, bytes, 0));
     }
-    EXPECT_EQ(state == TransferState::whole, resumes);
+    EXPECT_EQ(state == TransferState::complete, resumes);
     if (resumes) {
       EXPECT_EQ(pieces, (large + constants::transfer_piece_bytes - 1) / constants::transfer_piece_bytes);
       EXPECT_EQ(receiver.take(), bytes);
@@ -57,17 +57,17 @@
     std::string const newer = noise(300000, 2);
     ValueSender sender;
     ValueReceiver receiver(key_of(bytes), {"a"}, TransferGuards{.digest_checked = checked, .key_checked = checked});
-    ASSERT_EQ(receiver.receive(piece(sender, receiver, bytes, 0)), TransferState::under_way);
+    ASSERT_EQ(receiver.receive(piece(sender, receiver, bytes, 0)), TransferState::in_progress);
     schema::PieceRequest request = receiver.request();
     request.key.digest = "another";  // a late answer to another transfer, at the very place that is due
     schema::Piece const other = sender.answer(
         request, [&newer](schema::TransferKey const&) { return std::optional<std::string>(newer); }, 0);
     (void)receiver.receive(other);
-    TransferState state = TransferState::under_way;
-    for (int turn = 0; turn < 10 && state == TransferState::under_way; ++turn) {
+    TransferState state = TransferState::in_progress;
+    for (int turn = 0; turn < 10 && state == TransferState::in_progress; ++turn) {
       state = receiver.receive(piece(sender, receiver, bytes, 0));
     }
-    ASSERT_EQ(state, TransferState::whole);
+    ASSERT_EQ(state, TransferState::complete);
     EXPECT_EQ(receiver.take() == bytes, checked);
   }
 }
@@ -77,15 +77,15 @@
     std::string const bytes = noise(300000);
     ValueSender sender;
     ValueReceiver receiver(key_of(bytes), {"a", "b"}, TransferGuards{.digest_checked = checked});
-    TransferState state = TransferState::under_way;
-    for (int turn = 0; turn < 10 && state == TransferState::under_way; ++turn) {
+    TransferState state = TransferState::in_progress;
+    for (int turn = 0; turn < 10 && state == TransferState::in_progress; ++turn) {
       schema::Piece one = piece(sender, receiver, bytes, 0);
       if (turn == 1) {
         one.bytes[5] = static_cast<char>(one.bytes[5] + 1);
       }
       state = receiver.receive(one);
     }
-    ASSERT_EQ(state, TransferState::whole);
+    ASSERT_EQ(state, TransferState::complete);
     EXPECT_EQ(receiver.take() == bytes, checked);
   }
 }
@@ -95,12 +95,12 @@
   ValueSender sender;
   ValueReceiver receiver(key_of(bytes), {"a"});
   schema::Piece const first = piece(sender, receiver, bytes, 0);
-  EXPECT_EQ(receiver.receive(first), TransferState::under_way);
-  EXPECT_EQ(receiver.receive(first), TransferState::under_way);
+  EXPECT_EQ(receiver.receive(first), TransferState::in_progress);
+  EXPECT_EQ(receiver.receive(first), TransferState::in_progress);
   EXPECT_EQ(receiver.received(), constants::transfer_piece_bytes);
-  EXPECT_EQ(receiver.receive(piece(sender, receiver, bytes, 0)), TransferState::under_way);
-  EXPECT_EQ(receiver.receive(first), TransferState::under_way);
-  EXPECT_EQ(receiver.receive(piece(sender, receiver, bytes, 0)), TransferState::whole);
+  EXPECT_EQ(receiver.receive(piece(sender, receiver, bytes, 0)), TransferState::in_progress);
+  EXPECT_EQ(receiver.receive(first), TransferState::in_progress);
+  EXPECT_EQ(receiver.receive(piece(sender, receiver, bytes, 0)), TransferState::complete);
   EXPECT_EQ(receiver.take(), bytes);
 }
 
@@ -108,35 +108,35 @@
   ValueReceiver receiver(any_key, {"a", "b"});
   ValueSender sender;
   TransferSource const none = [](schema::TransferKey const&) { return std::optional<std::string>(); };
-  EXPECT_EQ(receiver.receive(sender.answer(receiver.request(), none, 0)), TransferState::under_way);
+  EXPECT_EQ(receiver.receive(sender.answer(receiver.request(), none, 0)), TransferState::in_progress);
   EXPECT_EQ(receiver.source(), "b");
-  EXPECT_EQ(receiver.receive(schema::Unknown{"an older program"}), TransferState::gone);
+  EXPECT_EQ(receiver.receive(schema::Unknown{"an older program"}), TransferState::unavailable);
   EXPECT_EQ(receiver.source(), "");
 }
 
 TEST(Transfer, AChangeMadeMeanwhileDoesNotEndIt) {
-  Trio trio;
+  ThreeAcceptors trio;
   std::string const content = noise(large);
   trio.accept(content, 3, {0, 1, 2});
   schema::ReadAnswer const named =
       std::get<schema::ReadAnswer>(*trio.acceptors[0].receive(schema::Read{1, {}, 1}, 0).reply);
   schema::TransferKey const asked{"charter", named.withheld.at("charter").digest, 0};
   ValueReceiver receiver(asked, {"a"});
-  TransferState state = TransferState::under_way;
+  TransferState state = TransferState::in_progress;
   common::Moment now = 0;
-  for (std::uint64_t round = 4; state == TransferState::under_way; ++round) {
+  for (std::uint64_t round = 4; state == TransferState::in_progress; ++round) {
     now += common::milliseconds(320);
     state = receiver.receive(*trio.acceptors[0].receive(receiver.request(), now).reply);
     trio.accept(noise(1000, round), round, {0, 1, 2});  // one change for each piece
   }
-  ASSERT_EQ(state, TransferState::whole);
+  ASSERT_EQ(state, TransferState::complete);
   absl::StatusOr<schema::Value> const value = common::unpack<schema::Value>(receiver.take());
   ASSERT_TRUE(value.ok());
   EXPECT_EQ(value->content, content);
   // Nobody asks any more: it is forgotten, and no longer given.
   now += constants::transfer_kept_span;
   ValueReceiver late(asked, {"a"});
-  EXPECT_EQ(late.receive(*trio.acceptors[0].receive(late.request(), now).reply), TransferState::gone);
+  EXPECT_EQ(late.receive(*trio.acceptors[0].receive(late.request(), now).reply), TransferState::unavailable);
 }
 
 TEST(Transfer, KeepsNoMoreThanItsBound) {
@@ -155,7 +155,7 @@
     Guards guards;
     guards.values_whole = guard;
     ExpectedViolations const expected({common::Invariant::vote_is_complete}, !guard);
-    Trio trio(guards);
+    ThreeAcceptors trio(guards);
     std::string const content = noise(100000);
     trio.accept(content, 3, {0, 1, 2});
     // A change by one that knows nothing of it.
@@ -223,7 +223,7 @@
 }
 
 TEST(Transfer, SmallValuesTravelInline) {
-  Trio trio;
+  ThreeAcceptors trio;
   trio.accept(noise(constants::inline_register_bytes - 100), 3, {0, 1, 2});
   schema::ReadAnswer const answer =
       std::get<schema::ReadAnswer>(*trio.acceptors[0].receive(schema::Read{1, {}, 1}, 0).reply);
@@ -246,8 +246,8 @@
 /// confirmed, as RegisterClient does; when that was, or -1.
 struct FarReader {
   simulator::Kernel kernel{1};
-  Trio trio;
-  FarAway far;
+  ThreeAcceptors trio;
+  RemoteClient far;
   MajorityReader reader;
   TransferGuards guards;
   bool fetching = false;
@@ -378,8 +378,8 @@
 /// A blank acceptor that is to vote in the next epoch, far from those with images.
 struct FarNewcomer {
   simulator::Kernel kernel{1};
-  Trio trio;
-  FarAway far;
+  ThreeAcceptors trio;
+  RemoteClient far;
   Acceptor newcomer{777, "d", {}, 0};
   std::vector<schema::Image> images;
   std::shared_ptr<ValueReceiver> receiver;
@@ -494,15 +494,15 @@
 TEST(Transfer, IsGivenUpWhenItsSourcesStaySilent) {
   consensus::ValueReceiver receiver(schema::TransferKey{"charter", {}, 3}, {"lost"});
   for (std::size_t silence = 1; silence < common::constants::transfer_silences_most; ++silence) {
-    EXPECT_EQ(receiver.no_answer(), consensus::TransferState::under_way);
+    EXPECT_EQ(receiver.no_answer(), consensus::TransferState::in_progress);
   }
-  EXPECT_EQ(receiver.no_answer(), consensus::TransferState::gone);
+  EXPECT_EQ(receiver.no_answer(), consensus::TransferState::unavailable);
   consensus::ValueReceiver superseded(schema::TransferKey{"charter", {}, 3}, {"lost"});
   superseded.supersede();
-  EXPECT_EQ(superseded.no_answer(), consensus::TransferState::gone);
+  EXPECT_EQ(superseded.no_answer(), consensus::TransferState::unavailable);
   consensus::ValueReceiver unguarded(schema::TransferKey{"charter", {}, 3}, {"lost"}, {.given_up = false});
   for (std::size_t silence = 0; silence < 100; ++silence) {
-    EXPECT_EQ(unguarded.no_answer(), consensus::TransferState::under_way);
+    EXPECT_EQ(unguarded.no_answer(), consensus::TransferState::in_progress);
   }
 }
 
--- a/source/tests/consensus/write_ahead_log_test.cpp
+++ b/source/tests/consensus/write_ahead_log_test.cpp
@@ -133,7 +133,7 @@
   std::size_t const bytes = 400000;
   std::vector<schema::Record> const large = cell("setup", 1, 150000);
   {
-    absl::StatusOr<consensus::Device> const device = consensus::open_files(folder, 3, bytes);
+    absl::StatusOr<consensus::Device> const device = consensus::open_log_files(folder, 3, bytes);
     ASSERT_TRUE(device.ok()) << device.status();
     EXPECT_EQ(device->read(0)->size(), 0u);
     WriteAheadLog ring(*device, 3, bytes);
@@ -142,7 +142,7 @@
     std::vector<schema::Record> const small = cell("setup", 2);
     ASSERT_TRUE(ring.append(small, [&small] { return small; }).ok());
   }
-  absl::StatusOr<consensus::Device> const device = consensus::open_files(folder, 3, bytes);
+  absl::StatusOr<consensus::Device> const device = consensus::open_log_files(folder, 3, bytes);
   ASSERT_TRUE(device.ok()) << device.status();
   WriteAheadLog again(*device, 3, bytes);
   absl::StatusOr<std::vector<schema::Record>> const found = again.recover();
--- a/source/tests/control_plane/half_done_change_test.cpp
+++ b/source/tests/control_plane/half_done_change_test.cpp
@@ -83,7 +83,7 @@
     schema::Ballot const newer{1, 2, 9};
     records.emplace_back(schema::CellRecord{"charter", schema::Cell{older, older, schema::Value{1, "old", {}}}});
     if (index == 0) {
-      schema::Value const value{2, consensus_test::noise(bytes), {}};
+      schema::Value const value{2, consensus_test::incompressible_bytes(bytes), {}};
       records.emplace_back(schema::CellRecord{"charter", schema::Cell{newer, newer, value}});
     }
     return std::make_unique<consensus::Acceptor>(records, set.holders[index].address, founders, common::boot_now());
--- a/source/tests/membership/withheld_updates_test.cpp
+++ b/source/tests/membership/withheld_updates_test.cpp
@@ -23,7 +23,7 @@
 
 TEST(WithheldUpdates, LargeContentsAreWithheldAndSmallOnesAreInlined) {
   std::vector<schema::NamedValue> const updates = membership::updates_for(
-      {}, values_of(noise(constants::inline_update_bytes + 1), 4), constants::inline_update_bytes);
+      {}, values_of(incompressible_bytes(constants::inline_update_bytes + 1), 4), constants::inline_update_bytes);
   ASSERT_EQ(updates.size(), 2u);
   EXPECT_EQ(updates[0].withheld, constants::inline_update_bytes + 1);
   EXPECT_EQ(updates[0].content, "");
@@ -74,7 +74,7 @@
   std::map<std::string, schema::Value> values;
   std::size_t inline_bytes;
   ValueSender sender;
-  FarAway far;
+  RemoteClient far;
   membership::FreshnessLease lease;
   bool lost_contact = true;
   bool fetching = false;
@@ -152,7 +152,7 @@
 TEST(CatchUp, AProxyGetsTheLargestConfigurationInBoundedTimeOverASlowLink) {
   for (double const bits : {10e6, 5e6}) {
     common::Span const one_way = common::milliseconds(55);
-    std::string const routing_config = noise(constants::routing_config_limit);
+    std::string const routing_config = incompressible_bytes(constants::routing_config_limit);
     FarProxy proxy(bits, one_way, routing_config, constants::inline_update_bytes);
     proxy.request_updates();
     proxy.kernel.run(common::seconds(60), [] {});
--- a/source/tests/relay/withheld_routing_config_test.cpp
+++ b/source/tests/relay/withheld_routing_config_test.cpp
@@ -69,7 +69,7 @@
   fleet.publish_routing_config(2);
   ASSERT_TRUE(fleet.until([&] { return controller.pieces > before; }));
   EXPECT_TRUE(fleet.server->ready());
-  ASSERT_TRUE(fleet.until([&] { return controller.requests > 0 && controller.sender.kept() == 2; }));
+  ASSERT_TRUE(fleet.until([&] { return controller.requests > 0 && controller.sender.cached_values() == 2; }));
 }
 
 }  // namespace
