--- a/source/consensus/majority_reader/majority_reader.cpp
+++ b/source/consensus/majority_reader/majority_reader.cpp
@@ -12,36 +12,37 @@
 using common::Invariant;
 
 namespace {
-/// How long a change of a value of this size may look half done while its proposer is at work.
-common::Span accept_span(std::size_t bytes) {
+/// How long a change of a value of this size may look partially accepted while its proposer is at work.
+common::Span accept_allowance(std::size_t bytes) {
   return constants::settle_after +
          static_cast<common::Span>(bytes / constants::settle_block_bytes) * constants::settle_block_span;
 }
-/// How long it may take the voters to spread it among themselves: until then a new ballot would only
-/// overtake the one that they spread.
-common::Span spread_span(std::size_t bytes) {
-  return accept_span(bytes) + constants::settle_after + static_cast<common::Span>(bytes) * constants::holder_byte_span;
+/// How long the voters may take to replicate such a change among themselves. Until then a new ballot would only
+/// overtake the one that they are replicating.
+common::Span replication_allowance(std::size_t bytes) {
+  return accept_allowance(bytes) + constants::settle_after +
+         static_cast<common::Span>(bytes) * constants::holder_byte_span;
 }
-/// A newer ballot brings a value that is no older, and one revision has one content.
-void check_newer(std::string const& name, schema::Value const& held, schema::Value const& taken) {
-  common::check(Invariant::confirmed_value_rises, taken.revision >= held.revision, [&] {
-    return name + " falls from revision " + std::to_string(held.revision) + " to " + std::to_string(taken.revision);
+/// Checks that a newer ballot does not bring an older value, and that a revision has only one content.
+void check_newer(std::string const& name, schema::Value const& held, schema::Value const& newer) {
+  common::check(Invariant::confirmed_value_rises, newer.revision >= held.revision, [&] {
+    return name + " falls from revision " + std::to_string(held.revision) + " to " + std::to_string(newer.revision);
   });
-  common::check(Invariant::revision_has_one_content, taken.revision != held.revision || taken == held,
-                [&] { return name + " revision " + std::to_string(taken.revision) + " has two contents"; });
+  common::check(Invariant::revision_has_one_content, newer.revision != held.revision || newer == held,
+                [&] { return name + " revision " + std::to_string(newer.revision) + " has two contents"; });
 }
 
-/// Of a value under an older ballot: it was chosen before what is held, or is the same.
-void check_older(std::string const& name, schema::Value const& held, schema::Value const& told) {
-  common::check(Invariant::confirmed_value_rises, told.revision <= held.revision, [&] {
-    return name + " revision " + std::to_string(told.revision) + " was chosen before revision " +
+/// Checks that a value under an older ballot is not newer than the value held.
+void check_older(std::string const& name, schema::Value const& held, schema::Value const& older) {
+  common::check(Invariant::confirmed_value_rises, older.revision <= held.revision, [&] {
+    return name + " revision " + std::to_string(older.revision) + " was chosen before revision " +
            std::to_string(held.revision);
   });
 }
 }  // namespace
 
-bool lacks(std::vector<Voter> const& voters, PartiallyAccepted const& half, std::uint64_t incarnation) {
-  bool const accepted = std::find(half.sources.begin(), half.sources.end(), incarnation) != half.sources.end();
+bool needs_accept(std::vector<Voter> const& voters, PartiallyAccepted const& partial, std::uint64_t incarnation) {
+  bool const accepted = std::find(partial.sources.begin(), partial.sources.end(), incarnation) != partial.sources.end();
   return contains_voter(voters, incarnation) && !accepted;
 }
 
@@ -49,7 +50,7 @@
   set_ = set;
   ++round_;
   started_ = now;
-  open_ = true;
+  round_open_ = true;
   unsettled_.clear();
   known_at_start_ = known_;
   answered_.clear();
@@ -69,15 +70,15 @@
     check_newer(name, held, value);
     known = ballot;
     held = value;
-    kept_.erase(name);
+    cached_.erase(name);
   } else if (values_.count(name) > 0) {
     check_older(name, values_[name], value);
   }
 }
 
-void MajorityReader::keep(std::string const& name, Ballot const& ballot, schema::Value const& value) {
-  if (before(kept_[name].accepted, ballot)) {
-    kept_[name] = Kept{ballot, value};
+void MajorityReader::cache_value(std::string const& name, Ballot const& ballot, schema::Value const& value) {
+  if (before(cached_[name].accepted, ballot)) {
+    cached_[name] = CachedValue{ballot, value};
   }
 }
 
@@ -90,13 +91,13 @@
   std::vector<MajorityReaderAction> actions;
   if (schema::Refused const* const refused = std::get_if<schema::Refused>(&message)) {
     if (refused->set.epoch > set_.epoch) {
-      open_ = false;
+      round_open_ = false;
       actions.emplace_back(NewerVoters{refused->set});
     }
     return actions;
   }
   schema::ReadAnswer const* const answer = std::get_if<schema::ReadAnswer>(&message);
-  if (answer == nullptr || !open_ || answer->round != round_ || answer->epoch != set_.epoch ||
+  if (answer == nullptr || !round_open_ || answer->round != round_ || answer->epoch != set_.epoch ||
       !contains_voter(set_.holders, answer->incarnation) || !answered_.insert(answer->incarnation).second) {
     return actions;
   }
@@ -108,7 +109,7 @@
     }
   }
   if (answered_.size() >= majority(set_.holders.size())) {
-    return judge();
+    return evaluate();
   }
   return actions;
 }
@@ -118,16 +119,16 @@
   bool const known = known_[name] == cell.accepted;
   std::map<std::string, schema::Withheld>::const_iterator const withheld = answer.withheld.find(name);
   bool const carried = withheld == answer.withheld.end() || !guards_.values_whole;
-  std::map<std::string, Kept>::const_iterator const kept = kept_.find(name);
-  bool const held = !carried && kept != kept_.end() && kept->second.accepted == cell.accepted;
-  bool const here = carried || held;
+  std::map<std::string, CachedValue>::const_iterator const cached = cached_.find(name);
+  bool const held = !carried && cached != cached_.end() && cached->second.accepted == cell.accepted;
+  bool const available = carried || held;
   bool const inherited = std::find(answer.inherited.begin(), answer.inherited.end(), name) != answer.inherited.end();
   return Tally{cell.accepted,
                inherited ? 0u : 1u,
-               held ? kept->second.value : cell.value,
-               !known && here,
-               !known && !here,
-               here ? "" : withheld->second.digest,
+               held ? cached->second.value : cell.value,
+               !known && available,
+               !known && !available,
+               available ? "" : withheld->second.digest,
                {answer.incarnation},
                carried ? cell.value.content.size() : withheld->second.bytes};
 }
@@ -138,9 +139,9 @@
   } else if (tally.best == vote.best) {
     tally.votes += vote.votes;
     tally.sources.insert(tally.sources.end(), vote.sources.begin(), vote.sources.end());
-    if (tally.missing && vote.valued) {
+    if (tally.missing && vote.value_present) {
       tally.value = vote.value;
-      tally.valued = true;
+      tally.value_present = true;
       tally.missing = false;
     }
   }
@@ -158,13 +159,13 @@
   }
 }
 
-std::vector<MajorityReaderAction> MajorityReader::judge() {
+std::vector<MajorityReaderAction> MajorityReader::evaluate() {
   check_includes_chosen();
   std::vector<MajorityReaderAction> actions;
   Unsettled unsettled;
   for (std::pair<std::string const, Tally> const& entry : tallies_) {
     if (entry.second.votes < majority(set_.holders.size())) {
-      // Known to be chosen already, then one vote is enough.
+      // One vote is enough for a ballot that is already known to be chosen.
       if (!(known_[entry.first] == entry.second.best)) {
         unsettled.names.push_back(entry.first);
       }
@@ -172,71 +173,74 @@
     }
     std::map<std::string, schema::Value>::const_iterator const held = values_.find(entry.first);
     if (entry.second.missing && held != values_.end() && held->second.revision == entry.second.value.revision) {
-      // Both were chosen, and a revision is chosen once: what is held was only
-      // accepted again under a newer ballot.
+      // Both values were chosen, and a revision is chosen only once: the value held was merely accepted again under
+      // a newer ballot.
       schema::Value const same = held->second;
       learn(entry.first, entry.second.best, same);
     } else if (entry.second.missing) {
       actions.emplace_back(MissingChosen{entry.first, entry.second.best, entry.second.digest, entry.second.sources});
-    } else if (entry.second.valued) {
+    } else if (entry.second.value_present) {
       learn(entry.first, entry.second.best, entry.second.value);
     }
   }
   unsettled_ = unsettled.names;
   if (unsettled.names.empty() && actions.empty()) {
-    open_ = false;
-    open_ballots_.clear();
+    round_open_ = false;
+    unsettled_ballots_.clear();
     confirmed_from_ = started_;
     actions.emplace_back(Confirmed{started_});
     return actions;
   }
-  Unsettled stale;
+  Unsettled overdue;
   for (std::string const& name : unsettled.names) {
-    judge_open(name, tallies_[name], stale, actions);
+    evaluate_unsettled(name, tallies_[name], overdue, actions);
   }
-  if (!stale.names.empty()) {
-    actions.emplace_back(stale);
+  if (!overdue.names.empty()) {
+    actions.emplace_back(overdue);
   }
   return actions;
 }
 
-void MajorityReader::judge_open(std::string const& name, Tally const& tally, Unsettled& stale,
-                                std::vector<MajorityReaderAction>& actions) {
-  // Whoever proposed it is most likely still at work, and a new ballot would only overtake his: only what
-  // stays open is settled (5.6), and a ballot, a promise or an acceptance more is work. The first answers of a
-  // round may name an older ballot than the last of the round before did: that is no change.
-  Open& open = open_ballots_[name];
+void MajorityReader::evaluate_unsettled(std::string const& name, Tally const& tally, Unsettled& overdue,
+                                        std::vector<MajorityReaderAction>& actions) {
+  // Its proposer is most likely still at work, and a new ballot would only overtake it. So a register is settled only
+  // if it stays unsettled without progress (5.6); a newer ballot, a newer promise or one more acceptance is progress.
+  // The first answers of a round may report an older ballot than the last ones of the previous round; that is no
+  // change.
+  UnsettledBallot& unsettled_ballot = unsettled_ballots_[name];
   Ballot const promised = promised_[name];
-  bool const newer = before(open.ballot, tally.best);
+  bool const newer = before(unsettled_ballot.ballot, tally.best);
   if (newer) {
-    open.ballot = tally.best;
-    open.votes = 0;
-    open.told = false;
-  }
-  if (newer || before(open.promised, promised) || (open.ballot == tally.best && open.votes < tally.votes)) {
-    open.promised = before(open.promised, promised) ? promised : open.promised;
-    open.votes = tally.votes;
-    open.since = started_;
-  }
-  common::Span const quiet = started_ - open.since;
-  if (!open.told && open.ballot == tally.best && quiet >= accept_span(tally.bytes)) {
-    open.told = true;
+    unsettled_ballot.ballot = tally.best;
+    unsettled_ballot.votes = 0;
+    unsettled_ballot.reported = false;
+  }
+  if (newer || before(unsettled_ballot.promised, promised) ||
+      (unsettled_ballot.ballot == tally.best && unsettled_ballot.votes < tally.votes)) {
+    unsettled_ballot.promised = before(unsettled_ballot.promised, promised) ? promised : unsettled_ballot.promised;
+    unsettled_ballot.votes = tally.votes;
+    unsettled_ballot.since = started_;
+  }
+  common::Span const quiet = started_ - unsettled_ballot.since;
+  if (!unsettled_ballot.reported && unsettled_ballot.ballot == tally.best && quiet >= accept_allowance(tally.bytes)) {
+    unsettled_ballot.reported = true;
     std::map<std::string, schema::Value>::const_iterator const held = values_.find(name);
     bool const same = tally.missing && held != values_.end() && held->second.revision == tally.value.revision;
-    PartiallyAccepted half{name, tally.best, std::nullopt, tally.digest, tally.sources};
+    PartiallyAccepted partial{name, tally.best, std::nullopt, tally.digest, tally.sources};
     if (same) {
-      half.value = held->second;  // chosen before, and a revision is chosen once
-    } else if (tally.valued) {
-      half.value = tally.value;
+      partial.value = held->second;  // it was chosen before, and a revision is chosen only once
+    } else if (tally.value_present) {
+      partial.value = tally.value;
     }
-    actions.emplace_back(std::move(half));
-  }
-  // A promise of an older epoch belongs to nobody who could still go on with it.
-  bool const abandoned = before(open.ballot, open.promised) && open.promised.epoch < set_.epoch;
-  if (quiet >= (abandoned ? accept_span(tally.bytes) : spread_span(tally.bytes))) {
-    stale.names.push_back(name);
-    open.since = started_;
-    open.told = false;  // where it could not be fetched or written, it is tried again
+    actions.emplace_back(std::move(partial));
+  }
+  // The proposer that got a promise in an older epoch can no longer continue with it.
+  bool const abandoned =
+      before(unsettled_ballot.ballot, unsettled_ballot.promised) && unsettled_ballot.promised.epoch < set_.epoch;
+  if (quiet >= (abandoned ? accept_allowance(tally.bytes) : replication_allowance(tally.bytes))) {
+    overdue.names.push_back(name);
+    unsettled_ballot.since = started_;
+    unsettled_ballot.reported = false;  // retried if it could not be fetched or written
   }
 }
 
--- a/source/consensus/majority_reader/majority_reader.hpp
+++ b/source/consensus/majority_reader/majority_reader.hpp
@@ -13,34 +13,36 @@
 
 namespace finchlink::consensus {
 
+/// Send this read request to a voter.
 struct SendRead {
   Voter to;
   schema::Read read;
 };
-/// A majority confirmed all registers; as of a moment not before the start.
+/// A majority has answered for all registers: the values are current as of the start of the read.
 struct Confirmed {
-  common::Moment started = 0;
+  common::Moment started = 0;  ///< when the read began
 };
-/// A register's newest ballot is not known to be at a majority: a sure read
-/// (Proposer with Keep) settles it.
+/// The newest ballots of these registers are not known to be accepted by a majority, and have not progressed for long
+/// enough. A linearizable read (Proposer with Keep) settles them.
 struct Unsettled {
   std::vector<std::string> names;
 };
-/// A register's newest ballot was accepted by some and is not known to be at a majority (section 5.10). A voter
-/// that lacks it takes it under the very same ballot: no proposer is overtaken by that, and however many do it at
-/// once they do the same. Told once for a ballot.
+/// A register's newest ballot was accepted by some voters and is not known to be accepted by a majority (section 5.10).
+/// A voter that does not have it accepts it under the same ballot. That overtakes no proposer, and it is idempotent,
+/// however many voters do it at once. Reported once per ballot.
 struct PartiallyAccepted {
   std::string name;
   Ballot accepted;
-  std::optional<schema::Value> value;  ///< nothing: it was too large for the answers, and has this digest
+  std::optional<schema::Value> value;  ///< empty if it was too large for the answers; `digest` then identifies it
   std::string digest;
-  std::vector<std::uint64_t> sources;  ///< incarnations of those that accepted it
+  std::vector<std::uint64_t> sources;  ///< incarnations of the voters that accepted it
 };
+/// A voter answered with a voter set of a newer epoch; the read has ended.
 struct NewerVoters {
   VoterSet set;
 };
-/// A value that a majority named, so it was chosen, and that none of the answers
-/// carried (section 5.9): fetched in pieces and learnt, it is confirmed by the next read.
+/// A value that a majority accepted, so it was chosen, and that no answer carried (section 5.9). Once it has been
+/// fetched in pieces and passed to learn(), the next read confirms it.
 struct MissingChosen {
   std::string name;
   Ballot accepted;
@@ -50,75 +52,84 @@
 using MajorityReaderAction =
     std::variant<SendRead, Confirmed, Unsettled, NewerVoters, MissingChosen, PartiallyAccepted>;
 
-/// Whether this voter is to take a half-done change that others accepted.
-[[nodiscard]] bool lacks(std::vector<Voter> const& voters, PartiallyAccepted const& half, std::uint64_t incarnation);
+/// Whether this voter has yet to accept a change that others accepted; false for an incarnation outside `voters`.
+[[nodiscard]] bool needs_accept(std::vector<Voter> const& voters, PartiallyAccepted const& partial,
+                                std::uint64_t incarnation);
 
-/// Majority reads in one round (section 5.6), over all registers at once.
+/// Reads all registers from a majority of voters in one round (section 5.6). Plain state without I/O: the caller sends
+/// the SendRead actions, passes the answers to receive() and carries out the actions that it returns.
 class MajorityReader {
  public:
   explicit MajorityReader(Guards guards = {}) : guards_(guards) {}
+  /// Starts a new round at `now`; answers to earlier rounds are ignored from then on.
   [[nodiscard]] std::vector<MajorityReaderAction> begin(VoterSet const& set, common::Moment now);
+  /// Takes a ReadAnswer or Refused of the current round; other messages are ignored.
   [[nodiscard]] std::vector<MajorityReaderAction> receive(schema::Message const& message);
-  /// What a Proposer chose counts as known as well.
+  /// Records a value known to be chosen under `ballot`, e.g. by a Proposer or after a transfer.
   void learn(std::string const& name, Ballot const& ballot, schema::Value const& value);
-  /// A value that some accepted under a ballot, chosen or not: a majority that names the ballot without carrying
-  /// the value then needs no transfer. Any older one of that register is forgotten.
-  void keep(std::string const& name, Ballot const& ballot, schema::Value const& value);
-  /// Newest confirmed values; they only ever get newer.
+  /// Caches a value that some voter accepted under `ballot`, chosen or not. If a majority later reports that ballot
+  /// without the value, no transfer is needed. Replaces an older cached value of the register.
+  void cache_value(std::string const& name, Ballot const& ballot, schema::Value const& value);
+  /// Newest confirmed values by register; a value is never replaced by an older one.
   [[nodiscard]] std::map<std::string, schema::Value> const& values() const { return values_; }
+  /// Ballot of the newest confirmed value; a zero ballot if there is none.
   [[nodiscard]] Ballot known(std::string const& name) const;
-  /// Registers whose newest ballot stood at no majority when the read under way was last judged.
+  /// Registers whose newest ballot had no majority when the current read was last evaluated.
   [[nodiscard]] std::vector<std::string> const& unsettled() const { return unsettled_; }
   /// Everything chosen before this moment is in values().
   [[nodiscard]] common::Moment confirmed_from() const { return confirmed_from_; }
 
  private:
-  [[nodiscard]] std::vector<MajorityReaderAction> judge();
-  /// What a majority answers includes all that was known as chosen when the read began.
+  /// Evaluates the answers of this round, once a majority has answered.
+  [[nodiscard]] std::vector<MajorityReaderAction> evaluate();
+  /// Checks the invariant that a majority's answers include everything known as chosen when the read began.
   void check_includes_chosen() const;
 
+  /// Votes for the newest ballot that the answers report for a register.
   struct Tally {
     Ballot best;
-    std::size_t votes = 0;  ///< of voters that accepted it; one that has it from images counts none
+    std::size_t votes = 0;  ///< voters that accepted it; a voter that got it from snapshots is not counted
     schema::Value value;
-    bool valued = false;   ///< the value is new, and here
-    bool missing = false;  ///< the value is new, and was left out
+    bool value_present = false;  ///< the value is new and available
+    bool missing = false;        ///< the value is new and was left out of the answers
     std::string digest;
     std::vector<std::uint64_t> sources;
-    std::size_t bytes = 0;  ///< of the value
+    std::size_t bytes = 0;  ///< size of the value
   };
   [[nodiscard]] Tally tally_of(schema::ReadAnswer const& answer, std::string const& name, schema::Cell const& cell);
+  /// Adds one voter's answer to the tally; a newer ballot replaces it.
   static void count(Tally& tally, Tally const& vote);
-  /// Adds what is to be done about a register whose newest ballot is at no majority.
-  void judge_open(std::string const& name, Tally const& tally, Unsettled& stale,
-                  std::vector<MajorityReaderAction>& actions);
+  /// Adds the actions for a register whose newest ballot has no majority; `overdue` gets its name once settling is due.
+  void evaluate_unsettled(std::string const& name, Tally const& tally, Unsettled& overdue,
+                          std::vector<MajorityReaderAction>& actions);
 
   Guards guards_;
   VoterSet set_;
   std::uint64_t round_ = 0;
   common::Moment started_ = 0;
   common::Moment confirmed_from_ = 0;
-  bool open_ = false;
+  bool round_open_ = false;
   std::vector<std::string> unsettled_;
   std::set<std::uint64_t> answered_;
   std::map<std::string, Tally> tallies_;
   std::map<std::string, Ballot> known_;
-  std::map<std::string, Ballot> known_at_start_;  ///< of the read under way
-  /// A ballot seen at no majority, and since when nothing has changed about it.
-  struct Open {
+  std::map<std::string, Ballot> known_at_start_;  ///< when the current read began
+  /// A ballot that was seen without a majority.
+  struct UnsettledBallot {
     Ballot ballot;
     Ballot promised;
     std::size_t votes = 0;
-    common::Moment since = 0;
-    bool told = false;  ///< that it is half accepted
+    common::Moment since = 0;  ///< start of the read in which its state last changed
+    bool reported = false;     ///< a PartiallyAccepted action was returned for it
   };
-  std::map<std::string, Open> open_ballots_;
-  std::map<std::string, Ballot> promised_;  ///< newest promise of this round
-  struct Kept {
+  std::map<std::string, UnsettledBallot> unsettled_ballots_;
+  std::map<std::string, Ballot> promised_;  ///< newest promise per register in this round
+  /// A value passed to cache_value().
+  struct CachedValue {
     Ballot accepted;
     schema::Value value;
   };
-  std::map<std::string, Kept> kept_;
+  std::map<std::string, CachedValue> cached_;
   std::map<std::string, schema::Value> values_;
 };
 
--- a/source/consensus/majority_reader/settle_constants.hpp
+++ b/source/consensus/majority_reader/settle_constants.hpp
@@ -4,12 +4,13 @@
 
 #include "common/time/moment.hpp"
 
-/// Bounds of settling half-done changes that grow with the size of the value (section 5.10), each with its unit
-/// and reason; kept beside the others so that a change of one doesn't build everything anew.
+/// Time limits for settling partially accepted changes that grow with the size of the value (section 5.10). They are
+/// kept apart from the other constants so that changing one does not rebuild the whole tree.
 namespace finchlink::common::constants {
 
-/// A change of a large value may look half done for longer while its proposer is at work: so much for so many
-/// bytes, which is 32 Mbit/s of what is not compressed.
+/// While the proposer of a large value is still at work, the change may look partially accepted for longer: it is
+/// allowed `settle_block_span` (microseconds) more per `settle_block_bytes` of the value, i.e. 32 Mbit/s of
+/// uncompressed data.
 inline constexpr std::size_t settle_block_bytes = 1024;
 inline constexpr Span settle_block_span = 256;
 
--- a/source/consensus/proposer/proposer.cpp
+++ b/source/consensus/proposer/proposer.cpp
@@ -28,7 +28,7 @@
   }
 }
 
-void Proposer::know(Ballot const& ballot, schema::Value const& value) {
+void Proposer::set_known_value(Ballot const& ballot, schema::Value const& value) {
   known_ = ballot;
   known_value_ = value;
   known_digest_.clear();
@@ -76,7 +76,7 @@
   bool const known = is_known(message);
   bool const missing = message.withheld.bytes > 0 && !known;
   if (guards_.values_whole && missing && before(preparing->best, message.accepted)) {
-    // A value that was left out is no empty value: this promise doesn't count.
+    // A value that was left out is not an empty value, so this promise does not count.
     preparing->incomplete.insert(from);
     if (before(preparing->needed.accepted, message.accepted)) {
       preparing->needed = NeededValue{message.accepted, message.withheld.digest, {}};
@@ -95,16 +95,17 @@
     return actions;
   }
   schema::Value const found = preparing->value;
-  Proposal const desired = propose_(found);
-  Reject const* const reject = std::get_if<Reject>(&desired);
+  Proposal const proposal = propose_(found);
+  Reject const* const reject = std::get_if<Reject>(&proposal);
   if (reject != nullptr && !guards_.settle_before_reject) {
-    state_ = Resting{};
+    state_ = Idle{};
     actions.emplace_back(Rejected{reject->reason, found});
     return actions;
   }
-  // A no is final only once what was found is chosen under this ballot: an
-  // earlier try of ours may stand at a minority and would win later (5.2).
-  schema::Value const value = std::holds_alternative<schema::Value>(desired) ? std::get<schema::Value>(desired) : found;
+  // A rejection is final only once the found value is chosen under this ballot: an earlier attempt of this proposer may
+  // be accepted by a minority and could be chosen later (5.2).
+  schema::Value const value =
+      std::holds_alternative<schema::Value>(proposal) ? std::get<schema::Value>(proposal) : found;
   state_ = Accepting{
       {}, value, reject == nullptr ? std::optional<std::string>() : std::optional<std::string>(reject->reason)};
   for (Voter const& holder : set_.holders) {
@@ -154,7 +155,7 @@
     } else {
       actions.emplace_back(Chosen{accepting->value, ballot_});
     }
-    state_ = Resting{};
+    state_ = Idle{};
   }
   return actions;
 }
@@ -162,17 +163,17 @@
 std::vector<ProposerAction> Proposer::on(std::uint64_t from, schema::Refused const& message) {
   (void)from;
   std::vector<ProposerAction> actions;
-  if (std::holds_alternative<Resting>(state_)) {
+  if (std::holds_alternative<Idle>(state_)) {
     return actions;
   }
   if (message.set.epoch > set_.epoch) {
-    state_ = Resting{};
+    state_ = Idle{};
     actions.emplace_back(NewerVoterSet{message.set});
     return actions;
   }
   if (before(ballot_, message.promised)) {
     ballot_.round = std::max(ballot_.round, message.promised.round);
-    state_ = Resting{};
+    state_ = Idle{};
     actions.emplace_back(RetryBallot{});
   }
   return actions;
--- a/source/consensus/transfer/transfer_client.cpp
+++ b/source/consensus/transfer/transfer_client.cpp
@@ -7,14 +7,15 @@
 namespace constants = common::constants;
 
 std::optional<std::string> run_transfer(boost::asio::io_context& context, common::Caller& caller,
-                                        ValueReceiver& receiver, std::function<bool()> const& wanted,
+                                        ValueReceiver& receiver, std::function<bool()> const& should_continue,
                                         common::Yield yield) {
   common::Moment progressed = common::boot_now();
-  while (!receiver.source().empty() && wanted() && common::boot_now() - progressed < constants::transfer_patience) {
+  while (!receiver.source().empty() && should_continue() &&
+         common::boot_now() - progressed < constants::transfer_patience) {
     std::size_t const before = receiver.received();
     absl::StatusOr<schema::Message> const answer =
         caller.call(receiver.source(), receiver.request(), constants::piece_deadline, yield);
-    TransferState const state = answer.ok() ? receiver.receive(*answer) : receiver.no_answer();
+    TransferState const state = answer.ok() ? receiver.receive(*answer) : receiver.record_timeout();
     if (state == TransferState::complete) {
       return receiver.take();
     }
--- a/source/consensus/transfer/transfer_client.hpp
+++ b/source/consensus/transfer/transfer_client.hpp
@@ -9,12 +9,12 @@
 
 namespace finchlink::consensus {
 
-/// Runs a transfer over the network until it is whole, or nobody has it any
-/// more, or nothing came for transfer_patience, or `wanted` says no; nothing
-/// in the last three. What has arrived stays in the receiver, so that the same
-/// transfer can be run again and goes on where it stopped.
+/// Runs a transfer over the network and returns the bytes once it is complete. Returns nothing if no source has the
+/// bytes any more, if no piece has arrived for `transfer_patience`, or if `should_continue` returns false. Received
+/// pieces stay in `receiver`, so running the same transfer again resumes where it stopped.
 [[nodiscard]] std::optional<std::string> run_transfer(boost::asio::io_context& context, common::Caller& caller,
-                                                      ValueReceiver& receiver, std::function<bool()> const& wanted,
+                                                      ValueReceiver& receiver,
+                                                      std::function<bool()> const& should_continue,
                                                       common::Yield yield);
 
 }  // namespace finchlink::consensus
--- a/source/consensus/transfer/value_receiver.cpp
+++ b/source/consensus/transfer/value_receiver.cpp
@@ -15,7 +15,7 @@
 }
 
 std::string ValueReceiver::source() const {
-  return sources_.empty() ? std::string() : sources_[turn_ % sources_.size()];
+  return sources_.empty() ? std::string() : sources_[source_index_ % sources_.size()];
 }
 
 void ValueReceiver::add_source(std::string const& address) {
@@ -24,41 +24,41 @@
   }
 }
 
-void ValueReceiver::begin_anew() {
+void ValueReceiver::restart() {
   bytes_.clear();
   total_ = 0;
   digest_.clear();
 }
 
 void ValueReceiver::next_source() {
-  if (!guards_.resumes) {
-    begin_anew();
+  if (!guards_.keeps_pieces) {
+    restart();
   }
   if (!sources_.empty()) {
-    turn_ = (turn_ + 1) % sources_.size();
+    source_index_ = (source_index_ + 1) % sources_.size();
   }
 }
 
-TransferState ValueReceiver::no_answer() {
-  ++silences_;
+TransferState ValueReceiver::record_timeout() {
+  ++timeouts_;
   next_source();
-  bool const lost = silences_ >= common::constants::transfer_silences_most || superseded_;
-  return lost && guards_.given_up ? TransferState::unavailable : TransferState::in_progress;
+  bool const given_up = timeouts_ >= common::constants::transfer_silences_most || superseded_;
+  return given_up && guards_.gives_up ? TransferState::unavailable : TransferState::in_progress;
 }
 
 TransferState ValueReceiver::drop_source() {
   if (!sources_.empty()) {
-    sources_.erase(sources_.begin() + static_cast<std::ptrdiff_t>(turn_ % sources_.size()));
-    turn_ = 0;
+    sources_.erase(sources_.begin() + static_cast<std::ptrdiff_t>(source_index_ % sources_.size()));
+    source_index_ = 0;
   }
   return sources_.empty() ? TransferState::unavailable : TransferState::in_progress;
 }
 
 TransferState ValueReceiver::receive(schema::Message const& answer) {
   schema::Piece const* const piece = std::get_if<schema::Piece>(&answer);
-  silences_ = 0;
+  timeouts_ = 0;
   if (piece == nullptr) {
-    return drop_source();  // an older program, or one that keeps no register
+    return drop_source();  // an older version, or a process without registers
   }
   if (guards_.key_checked && !(piece->key == key_)) {
     next_source();
@@ -73,19 +73,19 @@
   }
   bool const same = piece->total == total_ && piece->digest == digest_;
   if (guards_.key_checked && !same) {
-    begin_anew();  // one of two sources has other bytes; the digest of the whole decides
+    restart();  // the sources disagree about the bytes; the digest of the whole value decides
     next_source();
     return TransferState::in_progress;
   }
   if (piece->offset != bytes_.size() || piece->bytes.empty() || piece->bytes.size() > total_ - bytes_.size()) {
-    return TransferState::in_progress;  // sent twice, or late: the same place is asked for again
+    return TransferState::in_progress;  // duplicate or late: the same offset is requested again
   }
   bytes_ += piece->bytes;
   if (bytes_.size() < total_) {
     return TransferState::in_progress;
   }
   if (guards_.digest_checked && common::Digest().add(bytes_).text() != digest_) {
-    begin_anew();
+    restart();
     next_source();
     return TransferState::in_progress;
   }
--- a/source/consensus/write_ahead_log/fault_device.cpp
+++ b/source/consensus/write_ahead_log/fault_device.cpp
@@ -10,25 +10,26 @@
 namespace finchlink::consensus {
 
 namespace {
-/// What becomes of writes that were not synced when the process is killed.
+/// What happens to unsynced writes when the process is killed.
 enum class PowerLoss {
-  kept,    ///< they stay: the system's cache outlives the process
-  lost,    ///< "hold": they vanish
-  torn,    ///< "torn": a part of each stays
-  ignored  ///< "ignore-sync": a sync does nothing, all vanish (a disk that lies)
+  kept,    ///< they survive: the page cache outlives the process
+  lost,    ///< "hold": they are lost
+  torn,    ///< "torn": the first half of each survives
+  ignored  ///< "ignore-sync": a sync does nothing and all are lost (a disk that acknowledges syncs falsely)
 };
 
+/// Reads the mode from the file; an empty or missing file means `kept`.
 PowerLoss read_power_loss(std::string const& path) {
   std::ifstream file(path);
-  std::string word;
-  file >> word;
-  if (word == "hold") {
+  std::string mode;
+  file >> mode;
+  if (mode == "hold") {
     return PowerLoss::lost;
   }
-  if (word == "torn") {
+  if (mode == "torn") {
     return PowerLoss::torn;
   }
-  return word == "ignore-sync" ? PowerLoss::ignored : PowerLoss::kept;
+  return mode == "ignore-sync" ? PowerLoss::ignored : PowerLoss::kept;
 }
 
 struct UnsyncedWrite {
@@ -37,7 +38,7 @@
   std::string bytes;
 };
 
-/// A disk's own memory: writes stay in it until they are synced.
+/// Models the volatile write cache of a disk: writes stay in it until they are synced.
 class WriteCache {
  public:
   WriteCache(Device device, PowerLoss mode) : device_(std::move(device)), mode_(mode) {}
@@ -80,7 +81,7 @@
  private:
   Device device_;
   PowerLoss mode_;
-  std::vector<UnsyncedWrite> writes_;  ///< in the order they came
+  std::vector<UnsyncedWrite> writes_;  ///< in order of arrival
 };
 
 Device with_write_cache(Device const& device, PowerLoss mode) {
@@ -94,26 +95,27 @@
   return cached;
 }
 
-/// "slow MILLISECONDS", "stall", "full" or "fail"; counts what it did.
-absl::Status meet(std::string const& path, bool sync) {
+/// Injects the fault that the file names: "slow MILLISECONDS" delays a sync, "stall" blocks until the file changes,
+/// "full" fails a write and "fail" a sync. Each fault found is appended as a line to `path`.met.
+absl::Status inject_fault(std::string const& path, bool sync) {
   for (bool first = true;; first = false) {
     std::ifstream file(path);
-    std::string word;
+    std::string fault;
     int span = 0;
-    file >> word >> span;
-    if (first && !word.empty()) {
-      std::ofstream(path + ".met", std::ios::app) << word << "\n";
+    file >> fault >> span;
+    if (first && !fault.empty()) {
+      std::ofstream(path + ".met", std::ios::app) << fault << "\n";
     }
-    if (word == "full" && !sync) {
-      return absl::ResourceExhaustedError("no space (ordered)");
+    if (fault == "full" && !sync) {
+      return absl::ResourceExhaustedError("no space left on device (injected fault)");
     }
-    if (word == "fail" && sync) {
-      return absl::UnavailableError("sync failed (ordered)");
+    if (fault == "fail" && sync) {
+      return absl::UnavailableError("sync failed (injected fault)");
     }
-    if (word == "slow" && sync) {
+    if (fault == "slow" && sync) {
       std::this_thread::sleep_for(std::chrono::milliseconds(span));
     }
-    if (word != "stall") {
+    if (fault != "stall") {
       return absl::OkStatus();
     }
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
@@ -128,12 +130,12 @@
   }
   Device faulty = device;
   faulty.write = [device, path](std::size_t file, std::size_t offset, std::string_view bytes) -> absl::Status {
-    absl::Status const met = meet(path, false);
-    return met.ok() ? device.write(file, offset, bytes) : met;
+    absl::Status const status = inject_fault(path, false);
+    return status.ok() ? device.write(file, offset, bytes) : status;
   };
   faulty.sync = [device, path](std::size_t file) -> absl::Status {
-    absl::Status const met = meet(path, true);
-    return met.ok() ? device.sync(file) : met;
+    absl::Status const status = inject_fault(path, true);
+    return status.ok() ? device.sync(file) : status;
   };
   return faulty;
 }
--- a/source/consensus/write_ahead_log/fault_device.hpp
+++ b/source/consensus/write_ahead_log/fault_device.hpp
@@ -6,10 +6,9 @@
 
 namespace finchlink::consensus {
 
-/// A disk that fails by order, in builds with FINCHLINK_FAULTS only: before
-/// each write and sync it looks into `path`. When it is opened it looks into
-/// `path`.power for what a kill does to writes that were not synced
-/// (docs/operating/standins.md).
+/// Wraps `device` with injected faults, in builds with FINCHLINK_FAULTS only. The file `path` is read before each write
+/// and sync, and names the fault to inject. The file `path`.power is read once, when the device is opened, and names
+/// what happens to unsynced writes when the process is killed (docs/operating/standins.md).
 [[nodiscard]] Device with_faults(Device device, std::string const& path);
 
 }  // namespace finchlink::consensus
--- a/source/consensus/write_ahead_log/file_device.cpp
+++ b/source/consensus/write_ahead_log/file_device.cpp
@@ -17,6 +17,7 @@
 namespace finchlink::consensus {
 
 namespace {
+/// File descriptors that the device owns; they are closed with its last copy.
 struct Descriptors {
   std::vector<int> files;
   int lock = -1;
@@ -71,8 +72,8 @@
     close(directory);
   }
   Device device;
-  // Files are preallocated and mostly empty: the zeros at the end are left out
-  // piece by piece, so that reading takes no more memory than was written.
+  // Files are preallocated and mostly empty. Trailing zeros are left out piece by piece, so that reading takes no more
+  // memory than was written.
   device.read = [descriptors, file_bytes](std::size_t file) -> absl::StatusOr<std::string> {
     std::string bytes;
     std::string piece(std::min(file_bytes, common::constants::ring_piece_bytes), '\0');
--- a/source/consensus/write_ahead_log/file_device.hpp
+++ b/source/consensus/write_ahead_log/file_device.hpp
@@ -8,8 +8,10 @@
 
 namespace finchlink::consensus {
 
-/// The ring's files under the data folder, preallocated, with a lock so that
-/// no second process uses them (section 5.3).
+/// Opens the files of the write-ahead log in `folder`, creating and preallocating them to `file_bytes` each, and locks
+/// the folder so that no second process uses them (section 5.3). The device keeps the files open and locked as long as
+/// a copy of it exists. Errors: Unavailable if a system call fails, FailedPrecondition if another process holds the
+/// lock.
 [[nodiscard]] absl::StatusOr<Device> open_log_files(std::string const& folder, std::size_t files,
                                                     std::size_t file_bytes);
 
--- a/source/consensus/write_ahead_log/write_ahead_log.hpp
+++ b/source/consensus/write_ahead_log/write_ahead_log.hpp
@@ -14,46 +14,51 @@
 
 namespace finchlink::consensus {
 
-/// What the ring needs of a disk; the daemon's is file_device.hpp, tests and
-/// almanac have one in memory. Plain functions, so that no one inherits.
+/// Storage of the write-ahead log: numbered files. file_device.hpp implements it for processes; tests and the simulator
+/// have one in memory. A struct of functions instead of a base class.
 struct Device {
-  std::function<absl::StatusOr<std::string>(std::size_t file)> read;  ///< zeros at the end may be left out
+  std::function<absl::StatusOr<std::string>(std::size_t file)> read;  ///< whole content; trailing zeros may be left out
   std::function<absl::Status(std::size_t file, std::size_t offset, std::string_view bytes)> write;
   std::function<absl::Status(std::size_t file)> sync;
 };
 
-/// A ring of preallocated files (section 5.3). A file begins with an image
-/// and a seal, then takes changes until it is full; the next file then begins
-/// with a newer image. Generation and sequence stand in every record, so that
-/// what an earlier lap left behind is never taken for new.
+/// Write-ahead log in a ring of preallocated files (section 5.3). A file begins with a snapshot and a seal, then takes
+/// records until it is full; the next file then begins with a newer snapshot. Every record carries the generation of
+/// its file and its sequence number, so that records left over from an earlier lap of the ring are never taken for new.
 class WriteAheadLog {
  public:
+  /// `files` is the number of files in the ring, `file_bytes` the size of each.
   WriteAheadLog(Device device, std::size_t files, std::size_t file_bytes);
 
-  /// The records on disk; none for a blank one. DataLoss: broken, not torn.
+  /// Reads the records on disk; none if the disk is blank. A torn write at the end is dropped. Errors: DataLoss if a
+  /// record is corrupt that was not merely torn, Unavailable if a file cannot be read, FailedPrecondition if a newer
+  /// program version wrote the log.
   [[nodiscard]] absl::StatusOr<std::vector<schema::Record>> recover();
-  /// Writes all that was recovered into a new file. What was read may have come
-  /// from the system's memory alone: after a sync that failed the next one says
-  /// good of pages that never reached the disk (section 5.3).
-  [[nodiscard]] absl::Status renew(std::vector<schema::Record> const& image) { return turn(image); }
-  /// Lasting once it returns. `image` is all there is after these records; it
-  /// is asked for only when a new file begins.
+  /// Writes `snapshot`, everything that was recovered, into a new file. What was read may have come from the page cache
+  /// only: after a failed sync, the next sync reports success for pages that never reached the disk (section 5.3).
+  [[nodiscard]] absl::Status rewrite(std::vector<schema::Record> const& snapshot) { return start_file(snapshot); }
+  /// Appends records, which are durable once it returns. `snapshot` returns the whole state after these records; it is
+  /// called only when a new file begins. After an error the log refuses all further appends.
   [[nodiscard]] absl::Status append(std::vector<schema::Record> const& records,
-                                    std::function<std::vector<schema::Record>()> const& image);
+                                    std::function<std::vector<schema::Record>()> const& snapshot);
 
  private:
-  struct Found {
+  /// A record read from a file.
+  struct ParsedRecord {
     std::uint64_t generation = 0;
     std::uint64_t sequence = 0;
-    std::size_t end = 0;
+    std::size_t end = 0;  ///< offset behind the record in its file
     std::string payload;
   };
-  [[nodiscard]] bool parse(std::string_view file, std::size_t offset, Found& found) const;
-  [[nodiscard]] bool later_record(std::string_view file, std::size_t offset, std::uint64_t generation,
-                                  std::uint64_t sequence) const;
+  /// Reads the record at `offset`; false if there is none or its checksum is wrong.
+  [[nodiscard]] bool parse(std::string_view file, std::size_t offset, ParsedRecord& found) const;
+  /// Whether an intact record of this generation with a higher sequence number stands at or behind `offset`.
+  [[nodiscard]] bool has_later_record(std::string_view file, std::size_t offset, std::uint64_t generation,
+                                      std::uint64_t sequence) const;
   [[nodiscard]] std::string encode(std::vector<schema::Record> const& records, std::uint64_t generation,
                                    std::uint64_t sequence) const;
-  [[nodiscard]] absl::Status turn(std::vector<schema::Record> const& image);
+  /// Begins the next file of the ring: writes and syncs the snapshot, then the seal.
+  [[nodiscard]] absl::Status start_file(std::vector<schema::Record> const& snapshot);
 
   Device device_;
   std::size_t files_;
@@ -61,7 +66,7 @@
   std::uint64_t generation_ = 0;
   std::uint64_t sequence_ = 0;
   std::size_t offset_ = 0;
-  bool broken_ = false;
+  bool failed_ = false;  ///< a write or sync failed; the end of the file is unknown
 };
 
 }  // namespace finchlink::consensus
--- a/source/tests/consensus/fault_device_test.cpp
+++ b/source/tests/consensus/fault_device_test.cpp
@@ -10,13 +10,13 @@
 namespace finchlink::consensus {
 
 namespace {
-/// What a disk holds when its power is lost: only what reached it.
+/// The medium of a disk: what survives a power loss. All file numbers share one content.
 struct Medium {
   std::string content;
   int syncs = 0;
 };
 
-Device device_of(std::shared_ptr<Medium> const& medium) {
+Device make_device(std::shared_ptr<Medium> const& medium) {
   Device device;
   device.read = [medium](std::size_t) -> absl::StatusOr<std::string> { return medium->content; };
   device.write = [medium](std::size_t, std::size_t offset, std::string_view bytes) {
@@ -35,10 +35,10 @@
  protected:
   void SetUp() override { std::filesystem::create_directory(folder_); }
   void TearDown() override { std::filesystem::remove_all(folder_); }
-  /// The medium under a disk with this order.
-  Device open(std::string const& word) {
-    std::ofstream(folder_ + "/faults.power") << word;
-    return with_faults(device_of(medium_), folder_ + "/faults");
+  /// Opens the fault device over medium_ with this power-loss mode.
+  Device open_device(std::string const& power_loss) {
+    std::ofstream(folder_ + "/faults.power") << power_loss;
+    return with_faults(make_device(medium_), folder_ + "/faults");
   }
 
   std::string folder_ = testing::TempDir() + "/fault-device-" + std::to_string(getpid());
@@ -46,14 +46,14 @@
 };
 }  // namespace
 
-TEST_F(FaultDevice, WithoutOrdersWritesReachTheMediumAtOnce) {
-  Device const device = open("");
+TEST_F(FaultDevice, WithoutFaultsWritesReachTheMediumAtOnce) {
+  Device const device = open_device("");
   EXPECT_TRUE(device.write(0, 0, "abcd").ok());
   EXPECT_EQ(medium_->content, "abcd");
 }
 
 TEST_F(FaultDevice, HeldWritesAreReadBackAndReachTheMediumWithTheSync) {
-  Device const device = open("hold");
+  Device const device = open_device("hold");
   EXPECT_TRUE(device.write(0, 0, "abcd").ok());
   EXPECT_TRUE(device.write(0, 2, "XY").ok());
   EXPECT_TRUE(device.write(1, 0, "other file").ok());
@@ -65,15 +65,15 @@
 }
 
 TEST_F(FaultDevice, HalfOfATornWriteIsLeftUntilItIsSynced) {
-  Device const device = open("torn");
+  Device const device = open_device("torn");
   EXPECT_TRUE(device.write(0, 0, "abcd").ok());
   EXPECT_EQ(medium_->content, "ab");
   EXPECT_TRUE(device.sync(0).ok());
   EXPECT_EQ(medium_->content, "abcd");
 }
 
-TEST_F(FaultDevice, ADiskThatLiesKeepsNothing) {
-  Device const device = open("ignore-sync");
+TEST_F(FaultDevice, ADiskThatIgnoresSyncsKeepsNothing) {
+  Device const device = open_device("ignore-sync");
   EXPECT_TRUE(device.write(0, 0, "abcd").ok());
   EXPECT_TRUE(device.sync(0).ok());
   EXPECT_EQ(*device.read(0), "abcd");
--- a/source/tests/consensus/narrow_link.hpp
+++ b/source/tests/consensus/narrow_link.hpp
@@ -16,27 +16,29 @@
 
 namespace finchlink::consensus_test {
 
-/// One direction of a narrow way on a fake clock: what goes at the same time
-/// shares it evenly, as TCP connections do, and what is given up frees it.
+/// One direction of a low-bandwidth link on a simulated clock. Concurrent transmissions share the bandwidth evenly, as
+/// TCP connections do, and a transmission whose sender has given up no longer takes any.
 class NarrowLink {
  public:
   using Arrival = std::function<void()>;
+  /// `bits_per_second` is the bandwidth, `one_way` the latency.
   NarrowLink(simulator::Kernel& kernel, double bits_per_second, common::Span one_way)
       : kernel_(kernel), bits_per_second_(bits_per_second), one_way_(one_way) {}
 
+  /// Sends `bytes`, and calls `arrival` when all have arrived, unless `*given_up` became true meanwhile.
   void carry(std::size_t bytes, std::shared_ptr<bool> const& given_up, Arrival arrival) {
-    waiting_.push_back(Load{bytes, given_up, std::move(arrival)});
+    waiting_.push_back(Transmission{bytes, given_up, std::move(arrival)});
     if (!busy_) {
       step();
     }
   }
-  /// While cut, whatever would arrive is lost.
+  /// While the link is cut, whatever would arrive is lost.
   bool cut = false;
-  std::uint64_t carried = 0;
+  std::uint64_t carried = 0;  ///< bytes sent so far
 
  private:
-  struct Load {
-    std::size_t left = 0;
+  struct Transmission {
+    std::size_t left = 0;  ///< bytes still to send
     std::shared_ptr<bool> given_up;
     Arrival arrival;
   };
@@ -48,19 +50,19 @@
     if (!busy_) {
       return;
     }
-    Load load = std::move(waiting_.front());
+    Transmission transmission = std::move(waiting_.front());
     waiting_.pop_front();
-    std::size_t const part = std::min<std::size_t>(load.left, 16384);
-    load.left -= part;
-    carried += part;
-    common::Span const span = static_cast<common::Span>(static_cast<double>(part) * 8e6 / bits_per_second_);
-    kernel_.after(span, [this, load] {
-      if (load.left > 0) {
-        waiting_.push_back(load);
+    std::size_t const slice = std::min<std::size_t>(transmission.left, 16384);
+    transmission.left -= slice;
+    carried += slice;
+    common::Span const span = static_cast<common::Span>(static_cast<double>(slice) * 8e6 / bits_per_second_);
+    kernel_.after(span, [this, transmission] {
+      if (transmission.left > 0) {
+        waiting_.push_back(transmission);
       } else {
-        kernel_.after(one_way_, [this, load] {
-          if (!cut && !*load.given_up) {
-            load.arrival();
+        kernel_.after(one_way_, [this, transmission] {
+          if (!cut && !*transmission.given_up) {
+            transmission.arrival();
           }
         });
       }
@@ -70,11 +72,11 @@
   simulator::Kernel& kernel_;
   double bits_per_second_;
   common::Span one_way_;
-  std::deque<Load> waiting_;
+  std::deque<Transmission> waiting_;
   bool busy_ = false;
 };
 
-/// Someone far away from all that answer it, by a narrow way there and back.
+/// A client behind a low-bandwidth link in each direction; `answerer` stands for all servers at the far end.
 class RemoteClient {
  public:
   using Answerer = std::function<std::optional<schema::Message>(std::string const& address, schema::Message const&)>;
@@ -85,25 +87,26 @@
         down(kernel, bits_per_second, one_way),
         answerer_(std::move(answerer)) {}
 
+  /// Sends a request; `reply` is called once, without a message if the deadline passes first.
   void call(std::string const& address, schema::Message const& message, common::Span deadline, Reply const& reply) {
-    std::shared_ptr<bool> const over = std::make_shared<bool>(false);
-    kernel_.after(deadline, [over, reply] {
-      if (!*over) {
-        *over = true;
+    std::shared_ptr<bool> const finished = std::make_shared<bool>(false);
+    kernel_.after(deadline, [finished, reply] {
+      if (!*finished) {
+        *finished = true;
         reply(std::nullopt);
       }
     });
-    up.carry(common::frame(message).size(), over, [this, address, message, over, reply] {
+    up.carry(common::frame(message).size(), finished, [this, address, message, finished, reply] {
       std::optional<schema::Message> const answer = answerer_(address, message);
       if (answer.has_value()) {
-        down.carry(common::frame(*answer).size(), over, [over, reply, answer] {
-          *over = true;
+        down.carry(common::frame(*answer).size(), finished, [finished, reply, answer] {
+          *finished = true;
           reply(answer);
         });
       }
     });
   }
-  /// As consensus::run_transfer does it.
+  /// Runs a transfer to its end as consensus::run_transfer does, but without its overall time limit.
   void run(std::shared_ptr<consensus::ValueReceiver> const& receiver,
            std::function<void(std::optional<std::string> const&)> const& done) {
     if (receiver->source().empty()) {
@@ -114,7 +117,7 @@
     call(receiver->source(), receiver->request(), common::constants::piece_deadline,
          [this, receiver, done, before](std::optional<schema::Message> const& answer) {
            if (!answer.has_value()) {
-             receiver->no_answer();
+             receiver->record_timeout();
            } else {
              consensus::TransferState const state = receiver->receive(*answer);
              if (state == consensus::TransferState::complete) {
@@ -142,17 +145,17 @@
   Answerer answerer_;
 };
 
-/// Bytes that no compression makes smaller.
-inline std::string noise(std::size_t bytes, std::uint64_t seed = 7) {
+/// Pseudo-random bytes, which cannot be compressed.
+inline std::string incompressible_bytes(std::size_t bytes, std::uint64_t seed = 7) {
   std::mt19937_64 random(seed);
-  std::string text(bytes, ' ');
-  for (char& letter : text) {
-    letter = static_cast<char>(random());
+  std::string data(bytes, ' ');
+  for (char& byte : data) {
+    byte = static_cast<char>(random());
   }
-  return text;
+  return data;
 }
 
-/// Three founded acceptors a, b, c, spoken to directly.
+/// Three bootstrapped acceptors with the addresses a, b, c and incarnations 100 to 102, called directly.
 struct ThreeAcceptors {
   std::vector<consensus::Acceptor> acceptors;
   explicit ThreeAcceptors(consensus::Guards guards = {}) {
@@ -172,13 +175,14 @@
       }
     }
   }
+  /// Acceptor with this address, or null.
   [[nodiscard]] consensus::Acceptor* at(std::string const& address) {
     std::size_t const index = static_cast<std::size_t>(address.front() - 'a');
     return address.size() == 1 && index < acceptors.size() ? &acceptors[index] : nullptr;
   }
-  /// Has the acceptors of these indices accept the content under the round.
-  void accept(std::string const& content, std::uint64_t round, std::vector<std::size_t> const& reach) {
-    for (std::size_t const index : reach) {
+  /// Makes the acceptors with these indices accept the content under a ballot of this round.
+  void accept(std::string const& content, std::uint64_t round, std::vector<std::size_t> const& indices) {
+    for (std::size_t const index : indices) {
       (void)acceptors[index].receive(
           schema::Accept{"charter", schema::Ballot{1, round, 9}, schema::Value{round, content, {}}}, 0);
     }
