--- a/source/control_plane/command/command.cpp
+++ b/source/control_plane/command/command.cpp
@@ -111,7 +111,7 @@
   }
   if ((first == "evacuate" || first == "retake") && words.size() == 2) {
     command = CommandRequest{first == "evacuate" ? http::verb::post : http::verb::delete_,
-                             paths.hall + words[1] + paths.evacuation, ""};
+                             paths.zone_prefix + words[1] + paths.drain_suffix, ""};
     return true;
   }
   if (first == "change" && words.size() == 2) {
--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -200,8 +200,8 @@
   }
   schema::Value routing_config;
   schema::Value evacuated;
-  register_.look([&routing_config, &evacuated, this](std::map<std::string, schema::Value> const& values,
-                                                     common::Moment) {
+  register_.visit_values([&routing_config, &evacuated, this](std::map<std::string, schema::Value> const& values,
+                                                             common::Moment) {
     std::map<std::string, schema::Value>::const_iterator const found = values.find(config::routing_config_register);
     if (found != values.end() && found->second.revision != routing_config_revision_) {
       routing_config = found->second;
@@ -340,7 +340,7 @@
       peers.push_back(controller.address);
     }
   }
-  register_.add_known_peers(peers);
+  register_.set_known_peers(peers);
   schema::VoterSet const set = register_.set();
   if (acceptor_ != nullptr && set.epoch > 0 && acceptor_->set().epoch < set.epoch && acceptor_->set().epoch > 0) {
     (void)acceptor_->receive(schema::Adopt{set}, yield);
--- a/source/control_plane/main.cpp
+++ b/source/control_plane/main.cpp
@@ -25,7 +25,7 @@
   std::unique_ptr<control_plane::UpdateService> updates;
   std::unique_ptr<control_plane::LeasedTasks> leased_tasks;
   std::unique_ptr<control_plane::DepartureService> departure;
-  std::unique_ptr<control_plane::Operator> operator_service;
+  std::unique_ptr<control_plane::OperatorService> operator_service;
 };
 
 /// Converts a setting in milliseconds.
@@ -55,7 +55,7 @@
     program.register_client = std::make_unique<control_plane::RegisterClient>(
         context, *program.caller, identity, settings.seeds, to_span(bounds.confirm_pause_ms));
     if (program.acceptor != nullptr) {
-      program.register_client->spread_to(control_plane::RegisterClient::OwnVoter{
+      program.register_client->set_local_voter(control_plane::RegisterClient::LocalVoter{
           [&program] { return program.acceptor->incarnation(); },
           [&program](std::string const& name, schema::Ballot const& accepted, schema::Value const& value,
                      common::Yield yield) { program.acceptor->take_accepted(name, accepted, value, yield); }});
@@ -68,7 +68,7 @@
         settings, has_platform ? platform::notation() : config::native_format());
     program.departure = std::make_unique<control_plane::DepartureService>(
         context, *program.register_client, *program.updates, *program.leased_tasks, program.acceptor.get());
-    program.operator_service = std::make_unique<control_plane::Operator>(
+    program.operator_service = std::make_unique<control_plane::OperatorService>(
         context, *program.register_client, *program.updates, program.acceptor.get(),
         [&program] { return program.leased_tasks->describe(); },
         has_platform ? platform::notation() : config::native_format(),
--- a/source/control_plane/register_client/register_client.cpp
+++ b/source/control_plane/register_client/register_client.cpp
@@ -90,7 +90,7 @@
   }
 }
 
-void RegisterClient::add_known_peers(std::vector<std::string> const& addresses) {
+void RegisterClient::set_known_peers(std::vector<std::string> const& addresses) {
   std::lock_guard<std::mutex> const guard(lock_);
   peers_ = addresses;
 }
--- a/source/control_plane/register_client/register_client.hpp
+++ b/source/control_plane/register_client/register_client.hpp
@@ -30,12 +30,12 @@
   RegisterClient(boost::asio::io_context& context, common::Caller& caller, std::uint64_t identity,
                  std::vector<std::string> seeds, common::Span confirm_pause = common::constants::confirm_pause);
   /// The voter of this very process, which takes half-done changes that it lacks (section 5.10).
-  struct OwnVoter {
+  struct LocalVoter {
     std::function<std::uint64_t()> incarnation;
     std::function<void(std::string const& name, schema::Ballot const&, schema::Value const&, common::Yield)>
         take_accepted;
   };
-  void spread_to(OwnVoter voter) { own_voter_ = std::move(voter); }
+  void set_local_voter(LocalVoter voter) { own_voter_ = std::move(voter); }
   /// Starts the loop of majority reads.
   void begin();
   /// Settings that changed.
@@ -50,7 +50,7 @@
   [[nodiscard]] schema::VoterSet set();
   void learn(schema::VoterSet const& set);
   /// Addresses beside the seeds that are asked while no holder set is known.
-  void add_known_peers(std::vector<std::string> const& addresses);
+  void set_known_peers(std::vector<std::string> const& addresses);
   [[nodiscard]] std::map<std::string, schema::Value> values();
   [[nodiscard]] schema::Value value(std::string const& name);
   /// Looks at all values and from when they are confirmed, without a copy.
@@ -110,7 +110,7 @@
   common::Bell bell_;
   common::Bell hurry_;
   RegisterTransfers transfers_;
-  std::optional<OwnVoter> own_voter_;
+  std::optional<LocalVoter> own_voter_;
   std::set<std::string> settling_;
 };
 
--- a/source/control_plane/updates/updates.cpp
+++ b/source/control_plane/updates/updates.cpp
@@ -378,7 +378,7 @@
     }
     bool const batch_elapsed = now - arrival >= constants::bell_pause;
     membership::UpdateDecision decision;
-    register_.look([&](std::map<std::string, schema::Value> const& values, common::Moment confirmed_from) {
+    register_.visit_values([&](std::map<std::string, schema::Value> const& values, common::Moment confirmed_from) {
       decision = membership::decide_answer(request, arrival, confirmed_from, values, other_updates && batch_elapsed,
                                            now, {}, bounds);
     });
--- a/source/tests/control_plane/half_done_change_test.cpp
+++ b/source/tests/control_plane/half_done_change_test.cpp
@@ -104,7 +104,7 @@
                                                         std::vector<std::string>{}, common::milliseconds(400)));
     clients_.back()->learn(set);
     if (client < voters) {
-      clients_.back()->spread_to(RegisterClient::OwnVoter{
+      clients_.back()->set_local_voter(RegisterClient::LocalVoter{
           [this, client] { return acceptors_[client]->incarnation(); },
           [this, client](std::string const& name, schema::Ballot const& accepted, schema::Value const& value,
                          common::Yield) { (void)acceptors_[client]->take_accepted(name, accepted, value); }});
