--- a/source/control_plane/acceptor/acceptor_service.cpp
+++ b/source/control_plane/acceptor/acceptor_service.cpp
@@ -15,7 +15,7 @@
 namespace constants = common::constants;
 
 namespace {
-/// Bytes of the values that these records write.
+/// Total size in bytes of the values in these records.
 std::size_t value_bytes(std::vector<schema::Record> const& records) {
   std::size_t bytes = 0;
   for (schema::Record const& record : records) {
@@ -28,12 +28,12 @@
 }  // namespace
 
 AcceptorService::AcceptorService(boost::asio::io_context& context, common::Caller& caller, std::string folder,
-                                 std::string address, std::vector<std::string> founders)
+                                 std::string address, std::vector<std::string> bootstrap_addresses)
     : context_(context),
       caller_(caller),
       folder_(std::move(folder)),
       address_(std::move(address)),
-      founders_(std::move(founders)) {}
+      bootstrap_addresses_(std::move(bootstrap_addresses)) {}
 
 AcceptorService::~AcceptorService() {
   {
@@ -41,13 +41,13 @@
     stopping_ = true;
   }
   wake_.notify_all();
-  if (worker_.joinable()) {
-    worker_.join();
+  if (disk_thread_.joinable()) {
+    disk_thread_.join();
   }
 }
 
 bool AcceptorService::open_disk() {
-  ring_.reset();  // lets go of the folder before it is taken again
+  log_.reset();  // releases the folder before it is opened again
   absl::StatusOr<consensus::Device> device =
       consensus::open_log_files(folder_, constants::ring_files, constants::ring_file_bytes);
   if (!device.ok()) {
@@ -57,20 +57,20 @@
 #ifdef FINCHLINK_FAULTS
   *device = consensus::with_faults(*device, folder_ + ".faults");
 #endif
-  consensus::WriteAheadLog ring(*device, constants::ring_files, constants::ring_file_bytes);
-  absl::StatusOr<std::vector<schema::Record>> records = ring.recover();
+  consensus::WriteAheadLog log(*device, constants::ring_files, constants::ring_file_bytes);
+  absl::StatusOr<std::vector<schema::Record>> records = log.recover();
   if (!records.ok() && absl::IsDataLoss(records.status())) {
-    // What is left can't be told from what was acknowledged: the disk counts
-    // as lost and this holder as a new one (section 5.5).
+    // The remaining records may lack acknowledged ones: the disk counts as lost and this acceptor as a new one
+    // (section 5.5).
     common::note(common::Event::DiskCorrupt, std::string(records.status().message()));
     std::string const blank(constants::ring_file_bytes, '\0');
     for (std::size_t index = 0; index < constants::ring_files; ++index) {
       if (!device->write(index, 0, blank).ok() || !device->sync(index).ok()) {
-        failure_ = "a broken file can't be blanked";
+        failure_ = "cannot overwrite corrupt log file " + std::to_string(index);
         return false;
       }
     }
-    ring = consensus::WriteAheadLog(*device, constants::ring_files, constants::ring_file_bytes);
+    log = consensus::WriteAheadLog(*device, constants::ring_files, constants::ring_file_bytes);
     records = std::vector<schema::Record>();
   }
   if (!records.ok()) {
@@ -79,28 +79,28 @@
   }
   common::Moment const now = common::boot_now();
   std::lock_guard<std::mutex> const guard(lock_);
-  ring_ = std::move(ring);
+  log_ = std::move(log);
   if (records->empty()) {
-    holder_.emplace(common::random_identity(), address_, founders_, now);
-    common::note(common::Event::HolderBlank, "incarnation " + std::to_string(holder_->incarnation()));
-    std::vector<schema::Record> const image = holder_->snapshot_records();
-    if (!ring_->append(image, [&image] { return image; }).ok()) {
-      holder_.reset();
-      failure_ = "the first record can't be written";
+    acceptor_.emplace(common::random_identity(), address_, bootstrap_addresses_, now);
+    common::note(common::Event::HolderBlank, "incarnation " + std::to_string(acceptor_->incarnation()));
+    std::vector<schema::Record> const snapshot = acceptor_->snapshot_records();
+    if (!log_->append(snapshot, [&snapshot] { return snapshot; }).ok()) {
+      acceptor_.reset();
+      failure_ = "cannot write the first record";
       return false;
     }
   } else {
-    holder_.emplace(*records, address_, founders_, now);
-    synced_ballots_.check_recovered(*holder_);
-    absl::Status const renewed = ring_->rewrite(holder_->snapshot_records());
+    acceptor_.emplace(*records, address_, bootstrap_addresses_, now);
+    synced_ballots_.check_recovered(*acceptor_);
+    absl::Status const renewed = log_->rewrite(acceptor_->snapshot_records());
     if (!renewed.ok()) {
-      holder_.reset();
+      acceptor_.reset();
       failure_ = std::string(renewed.message());
       return false;
     }
-    common::note(common::Event::HolderRecovered, "incarnation " + std::to_string(holder_->incarnation()) + " epoch " +
-                                                     std::to_string(holder_->set().epoch) +
-                                                     (holder_->voting() ? " voting" : " without a vote"));
+    common::note(common::Event::HolderRecovered, "incarnation " + std::to_string(acceptor_->incarnation()) + " epoch " +
+                                                     std::to_string(acceptor_->set().epoch) +
+                                                     (acceptor_->voting() ? " voting" : " without a vote"));
   }
   changes_.mark_recovered();
   silent_ = false;
@@ -108,18 +108,18 @@
 }
 
 void AcceptorService::begin() {
-  worker_ = std::thread([this] {
-    // A disk that filled or failed may come back: it is opened anew, which is
-    // to this holder what a restart is (section 5.3).
-    std::string told;
+  disk_thread_ = std::thread([this] {
+    // A disk that was full or failed may recover: it is reopened, which the acceptor treats as a restart
+    // (section 5.3).
+    std::string logged_failure;
     while (true) {
       if (open_disk()) {
-        told.clear();
-        work();
+        logged_failure.clear();
+        run_disk_loop();
       }
       std::unique_lock<std::mutex> guard(lock_);
-      if (!stopping_ && told != failure_) {
-        told = failure_;
+      if (!stopping_ && logged_failure != failure_) {
+        logged_failure = failure_;
         common::note(common::Event::HolderSilent, failure_);
       }
       if (wake_.wait_for(guard, common::duration(constants::disk_reopen_pause), [this] { return stopping_; })) {
@@ -127,10 +127,10 @@
       }
     }
   });
-  common::start(context_, [this](common::Yield yield) { stand_up(yield); });
+  common::start(context_, [this](common::Yield yield) { run_join_loop(yield); });
 }
 
-void AcceptorService::work() {
+void AcceptorService::run_disk_loop() {
   while (true) {
     std::deque<Job> jobs;
     {
@@ -147,15 +147,15 @@
     }
     absl::Status status = absl::OkStatus();
     if (!records.empty()) {
-      status = ring_->append(records, [this] {
+      status = log_->append(records, [this] {
         std::lock_guard<std::mutex> const guard(lock_);
-        return holder_->snapshot_records();
+        return acceptor_->snapshot_records();
       });
     }
     std::lock_guard<std::mutex> const guard(lock_);
     if (status.ok()) {
       changes_.mark_synced(jobs.back().change);
-      synced_ballots_.record_synced(holder_->incarnation(), records);
+      synced_ballots_.record_synced(acceptor_->incarnation(), records);
     } else {
       silent_ = true;
       failure_ = std::string(status.message());
@@ -167,10 +167,10 @@
       open_bytes_ -= job.bytes;
     }
     for (Job const& job : jobs) {
-      boost::asio::post(job.ticket->timer.get_executor(), [ticket = job.ticket, good = status.ok()] {
-        ticket->done = true;
-        ticket->good = good;
-        ticket->timer.cancel();
+      boost::asio::post(job.completion->timer.get_executor(), [completion = job.completion, succeeded = status.ok()] {
+        completion->done = true;
+        completion->succeeded = succeeded;
+        completion->timer.cancel();
       });
     }
     if (!status.ok()) {
@@ -181,44 +181,43 @@
 
 std::optional<consensus::Outcome> AcceptorService::apply(
     std::function<consensus::Outcome(consensus::Acceptor&)> const& step, common::Yield yield) {
-  std::shared_ptr<Ticket> const ticket = std::make_shared<Ticket>(yield.get_executor());
+  std::shared_ptr<Completion> const completion = std::make_shared<Completion>(yield.get_executor());
   consensus::Outcome outcome;
   std::uint64_t change = 0;
   {
-    // The step and its place among the jobs are one: records must reach the
-    // disk in the order in which the core made them.
+    // The step runs and queues its job under one lock: records must reach the disk in the order in which the acceptor
+    // made them.
     std::lock_guard<std::mutex> const guard(lock_);
-    if (silent_ || !holder_.has_value() || open_jobs_ >= constants::disk_waitlist ||
+    if (silent_ || !acceptor_.has_value() || open_jobs_ >= constants::disk_waitlist ||
         open_bytes_ >= constants::disk_waitlist_bytes) {
       return std::nullopt;
     }
-    std::uint64_t const epoch = holder_->set().epoch;
-    outcome = step(*holder_);
-    if (holder_->set().epoch != epoch) {
-      common::note(common::Event::HolderAdopted, "epoch " + std::to_string(holder_->set().epoch) +
-                                                     (holder_->voting() ? " voting" : " without a vote"));
+    std::uint64_t const epoch = acceptor_->set().epoch;
+    outcome = step(*acceptor_);
+    if (acceptor_->set().epoch != epoch) {
+      common::note(common::Event::HolderAdopted, "epoch " + std::to_string(acceptor_->set().epoch) +
+                                                     (acceptor_->voting() ? " voting" : " without a vote"));
     }
-    // Even a reply without records waits for what is being synced: it may tell
-    // of state that is not lasting yet.
+    // Even a reply without records waits for the jobs in progress: it may reveal state that is not synced yet.
     change = changes_.count_step(!outcome.records.empty());
     if (outcome.records.empty() && open_jobs_ == 0) {
       changes_.check_reply(change);
       return outcome;
     }
     std::size_t const bytes = value_bytes(outcome.records);
-    // A large value takes a slow disk longer, as it does a slow link.
-    ticket->timer.expires_after(
+    // Writing a large value takes longer on a slow disk, as sending it does on a slow link.
+    completion->timer.expires_after(
         common::duration(constants::holder_deadline + static_cast<common::Span>(bytes) * constants::holder_byte_span));
-    jobs_.push_back(Job{outcome.records, bytes, change, ticket});
+    jobs_.push_back(Job{outcome.records, bytes, change, completion});
     ++open_jobs_;
     open_bytes_ += bytes;
   }
   wake_.notify_one();
   boost::system::error_code error;
-  if (!ticket->done) {
-    ticket->timer.async_wait(yield[error]);
+  if (!completion->done) {
+    completion->timer.async_wait(yield[error]);
   }
-  if (!ticket->done || !ticket->good) {
+  if (!completion->done || !completion->succeeded) {
     return std::nullopt;
   }
   changes_.check_reply(change);
@@ -227,7 +226,7 @@
 
 std::optional<schema::Message> AcceptorService::receive(schema::Message const& message, common::Yield yield) {
   std::optional<consensus::Outcome> const outcome =
-      apply([&message](consensus::Acceptor& holder) { return holder.receive(message, common::boot_now()); }, yield);
+      apply([&message](consensus::Acceptor& acceptor) { return acceptor.receive(message, common::boot_now()); }, yield);
   return outcome.has_value() ? outcome->reply : std::nullopt;
 }
 
@@ -236,41 +235,42 @@
   (void)apply([&](consensus::Acceptor& acceptor) { return acceptor.take_accepted(name, accepted, value); }, yield);
 }
 
-void AcceptorService::stand_up(common::Yield yield) {
+void AcceptorService::run_join_loop(common::Yield yield) {
   while (true) {
     common::pause(context_, constants::founding_pause, yield);
-    stand_up_once(yield);
+    bootstrap_or_join_once(yield);
   }
 }
 
-void AcceptorService::stand_up_once(common::Yield yield) {
-  std::vector<std::pair<std::string, schema::Message>> founding;
+void AcceptorService::bootstrap_or_join_once(common::Yield yield) {
+  std::vector<std::pair<std::string, schema::Message>> bootstrap_calls;
   std::vector<schema::Voter> sources;
-  std::optional<schema::ImageAsk> image;
+  std::optional<schema::ImageAsk> request;
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    if (silent_ || !holder_.has_value()) {
+    if (silent_ || !acceptor_.has_value()) {
       return;
     }
-    if (holder_->needs_bootstrap()) {
-      for (std::string const& founder : founders_) {
-        if (founder != address_) {
-          founding.emplace_back(founder, holder_->bootstrap_request());
+    if (acceptor_->needs_bootstrap()) {
+      for (std::string const& address : bootstrap_addresses_) {
+        if (address != address_) {
+          bootstrap_calls.emplace_back(address, acceptor_->bootstrap_request());
         }
       }
-    } else if (holder_->needs_snapshot()) {
-      sources = holder_->snapshot_sources();
-      image = holder_->snapshot_request();
+    } else if (acceptor_->needs_snapshot()) {
+      sources = acceptor_->snapshot_sources();
+      request = acceptor_->snapshot_request();
     }
   }
-  if (!founding.empty()) {
-    found(founding, yield);
-  } else if (image.has_value()) {
-    enrol(sources, *image, yield);
+  if (!bootstrap_calls.empty()) {
+    bootstrap(bootstrap_calls, yield);
+  } else if (request.has_value()) {
+    join(sources, *request, yield);
   }
 }
 
-void AcceptorService::found(std::vector<std::pair<std::string, schema::Message>> const& calls, common::Yield yield) {
+void AcceptorService::bootstrap(std::vector<std::pair<std::string, schema::Message>> const& calls,
+                                common::Yield yield) {
   std::vector<schema::FoundingAnswer> answers;
   common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
@@ -283,8 +283,8 @@
         return false;
       },
       yield);
-  std::optional<consensus::Outcome> const outcome =
-      apply([&answers](consensus::Acceptor& holder) { return holder.bootstrap(answers, common::boot_now()); }, yield);
+  std::optional<consensus::Outcome> const outcome = apply(
+      [&answers](consensus::Acceptor& acceptor) { return acceptor.bootstrap(answers, common::boot_now()); }, yield);
   if (outcome.has_value() && !outcome->records.empty() && this->set().epoch > 0) {
     common::note(common::Event::HolderFounded, "epoch 1");
   }
@@ -292,57 +292,57 @@
 
 bool AcceptorService::snapshots_suffice() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return holder_.has_value() && holder_->snapshots_suffice(images_);
+  return acceptor_.has_value() && acceptor_->snapshots_suffice(snapshots_);
 }
 
-void AcceptorService::ask_images(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask,
-                                 common::Yield yield) {
+void AcceptorService::request_snapshots(std::vector<schema::Voter> const& sources, schema::ImageAsk const& request,
+                                        common::Yield yield) {
   std::vector<std::pair<std::string, schema::Message>> calls;
   calls.reserve(sources.size());
   for (schema::Voter const& source : sources) {
-    calls.emplace_back(source.address, ask);
+    calls.emplace_back(source.address, request);
   }
-  images_.clear();
+  snapshots_.clear();
   common::Gather::run(
       context_, caller_, calls, constants::holder_deadline,
       [this](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
-          if (schema::Image const* const taken = std::get_if<schema::Image>(&*answer)) {
-            images_.push_back(*taken);
+          if (schema::Image const* const snapshot = std::get_if<schema::Image>(&*answer)) {
+            snapshots_.push_back(*snapshot);
           }
         }
-        return snapshots_suffice();  // one that stays silent is not waited for
+        return snapshots_suffice();  // a source that does not answer is not waited for
       },
       yield);
 }
 
-void AcceptorService::enrol(std::vector<schema::Voter> const& sources, schema::ImageAsk const& ask,
-                            common::Yield yield) {
-  // An image stays true while the epoch does: what is chosen later, this holder
-  // is not needed for. So a change made meanwhile does not end a transfer.
+void AcceptorService::join(std::vector<schema::Voter> const& sources, schema::ImageAsk const& request,
+                           common::Yield yield) {
+  // A snapshot stays valid as long as its epoch: later values are chosen without this acceptor. So a change that is
+  // chosen meanwhile does not invalidate a transfer.
   if (!snapshots_suffice()) {
-    ask_images(sources, ask, yield);
+    request_snapshots(sources, request, yield);
   }
   std::vector<consensus::MissingValue> missing;
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    if (silent_ || !holder_.has_value()) {
+    if (silent_ || !acceptor_.has_value()) {
       return;
     }
-    missing = holder_->missing(images_);
+    missing = acceptor_->missing(snapshots_);
   }
   if (!missing.empty()) {
     if (!snapshots_suffice() || !fetch(sources, missing.front(), yield)) {
-      images_.clear();
+      snapshots_.clear();
     }
     return;
   }
-  std::size_t const count = images_.size();
+  std::size_t const count = snapshots_.size();
   std::optional<consensus::Outcome> const outcome =
-      apply([this](consensus::Acceptor& holder) { return holder.join(images_, common::boot_now()); }, yield);
-  images_.clear();
+      apply([this](consensus::Acceptor& acceptor) { return acceptor.join(snapshots_, common::boot_now()); }, yield);
+  snapshots_.clear();
   if (outcome.has_value() && !outcome->records.empty() && voting()) {
-    common::note(common::Event::HolderEnrolled, "images of " + std::to_string(count) + " holders taken");
+    common::note(common::Event::HolderEnrolled, "joined with the snapshots of " + std::to_string(count) + " acceptors");
   }
 }
 
@@ -369,25 +369,25 @@
   if (!value.ok()) {
     return false;
   }
-  consensus::insert_fetched_value(images_, missing.name, missing.digest, *value);
+  consensus::insert_fetched_value(snapshots_, missing.name, missing.digest, *value);
   return true;
 }
 
 std::uint64_t AcceptorService::incarnation() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return holder_.has_value() ? holder_->incarnation() : 0;
+  return acceptor_.has_value() ? acceptor_->incarnation() : 0;
 }
 bool AcceptorService::voting() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return !silent_ && holder_.has_value() && holder_->voting();
+  return !silent_ && acceptor_.has_value() && acceptor_->voting();
 }
 schema::VoterSet AcceptorService::set() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return holder_.has_value() ? holder_->set() : schema::VoterSet{};
+  return acceptor_.has_value() ? acceptor_->set() : schema::VoterSet{};
 }
 bool AcceptorService::needs_snapshot() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return holder_.has_value() && holder_->needs_snapshot();
+  return acceptor_.has_value() && acceptor_->needs_snapshot();
 }
 bool AcceptorService::silent() {
   std::lock_guard<std::mutex> const guard(lock_);
--- a/source/control_plane/operator/answer_check.cpp
+++ b/source/control_plane/operator/answer_check.cpp
@@ -9,12 +9,12 @@
 
 using common::Invariant;
 
-ToldFloor AnswerCheck::begin(std::string const& name, common::Moment arrival) {
+RevisionFloor AnswerCheck::begin(std::string const& name, common::Moment arrival) {
   std::lock_guard<std::mutex> const guard(lock_);
-  return ToldFloor{arrival, told_[name].revision};
+  return RevisionFloor{arrival, last_answers_[name].revision};
 }
 
-void AnswerCheck::answered(std::string const& name, ToldFloor const& floor, schema::Value const& value,
+void AnswerCheck::answered(std::string const& name, RevisionFloor const& floor, schema::Value const& value,
                            common::Moment confirmed_from) {
   common::check(Invariant::read_after_request, confirmed_from >= floor.arrival, [&] {
     return name + " is answered by a read that began " + std::to_string(floor.arrival - confirmed_from) +
@@ -25,22 +25,22 @@
            std::to_string(floor.revision);
   });
   std::lock_guard<std::mutex> const guard(lock_);
-  tell(name, value);
+  record_answer(name, value);
 }
 
-void AnswerCheck::tell(std::string const& name, schema::Value const& value) {
-  Told& told = told_[name];
+void AnswerCheck::record_answer(std::string const& name, schema::Value const& value) {
+  LastAnswer& last = last_answers_[name];
   bool const routing_config = name == config::routing_config_register;
   std::uint64_t const number = routing_config ? config::number_of(value) : value.revision;
-  bool const rises = value.revision == told.revision || (value.revision > told.revision) == (number > told.number);
-  bool const same = value.revision != told.revision || number == told.number;
+  bool const rises = value.revision == last.revision || (value.revision > last.revision) == (number > last.number);
+  bool const same = value.revision != last.revision || number == last.number;
   common::check(Invariant::charter_number_rises, !routing_config || (rises && same), [&] {
     return "revision " + std::to_string(value.revision) + " has number " + std::to_string(number) + ", revision " +
-           std::to_string(told.revision) + " had " + std::to_string(told.number);
+           std::to_string(last.revision) + " had " + std::to_string(last.number);
   });
-  if (value.revision > told.revision) {
-    told.revision = value.revision;
-    told.number = number;
+  if (value.revision > last.revision) {
+    last.revision = value.revision;
+    last.number = number;
   }
 }
 
@@ -53,19 +53,19 @@
 
 void AnswerCheck::acknowledged(std::string const& name, schema::Value const& chosen) {
   std::lock_guard<std::mutex> const guard(lock_);
-  tell(name, chosen);
+  record_answer(name, chosen);
 }
 
 void AnswerCheck::acknowledged_on(std::string const& name, std::uint64_t base, std::string const& change) {
   std::lock_guard<std::mutex> const guard(lock_);
-  std::map<std::uint64_t, std::string>& taken = told_[name].taken;
-  std::string const& first = taken.emplace(base, change).first->second;
+  std::map<std::uint64_t, std::string>& change_by_base = last_answers_[name].change_by_base;
+  std::string const& first = change_by_base.emplace(base, change).first->second;
   common::check(Invariant::base_taken_once, first == change, [&] {
     return name + ": changes " + first + " and " + change + " of version " + std::to_string(base) +
            " were both acknowledged";
   });
-  if (taken.size() > common::constants::marks_kept) {
-    taken.erase(taken.begin());
+  if (change_by_base.size() > common::constants::marks_kept) {
+    change_by_base.erase(change_by_base.begin());
   }
 }
 
--- a/source/control_plane/operator/health.cpp
+++ b/source/control_plane/operator/health.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Whole milliseconds of a span, as a number of JSON.
+/// Whole milliseconds of a span, as a JSON number.
 double whole_milliseconds(common::Span span) {
   common::Span const count = span / common::milliseconds(1);
   return static_cast<double>(count);
@@ -27,7 +27,7 @@
   }
 }
 
-common::Tree holders_tree(membership::HealthView const& view) {
+common::Tree voters_tree(membership::HealthView const& view) {
   common::Tree tree(schema::write(view.set));
   cJSON* const list = cJSON_GetObjectItemCaseSensitive(tree.get(), "holders");
   int index = 0;
@@ -60,8 +60,8 @@
   return view;
 }
 
-common::Answer HealthPages::holders() {
-  return common::answer_text(http::status::ok, common::print_tree(holders_tree(view()).get(), true));
+common::Answer HealthPages::voters() {
+  return common::answer_text(http::status::ok, common::print_tree(voters_tree(view()).get(), true));
 }
 
 common::Answer HealthPages::check() {
@@ -79,7 +79,7 @@
   cJSON_AddNumberToObject(object.get(), "losses_to_spare",
                           static_cast<double>(membership::losses_to_spare(seen.set, seen.voters)));
   cJSON_AddNumberToObject(object.get(), "majority_age_ms", whole_milliseconds(seen.majority_age));
-  cJSON_AddItemToObject(object.get(), "voters", holders_tree(seen).release());
+  cJSON_AddItemToObject(object.get(), "voters", voters_tree(seen).release());
   return common::answer_text(problems.empty() ? http::status::ok : http::status::service_unavailable,
                              common::print_tree(object.get(), true));
 }
--- a/source/control_plane/operator/health.hpp
+++ b/source/control_plane/operator/health.hpp
@@ -9,19 +9,19 @@
 
 namespace finchlink::control_plane {
 
-/// What operators ask of the control plane's own state: the voters, a check of
-/// the whole, and metrics of both (docs/operating/recovery.md).
+/// The operators' view of the control plane's own state: the voters, a health check, and the metrics of both
+/// (docs/operating/recovery.md).
 class HealthPages {
  public:
   /// `acceptor` is null where this process has no disk.
   HealthPages(RegisterClient& register_client, UpdateService& updates, AcceptorService* acceptor)
       : register_(register_client), updates_(updates), acceptor_(acceptor) {}
 
-  /// GET /holders: the voter set, and of each voter its vote, epoch, last contact and whether it leaves.
-  [[nodiscard]] common::Answer holders();
-  /// GET /check: 200 when healthy, else 503; what is wrong stands in `problems`.
+  /// GET /holders: the voter set, with each voter's vote, epoch, last contact and whether it is leaving.
+  [[nodiscard]] common::Answer voters();
+  /// GET /check: 200 when healthy, else 503; `problems` lists what is wrong.
   [[nodiscard]] common::Answer check();
-  /// Lines of the metrics page.
+  /// Lines for the metrics page.
   [[nodiscard]] std::string metrics();
 
  private:
--- a/source/control_plane/operator/late_answer.hpp
+++ b/source/control_plane/operator/late_answer.hpp
@@ -6,25 +6,25 @@
 
 namespace finchlink::control_plane {
 
-/// The longest that a call to an operator's path takes unless the process stood still: a look at what became of a
-/// change waits out the change's deadline and then changes the register itself, and a yes waits until it is in
+/// The longest that an operator's call takes unless the process was frozen: a query for a change's outcome waits for
+/// the change's deadline and then changes the register itself, and an acknowledgement waits until the change is in
 /// force everywhere (sections 4.1 and 5.7).
 [[nodiscard]] inline common::Span longest_call(common::Span acknowledge_wait) {
   return 2 * common::constants::change_deadline + acknowledge_wait;
 }
 
-/// The answer to a call that took `span`. A process that was frozen in the middle of a call may hold a yes, a
-/// refusal or a reading that was true before the freeze, while others have since heard and changed more through
-/// other trellises: it is left without a clear answer, since what is now true was not asked (section 4.2).
+/// Returns the answer to a call that took `span`, or an error without an outcome if that was too long. A process that
+/// was frozen during a call may hold an acknowledgement, a rejection or a read from before the freeze, while other
+/// operators have made changes through other controllers since: that answer may no longer be true (section 4.2).
 [[nodiscard]] inline common::Answer unless_late(common::Answer answer, common::http::verb verb, common::Span span,
                                                 common::Span acknowledge_wait) {
   if (span <= longest_call(acknowledge_wait)) {
     return answer;
   }
-  bool const reading = verb == common::http::verb::get || verb == common::http::verb::head;
+  bool const is_read = verb == common::http::verb::get || verb == common::http::verb::head;
   return common::answer_error(
-      reading ? common::http::status::service_unavailable : common::http::status::gateway_timeout,
-      reading ? "late" : "unknown", "this process stood still meanwhile; send the same again");
+      is_read ? common::http::status::service_unavailable : common::http::status::gateway_timeout,
+      is_read ? "late" : "unknown", "this process stood still meanwhile; send the same again");
 }
 
 }  // namespace finchlink::control_plane
--- a/source/control_plane/operator/operator.cpp
+++ b/source/control_plane/operator/operator.cpp
@@ -17,7 +17,7 @@
 namespace http = common::http;
 
 namespace {
-common::Answer faults_answer(std::vector<common::Fault> const& faults) {
+common::Answer validation_errors_answer(std::vector<common::Fault> const& faults) {
   common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "error", "invalid");
   cJSON_AddStringToObject(object.get(), "outcome", "rejected");
@@ -54,7 +54,7 @@
   return answer;
 }
 
-bool good_id(std::string const& id) {
+bool is_valid_id(std::string const& id) {
   if (id.empty() || id.size() > 64) {
     return false;
   }
@@ -68,8 +68,8 @@
   return true;
 }
 
-/// If-Match: "7", 7 or *; nothing when it can't be read.
-std::optional<std::uint64_t> tag_revision(std::string text) {
+/// Parses the revision of an If-Match header, quoted or not ("7" or 7); nothing when it is malformed.
+std::optional<std::uint64_t> parse_revision_tag(std::string text) {
   if (text.size() >= 2 && text.front() == '"' && text.back() == '"') {
     text = text.substr(1, text.size() - 2);
   }
@@ -92,48 +92,49 @@
 }  // namespace
 
 namespace {
-/// The hall that a path of evacuations names.
-std::optional<std::string> hall_in(OperatorPaths const& paths, std::string const& target) {
-  if (target.rfind(paths.hall, 0) != 0 || !target.ends_with(paths.evacuation) ||
-      target.size() <= paths.hall.size() + paths.evacuation.size()) {
+/// The zone that a zone drain's path names; nothing when the path is another one.
+std::optional<std::string> zone_in_path(OperatorPaths const& paths, std::string const& target) {
+  if (target.rfind(paths.zone_prefix, 0) != 0 || !target.ends_with(paths.drain_suffix) ||
+      target.size() <= paths.zone_prefix.size() + paths.drain_suffix.size()) {
     return std::nullopt;
   }
-  std::string const hall =
-      target.substr(paths.hall.size(), target.size() - paths.hall.size() - paths.evacuation.size());
-  return hall.find('/') == std::string::npos ? std::optional<std::string>(hall) : std::nullopt;
+  std::string const zone =
+      target.substr(paths.zone_prefix.size(), target.size() - paths.zone_prefix.size() - paths.drain_suffix.size());
+  return zone.find('/') == std::string::npos ? std::optional<std::string>(zone) : std::nullopt;
 }
 }  // namespace
 
-common::Answer Operator::answer(common::Ask const& ask, common::CallerConnection const& caller, common::Yield yield) {
-  ++open_;
+common::Answer OperatorService::answer(common::Ask const& request, common::CallerConnection const& caller,
+                                       common::Yield yield) {
+  ++open_calls_;
   common::Moment const arrival = common::boot_now();
-  std::string const target(ask.target().substr(0, ask.target().find('?')));
+  std::string const target(request.target().substr(0, request.target().find('?')));
   common::Answer answer = common::answer_error(http::status::not_found, "unknown_path", "see docs/operating/setup.md");
-  http::verb const verb = ask.method();
-  // Where the platform has paths of its own, ours work as well: the commands use them.
-  static OperatorPaths const own;
-  std::optional<std::string> named;
-  for (OperatorPaths const* const paths : {static_cast<OperatorPaths const*>(&paths_), &own}) {
-    named = named.has_value() ? named : hall_in(*paths, target);
-  }
-  if (target == paths_.routing_config || target == own.routing_config) {
-    answer = answer_routing_config(ask, yield);
-  } else if (named.has_value() && (verb == http::verb::post || verb == http::verb::delete_)) {
-    answer = evacuate(*named, verb == http::verb::post, caller, yield);
+  http::verb const verb = request.method();
+  // Where the platform has its own paths, the default paths work as well, because the command-line client uses them.
+  static OperatorPaths const default_paths;
+  std::optional<std::string> zone;
+  for (OperatorPaths const* const paths : {static_cast<OperatorPaths const*>(&paths_), &default_paths}) {
+    zone = zone.has_value() ? zone : zone_in_path(*paths, target);
+  }
+  if (target == paths_.routing_config || target == default_paths.routing_config) {
+    answer = answer_routing_config(request, yield);
+  } else if (zone.has_value() && (verb == http::verb::post || verb == http::verb::delete_)) {
+    answer = set_zone_drained(*zone, verb == http::verb::post, caller, yield);
   } else if (target == "/evacuated" && verb == http::verb::get) {
-    answer = get_evacuated(yield);
+    answer = get_drained_zones(yield);
   } else if (target == "/setup") {
     if (verb == http::verb::get) {
       answer = get_setup(yield);
     } else if (verb == http::verb::put || verb == http::verb::patch) {
-      answer = change_setup(ask, verb == http::verb::patch, yield);
+      answer = change_setup(request, verb == http::verb::patch, yield);
     } else {
       answer = common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
     }
   } else if (target.rfind("/changes/", 0) == 0 && verb == http::verb::get) {
-    answer = outcome(target.substr(9), yield);
+    answer = get_change_outcome(target.substr(9), yield);
   } else if (target.rfind("/halls/", 0) == 0 && verb == http::verb::post) {
-    answer = hall(target.substr(7), yield);
+    answer = change_zone(target.substr(7), yield);
   } else if (target == "/members" && verb == http::verb::get) {
     answer = common::answer_text(http::status::ok, print_list(updates_.members()));
   } else if (target == "/trellises" && verb == http::verb::get) {
@@ -143,7 +144,7 @@
     cJSON_AddNumberToObject(list.get(), "age_ms", static_cast<double>(updates_.list_age()) / 1000);
     answer = common::answer_text(http::status::ok, common::print_tree(list.get(), true));
   } else if (target == "/holders" && verb == http::verb::get) {
-    answer = health_.holders();
+    answer = health_.voters();
   } else if (target == "/check" && verb == http::verb::get) {
     answer = health_.check();
   } else if (target == "/split" && verb == http::verb::get) {
@@ -159,7 +160,7 @@
     }
     answer = common::answer_text(http::status::ok, common::print_tree(object.get(), true));
   } else if (target == "/duties" && verb == http::verb::get) {
-    answer = common::answer_text(http::status::ok, duties_());
+    answer = common::answer_text(http::status::ok, describe_tasks_());
   } else if (target == "/alive") {
     answer = common::answer_text(http::status::ok, "{\"alive\":true}");
   } else if (target == "/ready") {
@@ -170,19 +171,19 @@
   } else if (target == "/metrics") {
     answer = metrics();
   }
-  --open_;
+  --open_calls_;
   return unless_late(std::move(answer), verb, common::boot_now() - arrival, acknowledge_wait_);
 }
 
-std::optional<schema::Value> Operator::confirmed(std::string const& path, std::string const& name,
-                                                 common::Yield yield) {
+std::optional<schema::Value> OperatorService::read_confirmed(std::string const& path, std::string const& name,
+                                                             common::Yield yield) {
   common::Moment const arrival = common::boot_now();
-  ToldFloor const floor = answer_check_.begin(name, arrival);
-  bool const sure = await_confirmation(arrival, yield);
+  RevisionFloor const floor = answer_check_.begin(name, arrival);
+  bool const is_confirmed = await_confirmation(arrival, yield);
   common::Moment const now = common::boot_now();
   common::Moment const last = register_.confirmed_from();
   read_latency_.record(now - arrival);
-  if (!sure) {
+  if (!is_confirmed) {
     common::note(common::Event::ReadRefused,
                  path + " waited " + std::to_string((now - arrival) / common::milliseconds(1)) +
                      " ms, last confirmation " +
@@ -194,8 +195,8 @@
   return value;
 }
 
-bool Operator::await_confirmation(common::Moment arrival, common::Yield yield) {
-  // A read that is sure: a majority confirms it after the ask came.
+bool OperatorService::await_confirmation(common::Moment arrival, common::Yield yield) {
+  // A linearizable read: a majority must confirm the values after the request arrived.
   register_.hurry();
   while (register_.confirmed_from() < arrival) {
     if (common::boot_now() - arrival > constants::change_deadline) {
@@ -209,27 +210,28 @@
   return true;
 }
 
-void Operator::spread(common::Yield yield) {
+void OperatorService::announce_and_wait(common::Yield yield) {
   register_.hurry();
   updates_.announce(true);
-  // From here every vouch brings this revision; when the bound is over, whoever
-  // lacks it has stopped by itself (section 4.1).
+  // From now on each confirmed answer to a proxy carries this revision; after the wait, a proxy without it has stopped
+  // serving by itself (section 4.1).
   common::pause(context_, acknowledge_wait_, yield);
 }
 
-common::Answer Operator::answer_routing_config(common::Ask const& ask, common::Yield yield) {
-  http::verb const verb = ask.method();
+common::Answer OperatorService::answer_routing_config(common::Ask const& request, common::Yield yield) {
+  http::verb const verb = request.method();
   if (verb == http::verb::get) {
     return get_routing_config(yield);
   }
   if (verb == http::verb::put || verb == http::verb::patch) {
-    return change_routing_config(ask, verb == http::verb::patch, yield);
+    return change_routing_config(request, verb == http::verb::patch, yield);
   }
   return common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
 }
 
-common::Answer Operator::get_routing_config(common::Yield yield) {
-  std::optional<schema::Value> const value = confirmed(paths_.routing_config, config::routing_config_register, yield);
+common::Answer OperatorService::get_routing_config(common::Yield yield) {
+  std::optional<schema::Value> const value =
+      read_confirmed(paths_.routing_config, config::routing_config_register, yield);
   if (!value.has_value()) {
     return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
@@ -241,56 +243,57 @@
   return answer;
 }
 
-common::Answer Operator::change_routing_config(common::Ask const& ask, bool patch, common::Yield yield) {
-  config::RoutingChangeRequest wanted{ask.body(), patch, std::nullopt};
-  std::string const match(ask[http::field::if_match]);
+common::Answer OperatorService::change_routing_config(common::Ask const& request, bool patch, common::Yield yield) {
+  config::RoutingChangeRequest change{request.body(), patch, std::nullopt};
+  std::string const match(request[http::field::if_match]);
   if (!match.empty() && match != "*") {
-    wanted.expected = tag_revision(match);
-    if (!wanted.expected.has_value()) {
+    change.expected = parse_revision_tag(match);
+    if (!change.expected.has_value()) {
       return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one number, or *");
     }
   }
-  std::shared_ptr<config::RoutingProposalReport> const note = std::make_shared<config::RoutingProposalReport>();
+  std::shared_ptr<config::RoutingProposalReport> const report = std::make_shared<config::RoutingProposalReport>();
   RegisterClient::Result const result =
-      register_.change(config::routing_config_register, config::routing_proposal(wanted, notation_, note),
+      register_.change(config::routing_config_register, config::routing_proposal(change, notation_, report),
                        constants::change_deadline, yield);
-  std::uint64_t number = note->number;
-  if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
-    number = config::number_of(done->value);
-    note->end = config::RoutingProposalOutcome::done;
-    answer_check_.acknowledged(config::routing_config_register, done->value, note->valid_digest);
+  std::uint64_t number = report->number;
+  if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&result)) {
+    number = config::number_of(chosen->value);
+    report->end = config::RoutingProposalOutcome::done;
+    answer_check_.acknowledged(config::routing_config_register, chosen->value, report->valid_digest);
     ++accepted_;
     common::note(common::Event::CharterChosen, std::to_string(number));
   } else if (std::holds_alternative<RegisterClient::Unknown>(result)) {
-    common::note(common::Event::CharterUnknown, config::change_id_of(wanted));
-    return unknown("no majority of holders answered in time; send the same again");
+    common::note(common::Event::CharterUnknown, config::change_id_of(change));
+    return unknown_outcome("no majority of holders answered in time; send the same again");
   }
-  if (note->end == config::RoutingProposalOutcome::forgotten) {
-    common::note(common::Event::CharterUnknown, config::change_id_of(wanted) + " is too old");
-    return unknown("too old to tell whether it was taken before; nothing was done now");
+  if (report->end == config::RoutingProposalOutcome::forgotten) {
+    common::note(common::Event::CharterUnknown,
+                 config::change_id_of(change) + " is too old to be checked for duplicates");
+    return unknown_outcome("too old to tell whether it was taken before; nothing was done now");
   }
   std::string const tag = "\"" + std::to_string(number) + "\"";
-  if (note->end == config::RoutingProposalOutcome::done) {
-    if (wanted.expected.has_value()) {
-      answer_check_.acknowledged_on(config::routing_config_register, *wanted.expected, config::change_id_of(wanted));
+  if (report->end == config::RoutingProposalOutcome::done) {
+    if (change.expected.has_value()) {
+      answer_check_.acknowledged_on(config::routing_config_register, *change.expected, config::change_id_of(change));
     }
-    spread(yield);
+    announce_and_wait(yield);
     common::Answer answer = common::answer_text(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
     answer.set(http::field::etag, tag);
     return answer;
   }
   ++rejected_;
-  common::note(common::Event::CharterRejected, common::describe(note->faults));
-  if (note->end == config::RoutingProposalOutcome::invalid) {
-    common::Answer answer = faults_answer(note->faults);
+  common::note(common::Event::CharterRejected, common::describe(report->faults));
+  if (report->end == config::RoutingProposalOutcome::invalid) {
+    common::Answer answer = validation_errors_answer(report->faults);
     answer.result(http::status::bad_request);
     return answer;
   }
-  if (note->end == config::RoutingProposalOutcome::stale_number) {
+  if (report->end == config::RoutingProposalOutcome::stale_number) {
     return common::answer_error(http::status::bad_request, "number",
                                 "the number must be above the one in place, " + std::to_string(number));
   }
-  if (note->end == config::RoutingProposalOutcome::too_large) {
+  if (report->end == config::RoutingProposalOutcome::too_large) {
     return common::answer_error(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
   }
   common::Answer answer = common::answer_error(http::status::precondition_failed, "another",
@@ -299,40 +302,40 @@
   return answer;
 }
 
-common::Answer Operator::unknown(std::string const& message) {
+common::Answer OperatorService::unknown_outcome(std::string const& message) {
   ++unknown_;
   return common::answer_error(http::status::gateway_timeout, "unknown", message);
 }
 
-common::Answer Operator::evacuate(std::string const& zone, bool evacuated, common::CallerConnection const& caller,
-                                  common::Yield yield) {
-  // Known before anything else happens: what comes later may be newer than this order (section 13.3).
-  config::ZoneDrainCommand const order{zone, evacuated,
-                                       config::newest_command(register_.value(config::drained_zones_register), zone)};
+common::Answer OperatorService::set_zone_drained(std::string const& zone, bool drained,
+                                                 common::CallerConnection const& caller, common::Yield yield) {
+  // Read before anything else: a command that arrives later may be newer than this one (section 13.3).
+  config::ZoneDrainCommand const command{zone, drained,
+                                         config::newest_command(register_.value(config::drained_zones_register), zone)};
   std::shared_ptr<config::ZoneDrainReport> const report = std::make_shared<config::ZoneDrainReport>();
   RegisterClient::Result const result = register_.change(config::drained_zones_register,
                                                          config::zone_drain_proposal(
-                                                             order, [caller] { return caller.gone(); }, report),
+                                                             command, [caller] { return caller.gone(); }, report),
                                                          constants::change_deadline, yield);
   if (std::holds_alternative<RegisterClient::Unknown>(result)) {
-    return unknown("no majority of holders answered in time; send the same again");
+    return unknown_outcome("no majority of holders answered in time; send the same again");
   }
   if (std::holds_alternative<consensus::Rejected>(result)) {
-    // Whoever sends it again must find this trellis up to date.
+    // A client that sends the command again must find this controller up to date.
     register_.hurry();
-    return unknown("another order about this zone came meanwhile; send the same again");
+    return unknown_outcome("another order about this zone came meanwhile; send the same again");
   }
-  if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
-    answer_check_.acknowledged(config::drained_zones_register, done->value);
+  if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&result)) {
+    answer_check_.acknowledged(config::drained_zones_register, chosen->value);
   }
   ++accepted_;
-  common::note(common::Event::EvacuationChosen, zone + (evacuated ? " is emptied" : " is taken back"));
-  spread(yield);
+  common::note(common::Event::EvacuationChosen, zone + (drained ? " is drained" : " is restored"));
+  announce_and_wait(yield);
   return common::answer_text(http::status::ok, "{}");
 }
 
-common::Answer Operator::get_evacuated(common::Yield yield) {
-  std::optional<schema::Value> const value = confirmed("/evacuated", config::drained_zones_register, yield);
+common::Answer OperatorService::get_drained_zones(common::Yield yield) {
+  std::optional<schema::Value> const value = read_confirmed("/evacuated", config::drained_zones_register, yield);
   if (!value.has_value()) {
     return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
@@ -340,8 +343,8 @@
   return common::answer_text(http::status::ok, content.empty() ? "[]" : content);
 }
 
-common::Answer Operator::get_setup(common::Yield yield) {
-  std::optional<schema::Value> const value = confirmed("/setup", consensus::setup_register, yield);
+common::Answer OperatorService::get_setup(common::Yield yield) {
+  std::optional<schema::Value> const value = read_confirmed("/setup", consensus::setup_register, yield);
   if (!value.has_value()) {
     return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
@@ -353,120 +356,120 @@
   return answer;
 }
 
-std::string Operator::fresh_id(std::string const& name, common::Yield yield) {
-  // Right after its start a trellis knows no revision yet; an id born at none
-  // would count as forgotten.
-  common::Moment const until = common::boot_now() + constants::change_deadline;
-  while (register_.confirmed_from() == 0 && common::boot_now() < until) {
+std::string OperatorService::generate_id(std::string const& name, common::Yield yield) {
+  // Right after its start a controller knows no revision yet, and an id that ends in
+  // revision 0 would count as forgotten.
+  common::Moment const deadline = common::boot_now() + constants::change_deadline;
+  while (register_.confirmed_from() == 0 && common::boot_now() < deadline) {
     common::pause(context_, constants::confirm_pause, yield);
   }
   return name + "-" + std::to_string(common::random_identity()) + "." +
          std::to_string(register_.value(consensus::setup_register).revision);
 }
 
-common::Answer Operator::change_setup(common::Ask const& ask, bool patch, common::Yield yield) {
-  config::SetupChangeRequest wanted;
-  wanted.patch = patch;
-  wanted.id = std::string(ask["Change-Id"]);
-  if (wanted.id.empty()) {
-    wanted.id = fresh_id("change", yield);
-  } else if (!good_id(wanted.id)) {
+common::Answer OperatorService::change_setup(common::Ask const& request, bool patch, common::Yield yield) {
+  config::SetupChangeRequest change;
+  change.patch = patch;
+  change.id = std::string(request["Change-Id"]);
+  if (change.id.empty()) {
+    change.id = generate_id("change", yield);
+  } else if (!is_valid_id(change.id)) {
     return common::answer_error(http::status::bad_request, "change_id",
                                 "Change-Id takes up to 64 letters, digits, '-', '_' and '.'");
   }
-  std::string const match(ask[http::field::if_match]);
+  std::string const match(request[http::field::if_match]);
   if (!match.empty() && match != "*") {
-    wanted.expected = tag_revision(match);
-    if (!wanted.expected.has_value()) {
+    change.expected = parse_revision_tag(match);
+    if (!change.expected.has_value()) {
       return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one revision in quotes, or *");
     }
   }
-  absl::StatusOr<std::string> const content = config::canonical_json(ask.body());
+  absl::StatusOr<std::string> const content = config::canonical_json(request.body());
   if (!content.ok()) {
     return common::answer_error(http::status::bad_request, "malformed", std::string(content.status().message()));
   }
-  wanted.content = *content;
+  change.content = *content;
   if (!patch) {
-    config::ParsedSetup const reading = config::read_setup(wanted.content);
+    config::ParsedSetup const reading = config::read_setup(change.content);
     if (!reading.good()) {
-      return faults_answer(reading.faults);
+      return validation_errors_answer(reading.faults);
     }
   }
-  return apply(wanted, yield);
+  return apply(change, yield);
 }
 
-common::Answer Operator::apply(config::SetupChangeRequest const& wanted, common::Yield yield) {
-  std::shared_ptr<config::SetupProposalReport> const note = std::make_shared<config::SetupProposalReport>();
+common::Answer OperatorService::apply(config::SetupChangeRequest const& change, common::Yield yield) {
+  std::shared_ptr<config::SetupProposalReport> const report = std::make_shared<config::SetupProposalReport>();
   RegisterClient::Result const result = register_.change(
-      consensus::setup_register, config::setup_proposal(wanted, note), constants::change_deadline, yield);
-  if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
-    answer_check_.acknowledged(consensus::setup_register, done->value);
-    if (wanted.expected.has_value()) {
-      answer_check_.acknowledged_on(consensus::setup_register, *wanted.expected, wanted.id);
+      consensus::setup_register, config::setup_proposal(change, report), constants::change_deadline, yield);
+  if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&result)) {
+    answer_check_.acknowledged(consensus::setup_register, chosen->value);
+    if (change.expected.has_value()) {
+      answer_check_.acknowledged_on(consensus::setup_register, *change.expected, change.id);
     }
-    return chosen(wanted.id, done->value.revision, yield);
+    return acknowledge(change.id, chosen->value.revision, yield);
   }
   if (consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&result)) {
-    config::ChangeStatus const known = config::status_of(rejected->current, wanted.id);
-    if (known.state == config::ChangeState::accepted) {
-      return chosen(wanted.id, known.revision, yield);
+    config::ChangeStatus const status = config::status_of(rejected->current, change.id);
+    if (status.state == config::ChangeState::accepted) {
+      return acknowledge(change.id, status.revision, yield);
     }
-    if (note->end == config::SetupProposalOutcome::forgotten) {
+    if (report->end == config::SetupProposalOutcome::forgotten) {
       ++unknown_;
-      return outcome_answer(http::status::gateway_timeout, "forgotten", wanted.id, 0,
+      return outcome_answer(http::status::gateway_timeout, "forgotten", change.id, 0,
                             "too old to tell whether it was taken before; nothing was done now. End an id in the "
                             "revision that you know: NAME.REVISION");
     }
     ++rejected_;
-    common::note(common::Event::SetupRejected, wanted.id + " " + rejected->reason);
-    if (known.state == config::ChangeState::rejected) {
-      return outcome_answer(http::status::conflict, "rejected", wanted.id, rejected->current.revision,
+    common::note(common::Event::SetupRejected, change.id + " " + rejected->reason);
+    if (status.state == config::ChangeState::rejected) {
+      return outcome_answer(http::status::conflict, "rejected", change.id, rejected->current.revision,
                             "this id was given up before");
     }
-    if (note->end == config::SetupProposalOutcome::future_revision) {
-      return outcome_answer(http::status::bad_request, "rejected", wanted.id, rejected->current.revision,
+    if (report->end == config::SetupProposalOutcome::future_revision) {
+      return outcome_answer(http::status::bad_request, "rejected", change.id, rejected->current.revision,
                             rejected->reason);
     }
-    if (note->end == config::SetupProposalOutcome::invalid) {
-      return faults_answer(note->faults);
+    if (report->end == config::SetupProposalOutcome::invalid) {
+      return validation_errors_answer(report->faults);
     }
-    if (note->end == config::SetupProposalOutcome::too_large) {
-      return outcome_answer(http::status::payload_too_large, "rejected", wanted.id, rejected->current.revision,
+    if (report->end == config::SetupProposalOutcome::too_large) {
+      return outcome_answer(http::status::payload_too_large, "rejected", change.id, rejected->current.revision,
                             rejected->reason);
     }
-    common::Answer answer = outcome_answer(http::status::precondition_failed, "rejected", wanted.id,
+    common::Answer answer = outcome_answer(http::status::precondition_failed, "rejected", change.id,
                                            rejected->current.revision, rejected->reason);
     answer.set(http::field::etag, "\"" + std::to_string(rejected->current.revision) + "\"");
     return answer;
   }
   ++unknown_;
-  common::note(common::Event::SetupUnknown, wanted.id);
-  return outcome_answer(http::status::gateway_timeout, "unknown", wanted.id, 0, "ask GET /changes/" + wanted.id);
+  common::note(common::Event::SetupUnknown, change.id);
+  return outcome_answer(http::status::gateway_timeout, "unknown", change.id, 0, "ask GET /changes/" + change.id);
 }
 
-common::Answer Operator::chosen(std::string const& id, std::uint64_t revision, common::Yield yield) {
+common::Answer OperatorService::acknowledge(std::string const& id, std::uint64_t revision, common::Yield yield) {
   ++accepted_;
   common::note(common::Event::SetupChosen, "revision " + std::to_string(revision) + " " + id);
-  spread(yield);
+  announce_and_wait(yield);
   return outcome_answer(http::status::ok, "accepted", id, revision);
 }
 
-common::Answer Operator::outcome(std::string const& id, common::Yield yield) {
-  if (!good_id(id)) {
+common::Answer OperatorService::get_change_outcome(std::string const& id, common::Yield yield) {
+  if (!is_valid_id(id)) {
     return common::answer_error(http::status::bad_request, "change_id", "not an id of a change");
   }
-  // A change may still be under way; once its own time is over, a veto under
-  // the same id makes "rejected" final (section 5.7).
-  common::Moment const until = common::boot_now() + constants::change_deadline;
-  while (common::boot_now() < until) {
-    config::ChangeStatus const known = config::status_of(register_.value(consensus::setup_register), id);
-    if (known.state != config::ChangeState::pending && known.state != config::ChangeState::future) {
-      return told(known, id, yield);
+  // The change may still be in progress. After its deadline, a cancellation under the same id makes "rejected" final
+  // (section 5.7).
+  common::Moment const deadline = common::boot_now() + constants::change_deadline;
+  while (common::boot_now() < deadline) {
+    config::ChangeStatus const status = config::status_of(register_.value(consensus::setup_register), id);
+    if (status.state != config::ChangeState::pending && status.state != config::ChangeState::future) {
+      return answer_status(status, id, yield);
     }
     common::pause(context_, constants::confirm_pause, yield);
   }
-  if (++outcomes_ > constants::outcomes_most) {
-    --outcomes_;
+  if (++open_outcome_queries_ > constants::outcomes_most) {
+    --open_outcome_queries_;
     common::Answer answer =
         common::answer_error(http::status::service_unavailable, "busy", "too many outcomes are looked up at once");
     answer.set(http::field::retry_after, std::to_string(constants::retry_after_seconds));
@@ -474,20 +477,21 @@
   }
   RegisterClient::Result const result =
       register_.change(consensus::setup_register, config::cancel_proposal(id), constants::change_deadline, yield);
-  --outcomes_;
-  if (consensus::Chosen const* const done = std::get_if<consensus::Chosen>(&result)) {
-    return told(config::status_of(done->value, id), id, yield);
+  --open_outcome_queries_;
+  if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&result)) {
+    return answer_status(config::status_of(chosen->value, id), id, yield);
   }
   return outcome_answer(http::status::gateway_timeout, "unknown", id, 0, "no majority of holders answered");
 }
 
-common::Answer Operator::told(config::ChangeStatus const& known, std::string const& id, common::Yield yield) {
-  switch (known.state) {
+common::Answer OperatorService::answer_status(config::ChangeStatus const& status, std::string const& id,
+                                              common::Yield yield) {
+  switch (status.state) {
     case config::ChangeState::accepted:
-      // "Accepted" promises the same here as after a PUT (section 4.1); when
-      // it was chosen is not known, so the whole wait counts from now.
+      // "Accepted" promises the same here as after a PUT (section 4.1). When the change was chosen is not known, so the
+      // whole wait starts now.
       common::pause(context_, acknowledge_wait_, yield);
-      return outcome_answer(http::status::ok, "accepted", id, known.revision);
+      return outcome_answer(http::status::ok, "accepted", id, status.revision);
     case config::ChangeState::rejected:
       return outcome_answer(http::status::ok, "rejected", id, 0);
     case config::ChangeState::future:
@@ -497,25 +501,25 @@
   }
 }
 
-common::Answer Operator::hall(std::string const& target, common::Yield yield) {
+common::Answer OperatorService::change_zone(std::string const& target, common::Yield yield) {
   std::size_t const slash = target.rfind('/');
   std::string const name = target.substr(0, slash);
-  std::string const deed = slash == std::string::npos ? "" : target.substr(slash + 1);
-  if (name.empty() || (deed != "drain" && deed != "restore")) {
+  std::string const command = slash == std::string::npos ? "" : target.substr(slash + 1);
+  if (name.empty() || (command != "drain" && command != "restore")) {
     return common::answer_error(http::status::not_found, "unknown_path",
                                 "POST /halls/NAME/drain or /halls/NAME/restore");
   }
   common::Tree patch(cJSON_CreateObject());
   cJSON* const entry = cJSON_AddObjectToObject(cJSON_AddObjectToObject(patch.get(), "halls"), name.c_str());
-  cJSON_AddBoolToObject(entry, "evacuated", deed == "drain" ? 1 : 0);
-  config::SetupChangeRequest wanted;
-  wanted.id = fresh_id("hall", yield);
-  wanted.patch = true;
-  wanted.content = common::print_tree(patch.get());
-  return apply(wanted, yield);
+  cJSON_AddBoolToObject(entry, "evacuated", command == "drain" ? 1 : 0);
+  config::SetupChangeRequest change;
+  change.id = generate_id("hall", yield);
+  change.patch = true;
+  change.content = common::print_tree(patch.get());
+  return apply(change, yield);
 }
 
-common::Answer Operator::metrics() {
+common::Answer OperatorService::metrics() {
   std::string text;
   text += "# TYPE trellis_changes_total counter\n";
   text += "trellis_changes_total{outcome=\"accepted\"} " + std::to_string(accepted_) + "\n";
@@ -532,7 +536,7 @@
   text += metrics_of(register_.read_outcomes());
   text += read_latency_.metrics();
   text += "# TYPE trellis_holder_voting gauge\ntrellis_holder_voting " +
-          std::to_string(holder_ != nullptr && holder_->voting() ? 1 : 0) + "\n";
+          std::to_string(acceptor_ != nullptr && acceptor_->voting() ? 1 : 0) + "\n";
   text += health_.metrics();
   return common::answer_text(http::status::ok, text, "text/plain; version=0.0.4");
 }
--- a/source/control_plane/operator/operator.hpp
+++ b/source/control_plane/operator/operator.hpp
@@ -16,68 +16,82 @@
 
 namespace finchlink::control_plane {
 
-/// What operators ask over HTTP (docs/operating/setup.md).
-class Operator {
+/// The control plane's HTTP interface for operators (docs/operating/setup.md): reads and changes of the setup and the
+/// routing configuration, zone drains, status and metrics.
+class OperatorService {
  public:
-  Operator(boost::asio::io_context& context, RegisterClient& register_client, UpdateService& updates,
-           AcceptorService* holder, std::function<std::string()> duties,
-           config::RoutingConfigFormat notation = config::native_format(), OperatorPaths paths = {},
-           common::Span acknowledge_wait = common::constants::acknowledge_wait)
+  /// `acceptor` is null where this process has no disk; `describe_tasks` describes the leased tasks as JSON;
+  /// `acknowledge_wait` is the wait in microseconds between a choice and its acknowledgement. What is passed by
+  /// reference or pointer must outlive the service.
+  OperatorService(boost::asio::io_context& context, RegisterClient& register_client, UpdateService& updates,
+                  AcceptorService* acceptor, std::function<std::string()> describe_tasks,
+                  config::RoutingConfigFormat notation = config::native_format(), OperatorPaths paths = {},
+                  common::Span acknowledge_wait = common::constants::acknowledge_wait)
       : context_(context),
         register_(register_client),
         updates_(updates),
-        holder_(holder),
-        health_(register_client, updates, holder),
-        duties_(std::move(duties)),
+        acceptor_(acceptor),
+        health_(register_client, updates, acceptor),
+        describe_tasks_(std::move(describe_tasks)),
         notation_(std::move(notation)),
         paths_(std::move(paths)),
         acknowledge_wait_(acknowledge_wait) {}
-  /// Settings that changed.
+  /// Applies changed settings.
   void follow(common::Span acknowledge_wait) { acknowledge_wait_ = acknowledge_wait; }
-  [[nodiscard]] common::Answer answer(common::Ask const& ask, common::CallerConnection const& caller,
+  /// Handles one HTTP request; may wait for a majority read, a change or its acknowledgement.
+  [[nodiscard]] common::Answer answer(common::Ask const& request, common::CallerConnection const& caller,
                                       common::Yield yield);
-  [[nodiscard]] bool busy() const { return open_ > 0; }
+  /// Whether calls are in progress.
+  [[nodiscard]] bool busy() const { return open_calls_ > 0; }
 
  private:
-  [[nodiscard]] common::Answer answer_routing_config(common::Ask const& ask, common::Yield yield);
+  [[nodiscard]] common::Answer answer_routing_config(common::Ask const& request, common::Yield yield);
   [[nodiscard]] common::Answer get_routing_config(common::Yield yield);
-  [[nodiscard]] common::Answer change_routing_config(common::Ask const& ask, bool patch, common::Yield yield);
-  [[nodiscard]] common::Answer get_evacuated(common::Yield yield);
-  [[nodiscard]] common::Answer evacuate(std::string const& zone, bool evacuated, common::CallerConnection const& caller,
-                                        common::Yield yield);
-  /// What became of an order is not known: no status that promises otherwise.
-  [[nodiscard]] common::Answer unknown(std::string const& message);
-  /// The register's value, confirmed by a majority after now; waits for it. A
-  /// refusal, without a value, is noted with the path that was asked for.
-  [[nodiscard]] std::optional<schema::Value> confirmed(std::string const& path, std::string const& name,
-                                                       common::Yield yield);
-  /// Waits until a majority confirmed all values after `arrival`; whether it did in time.
+  [[nodiscard]] common::Answer change_routing_config(common::Ask const& request, bool patch, common::Yield yield);
+  [[nodiscard]] common::Answer get_drained_zones(common::Yield yield);
+  /// Drains the zone or restores it.
+  [[nodiscard]] common::Answer set_zone_drained(std::string const& zone, bool drained,
+                                                common::CallerConnection const& caller, common::Yield yield);
+  /// The answer where a command's outcome is not known: its status promises neither success nor failure.
+  [[nodiscard]] common::Answer unknown_outcome(std::string const& message);
+  /// Waits until a majority has confirmed the register's value since the call, and returns it; nothing where none did
+  /// in time, which is logged with the requested path.
+  [[nodiscard]] std::optional<schema::Value> read_confirmed(std::string const& path, std::string const& name,
+                                                            common::Yield yield);
+  /// Waits until a majority has confirmed all values since `arrival`; returns whether one did in time.
   [[nodiscard]] bool await_confirmation(common::Moment arrival, common::Yield yield);
-  /// What was chosen is on its way to all furrows; then the wait before yes.
-  void spread(common::Yield yield);
+  /// Announces a chosen change to all proxies, then waits until it may be acknowledged.
+  void announce_and_wait(common::Yield yield);
   [[nodiscard]] common::Answer get_setup(common::Yield yield);
-  [[nodiscard]] common::Answer change_setup(common::Ask const& ask, bool patch, common::Yield yield);
-  [[nodiscard]] common::Answer apply(config::SetupChangeRequest const& wanted, common::Yield yield);
-  [[nodiscard]] common::Answer outcome(std::string const& id, common::Yield yield);
-  [[nodiscard]] common::Answer told(config::ChangeStatus const& known, std::string const& id, common::Yield yield);
-  [[nodiscard]] std::string fresh_id(std::string const& name, common::Yield yield);
-  [[nodiscard]] common::Answer hall(std::string const& target, common::Yield yield);
-  [[nodiscard]] common::Answer chosen(std::string const& id, std::uint64_t revision, common::Yield yield);
+  [[nodiscard]] common::Answer change_setup(common::Ask const& request, bool patch, common::Yield yield);
+  /// Proposes a change of the setup and answers with its outcome.
+  [[nodiscard]] common::Answer apply(config::SetupChangeRequest const& change, common::Yield yield);
+  /// Answers with the outcome of the change `id`. If that is still pending after its deadline, cancels the change.
+  [[nodiscard]] common::Answer get_change_outcome(std::string const& id, common::Yield yield);
+  /// The answer for a change whose status is settled.
+  [[nodiscard]] common::Answer answer_status(config::ChangeStatus const& status, std::string const& id,
+                                             common::Yield yield);
+  /// Generates an id that begins with `name` and ends in the setup's known revision.
+  [[nodiscard]] std::string generate_id(std::string const& name, common::Yield yield);
+  /// Drains or restores a zone in the setup; `target` is the path after `/halls/`.
+  [[nodiscard]] common::Answer change_zone(std::string const& target, common::Yield yield);
+  /// Announces a chosen change of the setup, and acknowledges it.
+  [[nodiscard]] common::Answer acknowledge(std::string const& id, std::uint64_t revision, common::Yield yield);
   [[nodiscard]] common::Answer metrics();
 
   boost::asio::io_context& context_;
   RegisterClient& register_;
   UpdateService& updates_;
-  AcceptorService* holder_;
+  AcceptorService* acceptor_;  ///< null where this process has no disk
   HealthPages health_;
-  std::function<std::string()> duties_;
+  std::function<std::string()> describe_tasks_;
   config::RoutingConfigFormat notation_;
   OperatorPaths paths_;
   std::atomic<common::Span> acknowledge_wait_;
   ReadLatency read_latency_;
   AnswerCheck answer_check_;
-  std::atomic<int> open_ = 0;
-  std::atomic<int> outcomes_ = 0;
+  std::atomic<int> open_calls_ = 0;            ///< calls in progress
+  std::atomic<int> open_outcome_queries_ = 0;  ///< outcome queries that are cancelling a pending change
   std::atomic<std::uint64_t> accepted_ = 0;
   std::atomic<std::uint64_t> rejected_ = 0;
   std::atomic<std::uint64_t> unknown_ = 0;
--- a/source/control_plane/operator/paths.hpp
+++ b/source/control_plane/operator/paths.hpp
@@ -4,11 +4,11 @@
 
 namespace finchlink::control_plane {
 
-/// Under which paths operators reach the charter and evacuations (section 13.3).
+/// The URL paths of the routing configuration and of zone drains (section 13.3).
 struct OperatorPaths {
   std::string routing_config = "/charter";
-  std::string hall = "/halls/";          ///< before a hall's name
-  std::string evacuation = "/evacuate";  ///< behind it
+  std::string zone_prefix = "/halls/";     ///< before the zone's name
+  std::string drain_suffix = "/evacuate";  ///< after the zone's name
 };
 
 }  // namespace finchlink::control_plane
--- a/source/control_plane/operator/read_latency.hpp
+++ b/source/control_plane/operator/read_latency.hpp
@@ -9,10 +9,10 @@
 
 namespace finchlink::control_plane {
 
-/// How long operators' reads of a confirmed state took: a histogram for the
-/// metrics page. Safe from any thread.
+/// Histogram of the duration of operators' confirmed reads, for the metrics page. Thread-safe.
 class ReadLatency {
  public:
+  /// Adds one read's duration in microseconds.
   void record(common::Span took) {
     std::size_t index = 0;
     while (index < bounds.size() && took > bounds[index]) {
@@ -24,6 +24,7 @@
     while (seen < took && !longest_.compare_exchange_weak(seen, took)) {
     }
   }
+  /// Lines for the metrics page.
   [[nodiscard]] std::string metrics() const {
     std::string const name = "trellis_read_seconds";
     std::string text = "# TYPE " + name + " histogram\n";
--- a/source/control_plane/register_client/read_outcomes.cpp
+++ b/source/control_plane/register_client/read_outcomes.cpp
@@ -18,7 +18,7 @@
   std::string operator()(VoterRefused refused) const { return "refused(epoch " + std::to_string(refused.epoch) + ")"; }
 };
 
-std::string joined(std::vector<std::string> const& names) {
+std::string join_names(std::vector<std::string> const& names) {
   std::string text;
   for (std::string const& name : names) {
     text += (text.empty() ? "" : ",") + name;
@@ -30,11 +30,11 @@
   return std::to_string(span / common::milliseconds(1)) + " ms";
 }
 
-struct NoteReads {
+struct LogReadsEvent {
   void operator()(ReadsLost const& lost) const {
-    common::note(common::Event::ReadsLost, "none confirmed for " + milliseconds(lost.unconfirmed) + ", rounds " +
-                                               std::to_string(lost.rounds) + ", rest before this " +
-                                               milliseconds(lost.rest) + ", " + describe(lost.round));
+    common::note(common::Event::ReadsLost, "no read confirmed for " + milliseconds(lost.unconfirmed) + ", rounds " +
+                                               std::to_string(lost.rounds) + ", pause before this round " +
+                                               milliseconds(lost.pause_before) + ", " + describe(lost.round));
   }
   void operator()(ReadsRegained const& regained) const {
     common::note(common::Event::ReadsRegained,
@@ -76,40 +76,40 @@
   for (VoterReply const& voter : round.voters) {
     text += " " + voter.address + "=" + std::visit(ReactionText{}, voter.reaction);
   }
-  return text + ", unsettled: " + joined(round.unsettled) + ", missing: " + joined(round.missing);
+  return text + ", unsettled: " + join_names(round.unsettled) + ", missing: " + join_names(round.missing);
 }
 
 std::optional<ReadsEvent> ReadOutcomes::record(ReadRound const& round) {
   ++counts_[static_cast<std::size_t>(outcome_of(round))];
-  common::Span const rest = last_ended_ == 0 ? 0 : round.began - last_ended_;
+  common::Span const pause_before = last_ended_ == 0 ? 0 : round.began - last_ended_;
   last_ended_ = round.ended;
   if (!since_.has_value()) {
     since_ = round.began;
   }
   if (round.confirmed) {
-    return confirm(round);
+    return record_confirmed(round);
   }
   ++unconfirmed_rounds_;
   common::Span const unconfirmed = round.ended - *since_;
-  bool const told_lately = told_ != 0 && round.ended - told_ < constants::reads_lost_again;
-  if (unconfirmed <= constants::reads_lost_after || told_lately) {
+  bool const logged_recently = last_logged_ != 0 && round.ended - last_logged_ < constants::reads_lost_again;
+  if (unconfirmed <= constants::reads_lost_after || logged_recently) {
     return std::nullopt;
   }
-  told_ = round.ended;
-  return ReadsLost{unconfirmed, unconfirmed_rounds_, rest, round};
+  last_logged_ = round.ended;
+  return ReadsLost{unconfirmed, unconfirmed_rounds_, pause_before, round};
 }
 
-std::optional<ReadsEvent> ReadOutcomes::confirm(ReadRound const& round) {
+std::optional<ReadsEvent> ReadOutcomes::record_confirmed(ReadRound const& round) {
   ReadsRegained const regained{round.ended - since_.value_or(round.began), unconfirmed_rounds_};
-  bool const was_lost = told_ != 0;
+  bool const was_lost = last_logged_ != 0;
   since_ = round.began;
-  told_ = 0;
+  last_logged_ = 0;
   unconfirmed_rounds_ = 0;
   return was_lost ? std::optional<ReadsEvent>(regained) : std::nullopt;
 }
 
-void note_reads(ReadsEvent const& event) {
-  std::visit(NoteReads{}, event);
+void log_reads_event(ReadsEvent const& event) {
+  std::visit(LogReadsEvent{}, event);
 }
 
 std::string metrics_of(ReadOutcomes const& outcomes) {
--- a/source/control_plane/register_client/register_client.cpp
+++ b/source/control_plane/register_client/register_client.cpp
@@ -15,9 +15,9 @@
 std::vector<std::string> addresses_of(schema::VoterSet const& set, std::vector<std::uint64_t> const& incarnations) {
   std::vector<std::string> addresses;
   for (std::uint64_t const incarnation : incarnations) {
-    for (schema::Voter const& holder : set.holders) {
-      if (holder.incarnation == incarnation) {
-        addresses.push_back(holder.address);
+    for (schema::Voter const& voter : set.holders) {
+      if (voter.incarnation == incarnation) {
+        addresses.push_back(voter.address);
       }
     }
   }
@@ -34,16 +34,16 @@
       confirm_pause_(confirm_pause),
       transfers_(context, caller,
                  [this](std::string const& name, std::optional<schema::Value> const& value,
-                        std::optional<schema::Ballot> const& chosen) { take(name, value, chosen); }) {}
+                        std::optional<schema::Ballot> const& chosen) { end_transfer(name, value, chosen); }) {}
 
-void RegisterClient::take(std::string const& name, std::optional<schema::Value> const& value,
-                          std::optional<schema::Ballot> const& chosen) {
+void RegisterClient::end_transfer(std::string const& name, std::optional<schema::Value> const& value,
+                                  std::optional<schema::Ballot> const& chosen) {
   if (value.has_value() && chosen.has_value()) {
     std::lock_guard<std::mutex> const guard(lock_);
-    confirm_.learn(name, *chosen, *value);
+    reader_.learn(name, *chosen, *value);
   }
   bell_.ring();
-  hurry_.ring();  // the next read names it as known, and confirms it
+  read_trigger_.ring();  // the next read tells the voters that the value is known, and confirms it
 }
 
 void RegisterClient::follow(std::vector<std::string> const& seeds, common::Span confirm_pause) {
@@ -52,28 +52,28 @@
   confirm_pause_ = confirm_pause;
 }
 
-void RegisterClient::look(
-    std::function<void(std::map<std::string, schema::Value> const&, common::Moment)> const& looker) {
+void RegisterClient::visit_values(
+    std::function<void(std::map<std::string, schema::Value> const&, common::Moment)> const& visitor) {
   std::lock_guard<std::mutex> const guard(lock_);
-  looker(confirm_.values(), confirm_.confirmed_from());
+  visitor(reader_.values(), reader_.confirmed_from());
 }
 
 void RegisterClient::begin() {
   common::start(context_, [this](common::Yield yield) {
     while (true) {
-      // Counted before the read begins: who hurries it meanwhile wants a newer one.
-      std::uint64_t const seen = hurry_.count();
-      common::Span rest = constants::confirm_pause;
+      // Counted before the read begins: a trigger that arrives during the read requests a newer one.
+      std::uint64_t const seen = read_trigger_.count();
+      common::Span pause = constants::confirm_pause;
       if (set().epoch == 0) {
-        discover(yield);
+        discover_voters(yield);
       } else {
-        // What stays open is soon looked at again: asks wait for it.
-        if (confirm_once(yield)) {
+        // An unconfirmed read is repeated soon, because requests wait for its confirmation.
+        if (run_read_round(yield)) {
           std::lock_guard<std::mutex> const guard(lock_);
-          rest = confirm_pause_;
+          pause = confirm_pause_;
         }
       }
-      hurry_.wait(seen, rest, yield);
+      read_trigger_.wait(seen, pause, yield);
     }
   });
 }
@@ -97,21 +97,21 @@
 
 std::map<std::string, schema::Value> RegisterClient::values() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return confirm_.values();
+  return reader_.values();
 }
 
 schema::Value RegisterClient::value(std::string const& name) {
   std::lock_guard<std::mutex> const guard(lock_);
-  std::map<std::string, schema::Value>::const_iterator const found = confirm_.values().find(name);
-  return found == confirm_.values().end() ? schema::Value{} : found->second;
+  std::map<std::string, schema::Value>::const_iterator const found = reader_.values().find(name);
+  return found == reader_.values().end() ? schema::Value{} : found->second;
 }
 
 common::Moment RegisterClient::confirmed_from() {
   std::lock_guard<std::mutex> const guard(lock_);
-  return confirm_.confirmed_from();
+  return reader_.confirmed_from();
 }
 
-void RegisterClient::discover(common::Yield yield) {
+void RegisterClient::discover_voters(common::Yield yield) {
   ReadRound round;
   round.began = common::boot_now();
   std::vector<std::pair<std::string, schema::Message>> calls;
@@ -149,34 +149,34 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     if (!round.confirmed) {
-      round.unsettled = confirm_.unsettled();
+      round.unsettled = reader_.unsettled();
     }
     event = read_outcomes_.record(round);
   }
   if (event.has_value()) {
-    note_reads(*event);
+    log_reads_event(*event);
   }
 }
 
-bool RegisterClient::take_action(MajorityReaderAction const& action, ReadRound& round, ReadResult& result) {
+bool RegisterClient::handle_action(MajorityReaderAction const& action, ReadRound& round, ReadResult& result) {
   if (std::holds_alternative<consensus::Confirmed>(action)) {
     result.unsettled.clear();
-    result.half_accepted.clear();
+    result.partially_accepted.clear();
     result.confirmed = true;
     round.confirmed = true;
     return true;
   }
-  if (consensus::Unsettled const* const open = std::get_if<consensus::Unsettled>(&action)) {
-    result.unsettled = open->names;
+  if (consensus::Unsettled const* const unsettled = std::get_if<consensus::Unsettled>(&action)) {
+    result.unsettled = unsettled->names;
     return false;
   }
-  if (consensus::MissingChosen const* const left = std::get_if<consensus::MissingChosen>(&action)) {
-    result.missing.push_back(*left);
-    round.missing.push_back(left->name);
+  if (consensus::MissingChosen const* const missing = std::get_if<consensus::MissingChosen>(&action)) {
+    result.missing.push_back(*missing);
+    round.missing.push_back(missing->name);
     return true;
   }
-  if (consensus::PartiallyAccepted const* const half = std::get_if<consensus::PartiallyAccepted>(&action)) {
-    result.half_accepted.push_back(*half);
+  if (consensus::PartiallyAccepted const* const partial = std::get_if<consensus::PartiallyAccepted>(&action)) {
+    result.partially_accepted.push_back(*partial);
     return false;
   }
   if (consensus::NewerVoters const* const newer = std::get_if<consensus::NewerVoters>(&action)) {
@@ -189,11 +189,11 @@
   return false;
 }
 
-bool RegisterClient::take_answer(schema::Message const& answer, ReadRound& round, ReadResult& result) {
+bool RegisterClient::handle_answer(schema::Message const& answer, ReadRound& round, ReadResult& result) {
   bool done = false;
   std::lock_guard<std::mutex> const guard(lock_);
-  for (MajorityReaderAction const& action : confirm_.receive(answer)) {
-    done = take_action(action, round, result) || done;
+  for (MajorityReaderAction const& action : reader_.receive(answer)) {
+    done = handle_action(action, round, result) || done;
   }
   return done;
 }
@@ -205,7 +205,7 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     round.epoch = set_.epoch;
-    for (MajorityReaderAction const& action : confirm_.begin(set_, round.began)) {
+    for (MajorityReaderAction const& action : reader_.begin(set_, round.began)) {
       consensus::SendRead const& send = std::get<consensus::SendRead>(action);
       calls.emplace_back(send.to.address, send.read);
       round.voters.push_back(VoterReply{send.to.address, VoterSilent{}});
@@ -216,25 +216,26 @@
       context_, caller_, calls, constants::holder_deadline,
       [this, &round, &result](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         round.voters[index].reaction = answer.ok() ? reaction_of(*answer) : VoterReaction(VoterFailed{});
-        return answer.ok() && take_answer(*answer, round, result);
+        return answer.ok() && handle_answer(*answer, round, result);
       },
       yield);
   record(std::move(round));
   return result;
 }
 
-bool RegisterClient::confirm_once(common::Yield yield) {
+bool RegisterClient::run_read_round(common::Yield yield) {
   ReadResult const result = read_once(yield);
-  schema::VoterSet const holders = set();
+  schema::VoterSet const voters = set();
   for (consensus::MissingChosen const& value : result.missing) {
-    obtain(value, holders);
+    fetch_missing(value, voters);
   }
-  for (consensus::PartiallyAccepted const& half : result.half_accepted) {
-    spread(half);
+  for (consensus::PartiallyAccepted const& partial : result.partially_accepted) {
+    replicate_locally(partial);
   }
-  // Someone's change is half done, and the voters don't spread it: a sure read settles it (section 5.6). The
-  // next round then finds it at a majority. All trellises see it at the same time, and would take each other's
-  // ballots: whose lot it is not looks again.
+  // Only some voters have accepted a change, and they don't replicate it among themselves: a ballot settles it
+  // (section 5.6), and the next round then finds it accepted by a majority. All controllers see this at the same time
+  // and would preempt each other's ballots, so each settles only with a probability of 1 in `settle_lots` and
+  // otherwise reads again.
   if (common::random_number() % constants::settle_lots == 0) {
     for (std::string const& name : result.unsettled) {
       settle(name);
@@ -244,26 +245,26 @@
   return result.confirmed;
 }
 
-void RegisterClient::obtain(consensus::MissingChosen const& missing, schema::VoterSet const& holders) {
+void RegisterClient::fetch_missing(consensus::MissingChosen const& missing, schema::VoterSet const& voters) {
   std::optional<schema::Value> const fetched = transfers_.fetched(missing.name, missing.digest);
   if (fetched.has_value()) {
-    take(missing.name, fetched, missing.accepted);
+    end_transfer(missing.name, fetched, missing.accepted);
   } else {
-    transfers_.want(missing.name, missing.digest, addresses_of(holders, missing.sources), missing.accepted);
+    transfers_.request(missing.name, missing.digest, addresses_of(voters, missing.sources), missing.accepted);
   }
 }
 
-void RegisterClient::spread(consensus::PartiallyAccepted const& half) {
-  if (!own_voter_.has_value() || !consensus::needs_accept(set().holders, half, own_voter_->incarnation())) {
+void RegisterClient::replicate_locally(consensus::PartiallyAccepted const& partial) {
+  if (!local_voter_.has_value() || !consensus::needs_accept(set().holders, partial, local_voter_->incarnation())) {
     return;
   }
-  common::start(context_, [this, half](common::Yield yield) { spread_now(half, yield); });
+  common::start(context_, [this, partial](common::Yield yield) { replicate_now(partial, yield); });
 }
 
-void RegisterClient::spread_now(consensus::PartiallyAccepted const& half, common::Yield yield) {
-  std::optional<schema::Value> value = half.value;
+void RegisterClient::replicate_now(consensus::PartiallyAccepted const& partial, common::Yield yield) {
+  std::optional<schema::Value> value = partial.value;
   if (!value.has_value()) {
-    value = fetch(half.name, consensus::NeededValue{half.accepted, half.digest, half.sources}, set(),
+    value = fetch(partial.name, consensus::NeededValue{partial.accepted, partial.digest, partial.sources}, set(),
                   common::boot_now() + constants::transfer_patience, yield);
   }
   if (!value.has_value()) {
@@ -271,10 +272,10 @@
   }
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    confirm_.cache_value(half.name, half.accepted, *value);
+    reader_.cache_value(partial.name, partial.accepted, *value);
   }
-  own_voter_->take_accepted(half.name, half.accepted, *value, yield);
-  hurry_.ring();
+  local_voter_->take_accepted(partial.name, partial.accepted, *value, yield);
+  read_trigger_.ring();
 }
 
 void RegisterClient::settle(std::string const& name) {
@@ -295,22 +296,22 @@
 }
 
 std::optional<schema::Value> RegisterClient::fetch(std::string const& name, consensus::NeededValue const& needed,
-                                                   schema::VoterSet const& holders, common::Moment until,
+                                                   schema::VoterSet const& voters, common::Moment deadline_at,
                                                    common::Yield yield) {
-  transfers_.want(name, needed.digest, addresses_of(holders, needed.sources), std::nullopt);
+  transfers_.request(name, needed.digest, addresses_of(voters, needed.sources), std::nullopt);
   while (true) {
     std::uint64_t const seen = bell_.count();
-    bool const under_way = transfers_.under_way(name, needed.digest);
+    bool const in_progress = transfers_.in_progress(name, needed.digest);
     std::optional<schema::Value> value = transfers_.fetched(name, needed.digest);
     if (!value.has_value()) {
       std::lock_guard<std::mutex> const guard(lock_);
-      std::map<std::string, schema::Value>::const_iterator const known = confirm_.values().find(name);
-      if (known != confirm_.values().end() && confirm_.known(name) == needed.accepted) {
+      std::map<std::string, schema::Value>::const_iterator const known = reader_.values().find(name);
+      if (known != reader_.values().end() && reader_.known(name) == needed.accepted) {
         value = known->second;
       }
     }
-    common::Span const left = until - common::boot_now();
-    if (value.has_value() || left <= 0 || !under_way) {
+    common::Span const left = deadline_at - common::boot_now();
+    if (value.has_value() || left <= 0 || !in_progress) {
       return value;
     }
     bell_.wait(seen, left, yield);
@@ -319,35 +320,35 @@
 
 RegisterClient::Result RegisterClient::change(std::string const& name, consensus::ProposalFunction propose,
                                               common::Span deadline, common::Yield yield,
-                                              std::function<bool()> const& over) {
-  common::Moment const until = common::boot_now() + deadline;
-  consensus::Proposer core(name, common::random_identity(), std::move(propose));
+                                              std::function<bool()> const& cancelled) {
+  common::Moment const deadline_at = common::boot_now() + deadline;
+  consensus::Proposer proposer(name, common::random_identity(), std::move(propose));
   common::Span range = constants::ballot_pause_most - constants::ballot_pause_least;
-  common::Span longest_ballot = 0;
-  bool fetched = false;  // the next ballot goes on from a value that was fetched for it
-  while (common::boot_now() < until && !(over && over())) {
-    schema::VoterSet const holders = set();
-    if (holders.epoch == 0) {
+  common::Span longest_ballot_span = 0;
+  bool fetched = false;  // the next ballot builds on a value that was fetched for it
+  while (common::boot_now() < deadline_at && !(cancelled && cancelled())) {
+    schema::VoterSet const voters = set();
+    if (voters.epoch == 0) {
       common::pause(context_, constants::confirm_pause, yield);
       continue;
     }
     {
-      // Anew for each ballot: what the reads have learnt meanwhile need not be sent.
+      // Repeated for each ballot: values that reads have learnt meanwhile need not be sent.
       std::lock_guard<std::mutex> const guard(lock_);
-      core.start_above(confirm_.known(name));
-      std::map<std::string, schema::Value>::const_iterator const found = confirm_.values().find(name);
-      if (found != confirm_.values().end() && !fetched) {
-        core.set_known_value(confirm_.known(name), found->second);
+      proposer.start_above(reader_.known(name));
+      std::map<std::string, schema::Value>::const_iterator const found = reader_.values().find(name);
+      if (found != reader_.values().end() && !fetched) {
+        proposer.set_known_value(reader_.known(name), found->second);
       }
     }
     fetched = false;
     common::Moment const begun = common::boot_now();
-    std::vector<ProposerAction> actions = core.begin(holders);
+    std::vector<ProposerAction> actions = proposer.begin(voters);
     std::optional<Result> result;
-    bool again = false;
-    // One that was frozen after its first round doesn't begin the second behind its deadline: whoever asked for the
-    // change has given it up, and may have undone it through another trellis (section 4.2).
-    while (!result.has_value() && !again && !actions.empty() && common::boot_now() < until) {
+    bool retry = false;
+    // A process that was frozen after the first round must not begin the second after the deadline: the caller has
+    // given the change up and may have undone it through another controller (section 4.2).
+    while (!result.has_value() && !retry && !actions.empty() && common::boot_now() < deadline_at) {
       std::vector<std::pair<std::string, schema::Message>> calls;
       std::vector<std::uint64_t> incarnations;
       std::size_t bytes = 0;
@@ -361,24 +362,24 @@
         }
       }
       actions.clear();
-      common::Span const patience =
+      common::Span const timeout =
           std::min(constants::holder_deadline + static_cast<common::Span>(bytes) * constants::holder_byte_span,
-                   std::max<common::Span>(until - common::boot_now(), 1000));
+                   std::max<common::Span>(deadline_at - common::boot_now(), 1000));
       common::Gather::run(
-          context_, caller_, calls, patience,
+          context_, caller_, calls, timeout,
           [&](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
             if (!answer.ok()) {
               return false;
             }
             bool done = false;
-            for (ProposerAction const& action : core.receive(incarnations[index], *answer)) {
+            for (ProposerAction const& action : proposer.receive(incarnations[index], *answer)) {
               if (std::holds_alternative<consensus::Send>(action)) {
                 actions.push_back(action);
                 done = true;
               } else if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&action)) {
                 std::lock_guard<std::mutex> const guard(lock_);
-                confirm_.learn(name, chosen->ballot, chosen->value);
-                transfers_.forget(name);
+                reader_.learn(name, chosen->ballot, chosen->value);
+                transfers_.discard(name);
                 result = *chosen;
                 done = true;
               } else if (consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&action)) {
@@ -386,14 +387,14 @@
                 done = true;
               } else if (consensus::NewerVoterSet const* const newer = std::get_if<consensus::NewerVoterSet>(&action)) {
                 learn(newer->set);
-                again = true;
+                retry = true;
                 done = true;
               } else {
-                again = true;
+                retry = true;
                 done = true;
               }
             }
-            return done || core.blocked();
+            return done || proposer.blocked();
           },
           yield);
     }
@@ -401,25 +402,25 @@
       bell_.ring();
       return *result;
     }
-    std::optional<consensus::NeededValue> const needed = core.needed();
+    std::optional<consensus::NeededValue> const needed = proposer.needed();
     if (needed.has_value()) {
-      std::optional<schema::Value> const value = fetch(name, *needed, holders, until, yield);
+      std::optional<schema::Value> const value = fetch(name, *needed, voters, deadline_at, yield);
       if (value.has_value()) {
-        core.set_known_value(needed->accepted, *value);
+        proposer.set_known_value(needed->accepted, *value);
         fetched = true;
         continue;
       }
     }
-    longest_ballot = std::max(longest_ballot, common::boot_now() - begun);
+    longest_ballot_span = std::max(longest_ballot_span, common::boot_now() - begun);
     common::pause(context_,
                   constants::ballot_pause_least +
                       static_cast<common::Span>(common::random_number() % static_cast<std::uint64_t>(range)),
                   yield);
-    // Two that race over a long way take each other's ballots until one of
-    // them waits for longer than the other's two rounds take.
-    range = std::min(range * 2, std::max(constants::ballot_pause_longest, longest_ballot * 2));
+    // Two proposers that race over high latency preempt each other's ballots until one of them waits for longer than
+    // the other's two rounds take.
+    range = std::min(range * 2, std::max(constants::ballot_pause_longest, longest_ballot_span * 2));
   }
-  return Unknown{"no majority of holders answered in time"};
+  return Unknown{"no majority of voters answered in time"};
 }
 
 }  // namespace finchlink::control_plane
--- a/source/control_plane/register_client/register_transfers.cpp
+++ b/source/control_plane/register_client/register_transfers.cpp
@@ -9,45 +9,45 @@
 namespace finchlink::control_plane {
 
 namespace {
-/// Transfers of one register at once: one that is read, and one that a change
-/// must go on from.
-constexpr std::ptrdiff_t transfers_of_one_register = 2;
+/// Concurrent transfers of one register: one for reads, and one that a change must build on.
+constexpr std::ptrdiff_t max_transfers_per_register = 2;
 }  // namespace
 
-RegisterTransfers::RegisterTransfers(boost::asio::io_context& context, common::Caller& caller, Ended ended)
-    : context_(context), caller_(caller), ended_(std::move(ended)) {}
+RegisterTransfers::RegisterTransfers(boost::asio::io_context& context, common::Caller& caller, EndCallback on_end)
+    : context_(context), caller_(caller), on_end_(std::move(on_end)) {}
 
-void RegisterTransfers::want(std::string const& name, std::string const& digest,
-                             std::vector<std::string> const& addresses, std::optional<schema::Ballot> const& chosen) {
+void RegisterTransfers::request(std::string const& name, std::string const& digest,
+                                std::vector<std::string> const& addresses,
+                                std::optional<schema::Ballot> const& chosen) {
   schema::TransferKey const key{name, digest, 0};
-  std::shared_ptr<Transfer> const begun = std::make_shared<Transfer>(Transfer{key, chosen, {}, 0});
+  std::shared_ptr<Transfer> const started = std::make_shared<Transfer>(Transfer{key, chosen, {}, 0});
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    for (std::shared_ptr<Transfer> const& transfer : under_way_) {
+    for (std::shared_ptr<Transfer> const& transfer : in_progress_) {
       if (transfer->key == key) {
         transfer->chosen = chosen.has_value() ? chosen : transfer->chosen;
-        transfer->added.insert(transfer->added.end(), addresses.begin(), addresses.end());
+        transfer->added_sources.insert(transfer->added_sources.end(), addresses.begin(), addresses.end());
         return;
       }
     }
     std::ptrdiff_t const running =
-        std::count_if(under_way_.begin(), under_way_.end(),
+        std::count_if(in_progress_.begin(), in_progress_.end(),
                       [&name](std::shared_ptr<Transfer> const& transfer) { return transfer->key.name == name; });
-    if (running >= transfers_of_one_register) {
-      return;  // named again by the next read, when one of these is done
+    if (running >= max_transfers_per_register) {
+      return;  // the next read requests it again when one of these has ended
     }
-    under_way_.push_back(begun);
+    in_progress_.push_back(started);
   }
-  common::start(context_, [this, begun, addresses](common::Yield yield) { run(begun, addresses, yield); });
+  common::start(context_, [this, started, addresses](common::Yield yield) { run(started, addresses, yield); });
 }
 
-bool RegisterTransfers::go_on(Transfer& transfer, consensus::ValueReceiver& receiver) {
+bool RegisterTransfers::continue_transfer(Transfer& transfer, consensus::ValueReceiver& receiver) {
   std::lock_guard<std::mutex> const guard(lock_);
-  for (std::string const& address : transfer.added) {
+  for (std::string const& address : transfer.added_sources) {
     receiver.add_source(address);
   }
-  transfer.added.clear();
-  transfer.left = receiver.total() - std::min(receiver.total(), receiver.received());
+  transfer.added_sources.clear();
+  transfer.bytes_left = receiver.total() - std::min(receiver.total(), receiver.received());
   return true;
 }
 
@@ -55,18 +55,18 @@
                             common::Yield yield) {
   consensus::ValueReceiver receiver(transfer->key, addresses);
   finish(transfer, consensus::run_transfer(
-                       context_, caller_, receiver, [&] { return go_on(*transfer, receiver); }, yield));
+                       context_, caller_, receiver, [&] { return continue_transfer(*transfer, receiver); }, yield));
 }
 
 void RegisterTransfers::finish(std::shared_ptr<Transfer> const& transfer, std::optional<std::string> const& bytes) {
-  absl::StatusOr<schema::Value> value = absl::NotFoundError("no source has it any more");
+  absl::StatusOr<schema::Value> value = absl::NotFoundError("no source has the value any longer");
   if (bytes.has_value()) {
     value = common::unpack<schema::Value>(*bytes);
   }
   std::optional<schema::Ballot> chosen;
   {
     std::lock_guard<std::mutex> const guard(lock_);
-    std::erase(under_way_, transfer);
+    std::erase(in_progress_, transfer);
     chosen = transfer->chosen;
     if (value.ok() && !chosen.has_value()) {
       fetched_[transfer->key.name] = Fetched{transfer->key.digest, *value};
@@ -76,13 +76,13 @@
     common::note(common::Event::ValueFetched, transfer->key.name + " revision " + std::to_string(value->revision) +
                                                   ", " + std::to_string(bytes->size()) + " bytes");
   }
-  ended_(transfer->key.name, value.ok() ? std::optional<schema::Value>(*value) : std::nullopt, chosen);
+  on_end_(transfer->key.name, value.ok() ? std::optional<schema::Value>(*value) : std::nullopt, chosen);
 }
 
-bool RegisterTransfers::under_way(std::string const& name, std::string const& digest) {
+bool RegisterTransfers::in_progress(std::string const& name, std::string const& digest) {
   schema::TransferKey const key{name, digest, 0};
   std::lock_guard<std::mutex> const guard(lock_);
-  return std::any_of(under_way_.begin(), under_way_.end(),
+  return std::any_of(in_progress_.begin(), in_progress_.end(),
                      [&key](std::shared_ptr<Transfer> const& transfer) { return transfer->key == key; });
 }
 
@@ -95,7 +95,7 @@
   return found->second.value;
 }
 
-void RegisterTransfers::forget(std::string const& name) {
+void RegisterTransfers::discard(std::string const& name) {
   std::lock_guard<std::mutex> const guard(lock_);
   fetched_.erase(name);
 }
@@ -103,8 +103,8 @@
 std::size_t RegisterTransfers::bytes_left() {
   std::lock_guard<std::mutex> const guard(lock_);
   std::size_t left = 0;
-  for (std::shared_ptr<Transfer> const& transfer : under_way_) {
-    left += transfer->left;
+  for (std::shared_ptr<Transfer> const& transfer : in_progress_) {
+    left += transfer->bytes_left;
   }
   return left;
 }
--- a/source/tests/control_plane/acceptor_service_test.cpp
+++ b/source/tests/control_plane/acceptor_service_test.cpp
@@ -13,22 +13,22 @@
 
 namespace constants = common::constants;
 
-constexpr common::Span given_up_after = common::seconds(30);
+constexpr common::Span test_timeout = common::seconds(30);
 
 std::string address_of(std::uint64_t incarnation) {
   return own_ip() + ":" + std::to_string(20120 + incarnation);
 }
 
-/// A newcomer on a disk of its own, before three scripted voters of the set before.
-struct NewcomerBeforeThree {
+/// An acceptor that joins with a blank disk, and three scripted voters of the previous set.
+struct JoiningAcceptor {
   boost::asio::io_context context;
   common::Caller caller{context};
   std::string folder = testing::TempDir() + "acceptor_service_" + std::to_string(common::boot_now());
-  std::uint64_t silent = 0;  ///< the incarnation of one that never answers
-  common::Moment first_ask = 0;
-  AcceptorService newcomer{context, caller, (std::filesystem::create_directories(folder), folder), address_of(9), {}};
+  std::uint64_t silent = 0;  ///< the incarnation of a voter that never answers
+  common::Moment first_request = 0;
+  AcceptorService joining{context, caller, (std::filesystem::create_directories(folder), folder), address_of(9), {}};
 
-  explicit NewcomerBeforeThree(std::uint64_t silent_one) : silent(silent_one) {
+  explicit JoiningAcceptor(std::uint64_t silent_voter) : silent(silent_voter) {
     for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
       EXPECT_TRUE(common::serve_frames(context, address_of(incarnation), 8,
                                        [this, incarnation](schema::Message const& message, common::Yield yield) {
@@ -36,52 +36,52 @@
                                        })
                       .ok());
     }
-    newcomer.begin();
-    run_until([this] { return newcomer.incarnation() != 0; });
+    joining.begin();
+    run_until([this] { return joining.incarnation() != 0; });
   }
-  ~NewcomerBeforeThree() { std::filesystem::remove_all(folder); }
+  ~JoiningAcceptor() { std::filesystem::remove_all(folder); }
 
   std::optional<schema::Message> answer(std::uint64_t incarnation, schema::Message const& message,
                                         common::Yield yield) {
-    schema::ImageAsk const* const ask = std::get_if<schema::ImageAsk>(&message);
-    first_ask = first_ask == 0 ? common::boot_now() : first_ask;
+    schema::ImageAsk const* const request = std::get_if<schema::ImageAsk>(&message);
+    first_request = first_request == 0 ? common::boot_now() : first_request;
     if (incarnation == silent) {
-      common::pause(context, given_up_after, yield);  // its connection stays open all the while
+      common::pause(context, test_timeout, yield);  // its connection stays open meanwhile
     }
-    if (ask == nullptr) {
+    if (request == nullptr) {
       return std::nullopt;
     }
-    return schema::Image{ask->epoch, incarnation, {}, {}, ask->epoch, 0};
+    return schema::Image{request->epoch, incarnation, {}, {}, request->epoch, 0};
   }
 
-  void run_until(std::function<bool()> const& reached) {
-    common::Moment const given_up = common::boot_now() + given_up_after;
-    while (!reached() && common::boot_now() < given_up) {
+  void run_until(std::function<bool()> const& condition) {
+    common::Moment const deadline = common::boot_now() + test_timeout;
+    while (!condition() && common::boot_now() < deadline) {
       context.run_one_for(common::duration(common::milliseconds(5)));
     }
-    EXPECT_TRUE(reached());
+    EXPECT_TRUE(condition());
   }
 
-  /// From its first ask for an image to its vote.
+  /// The time from the first snapshot request to the vote.
   common::Span time_to_vote() {
     std::vector<schema::Voter> previous;
     for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) {
       previous.push_back(schema::Voter{incarnation, address_of(incarnation)});
     }
     std::vector<schema::Voter> holders = previous;
-    holders[0] = schema::Voter{newcomer.incarnation(), address_of(9)};
+    holders[0] = schema::Voter{joining.incarnation(), address_of(9)};
     common::start(context, [this, holders, previous](common::Yield yield) {
-      (void)newcomer.receive(schema::Adopt{schema::VoterSet{2, holders, previous, {}, {}}}, yield);
+      (void)joining.receive(schema::Adopt{schema::VoterSet{2, holders, previous, {}, {}}}, yield);
     });
-    run_until([this] { return newcomer.voting(); });
-    return common::boot_now() - first_ask;
+    run_until([this] { return joining.voting(); });
+    return common::boot_now() - first_request;
   }
 };
 
-TEST(AcceptorService, ASilentSourceOfImagesIsNotWaitedFor) {
+TEST(AcceptorService, ASilentSnapshotSourceIsNotWaitedFor) {
   for (std::uint64_t const silent : {1, 3}) {
-    NewcomerBeforeThree world(silent);
-    EXPECT_LT(world.time_to_vote(), constants::holder_deadline / 2) << silent;
+    JoiningAcceptor cluster(silent);
+    EXPECT_LT(cluster.time_to_vote(), constants::holder_deadline / 2) << silent;
   }
 }
 
--- a/source/tests/control_plane/half_done_change_test.cpp
+++ b/source/tests/control_plane/half_done_change_test.cpp
@@ -16,17 +16,17 @@
 
 constexpr std::size_t voters = 5;
 constexpr std::size_t clients = 6;
-/// Operators ask for so long whether what was acknowledged is still there.
-constexpr common::Span read_back_span = common::seconds(6);
-constexpr common::Span far_way = common::milliseconds(55);
-constexpr double far_bits_per_microsecond = 5;
+/// How long operators try to read an acknowledged value back.
+constexpr common::Span read_timeout = common::seconds(6);
+constexpr common::Span remote_latency = common::milliseconds(55);
+constexpr double remote_bits_per_microsecond = 5;
 
-/// Two regions after a loss of power everywhere with two disks lost: of five voters three have a vote, and one of
-/// these alone has the newest value, which was acknowledged. Six processes, the ways between them as slow as the
-/// bytes are many, ask until they are sure.
-class AfterTheLoss {
+/// Two regions after a power loss of all machines and the loss of two disks: three of five voters have a vote, and only
+/// one of them holds the newest value, which was acknowledged. Six processes read until all registers are confirmed,
+/// over links whose delay grows with the message size.
+class ClusterAfterPowerLoss {
  public:
-  explicit AfterTheLoss(std::size_t bytes) {
+  explicit ClusterAfterPowerLoss(std::size_t bytes) {
     schema::VoterSet set{1, {}, {}};
     for (std::size_t index = 0; index < voters; ++index) {
       set.holders.push_back(schema::Voter{100 + index, address(0, index)});
@@ -40,20 +40,20 @@
     }
   }
 
-  /// How long it takes until each of them is sure; nothing if some are not in time.
-  std::optional<common::Span> time_until_sure() {
+  /// The time until every client has confirmed the newest value; nothing if some have not in time.
+  std::optional<common::Span> time_until_confirmed() {
     common::Moment const begun = common::boot_now();
     std::optional<common::Span> took;
     for (std::unique_ptr<RegisterClient> const& client : clients_) {
       client->begin();
     }
     common::start(context_, [&](common::Yield yield) {
-      while (!took.has_value() && common::boot_now() - begun < read_back_span) {
-        std::size_t sure = 0;
+      while (!took.has_value() && common::boot_now() - begun < read_timeout) {
+        std::size_t confirmed = 0;
         for (std::unique_ptr<RegisterClient> const& client : clients_) {
-          sure += client->confirmed_from() > 0 && client->value("charter").revision == 2 ? 1 : 0;
+          confirmed += client->confirmed_from() > 0 && client->value("charter").revision == 2 ? 1 : 0;
         }
-        if (sure == clients_.size()) {
+        if (confirmed == clients_.size()) {
           took = common::boot_now() - begun;
         }
         common::pause(context_, common::milliseconds(10), yield);
@@ -92,10 +92,10 @@
   void add_client(schema::VoterSet set, std::size_t client) {
     for (std::size_t voter = 0; voter < voters; ++voter) {
       set.holders[voter].address = address(client, voter);
-      bool const far = region(voter) != region(client % voters);
+      bool const remote = region(voter) != region(client % voters);
       EXPECT_TRUE(common::serve_frames(context_, set.holders[voter].address, 100,
-                                       [this, voter, far](schema::Message const& message, common::Yield yield) {
-                                         return answer(voter, far, message, yield);
+                                       [this, voter, remote](schema::Message const& message, common::Yield yield) {
+                                         return answer(voter, remote, message, yield);
                                        })
                       .ok());
     }
@@ -111,23 +111,23 @@
     }
   }
 
-  /// The way there and back takes as long as the bytes need.
-  std::optional<schema::Message> answer(std::size_t voter, bool far, schema::Message const& message,
+  /// Delays the request and the reply according to their sizes.
+  std::optional<schema::Message> answer(std::size_t voter, bool remote, schema::Message const& message,
                                         common::Yield yield) {
-    travel(far, message, yield);
+    delay(remote, message, yield);
     std::optional<schema::Message> reply = acceptors_[voter]->receive(message, common::boot_now()).reply;
     if (schema::Refused* const refused = reply.has_value() ? std::get_if<schema::Refused>(&*reply) : nullptr) {
-      refused->set = schema::VoterSet{};  // each client knows the voters by addresses of its own
+      refused->set = schema::VoterSet{};  // each client reaches the voters at its own addresses
     }
     if (reply.has_value()) {
-      travel(far, *reply, yield);
+      delay(remote, *reply, yield);
     }
     return reply;
   }
-  void travel(bool far, schema::Message const& message, common::Yield yield) {
-    if (far) {
+  void delay(bool remote, schema::Message const& message, common::Yield yield) {
+    if (remote) {
       double const bits = 8.0 * static_cast<double>(common::frame(message).size());
-      common::pause(context_, far_way + static_cast<common::Span>(bits / far_bits_per_microsecond), yield);
+      common::pause(context_, remote_latency + static_cast<common::Span>(bits / remote_bits_per_microsecond), yield);
     }
   }
 
@@ -137,14 +137,15 @@
   std::vector<std::unique_ptr<RegisterClient>> clients_;
 };
 
-/// Incident 0020: all were without an answer for longer than operators ask.
+/// Incident 0020: after such a loss no client could confirm its reads for longer than operators retry. A change that
+/// only one voter has accepted must be settled in time, also when its value is large.
 TEST(HalfDoneChange, OfALargeValueIsReadInTimeAfterALossOfPowerAndTwoDisks) {
   for (std::size_t const bytes : {std::size_t{2000}, std::size_t{500000}}) {
-    AfterTheLoss world(bytes);
-    std::optional<common::Span> const took = world.time_until_sure();
-    EXPECT_TRUE(took.has_value()) << bytes << " bytes: not sure within " << read_back_span / 1000 << " ms";
+    ClusterAfterPowerLoss cluster(bytes);
+    std::optional<common::Span> const took = cluster.time_until_confirmed();
+    EXPECT_TRUE(took.has_value()) << bytes << " bytes: not confirmed within " << read_timeout / 1000 << " ms";
     std::printf("[ figure ] %zu bytes: sure after %lld ms\n", bytes,
-                static_cast<long long>(took.value_or(read_back_span) / 1000));
+                static_cast<long long>(took.value_or(read_timeout) / 1000));
   }
 }
 
--- a/source/tests/control_plane/late_answer_test.cpp
+++ b/source/tests/control_plane/late_answer_test.cpp
@@ -12,7 +12,7 @@
   return unless_late(common::answer_text(status, "{}"), verb, span, constants::acknowledge_wait).result_int();
 }
 
-TEST(LateAnswer, NoYesRefusalOrReadingIsGivenByOneThatWasFrozenInTheMiddle) {
+TEST(LateAnswer, ACallThatWasFrozenAnswersWithoutAnOutcome) {
   common::Span const frozen = common::seconds(20);
   EXPECT_EQ(status_after(frozen, http::status::ok, http::verb::put), 504u);
   EXPECT_EQ(status_after(frozen, http::status::ok, http::verb::post), 504u);
@@ -22,7 +22,7 @@
   EXPECT_EQ(status_after(frozen, http::status::not_found, http::verb::get), 503u);
 }
 
-TEST(LateAnswer, WhatTookNoLongerThanItsOwnWaitsStands) {
+TEST(LateAnswer, ACallWithinTheLongestSpanKeepsItsAnswer) {
   common::Span const longest = longest_call(constants::acknowledge_wait);
   EXPECT_EQ(longest, 2 * constants::change_deadline + constants::acknowledge_wait);
   EXPECT_EQ(status_after(longest, http::status::ok, http::verb::put), 200u);
--- a/source/tests/control_plane/read_outcomes_test.cpp
+++ b/source/tests/control_plane/read_outcomes_test.cpp
@@ -18,7 +18,7 @@
   return round;
 }
 
-TEST(ReadOutcomes, EachEndOfAReadIsToldApart) {
+TEST(ReadOutcomes, EachEndOfAReadHasItsOutcome) {
   ReadRound round = round_at(0, false);
   EXPECT_EQ(outcome_of(round), ReadOutcome::no_majority);
   round.unsettled = {"charter"};
@@ -33,21 +33,21 @@
   EXPECT_EQ(outcome_of(round), ReadOutcome::no_voters);
 }
 
-TEST(ReadOutcomes, ALossIsToldOnceItLastedAndThenAgain) {
+TEST(ReadOutcomes, LostReadsAreReportedAfterAThresholdAndThenPeriodically) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(0, true)).has_value());
   common::Moment now = round_span;
-  std::vector<common::Moment> told;
+  std::vector<common::Moment> reported_at;
   for (; now < common::seconds(6); now += round_span) {
     std::optional<ReadsEvent> const event = outcomes.record(round_at(now, false));
     if (event.has_value()) {
       ASSERT_TRUE(std::holds_alternative<ReadsLost>(*event));
-      told.push_back(now + round_span);
-      EXPECT_EQ(std::get<ReadsLost>(*event).unconfirmed, told.back());
+      reported_at.push_back(now + round_span);
+      EXPECT_EQ(std::get<ReadsLost>(*event).unconfirmed, reported_at.back());
     }
   }
   common::Moment const first = common::constants::reads_lost_after + round_span;
-  EXPECT_EQ(told, (std::vector<common::Moment>{first, first + common::constants::reads_lost_again}));
+  EXPECT_EQ(reported_at, (std::vector<common::Moment>{first, first + common::constants::reads_lost_again}));
   std::optional<ReadsEvent> const event = outcomes.record(round_at(now, true));
   ASSERT_TRUE(event.has_value() && std::holds_alternative<ReadsRegained>(*event));
   EXPECT_EQ(std::get<ReadsRegained>(*event).rounds, 59u);
@@ -56,25 +56,25 @@
   EXPECT_EQ(outcomes.count(ReadOutcome::no_majority), 59u);
 }
 
-TEST(ReadOutcomes, AShortGapIsNotTold) {
+TEST(ReadOutcomes, AShortGapIsNotReported) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(0, true)).has_value());
   EXPECT_FALSE(outcomes.record(round_at(common::milliseconds(500), false)).has_value());
   EXPECT_FALSE(outcomes.record(round_at(common::milliseconds(900), true)).has_value());
 }
 
-TEST(ReadOutcomes, TheFirstReadOfAllCountsFromItsStart) {
+TEST(ReadOutcomes, TheFirstReadCountsFromItsStart) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(common::seconds(100), false)).has_value());
   EXPECT_TRUE(outcomes.record(round_at(common::seconds(101), false)).has_value());
 }
 
-TEST(ReadOutcomes, TheRestBeforeALostReadIsToldApartFromTheReadItself) {
+TEST(ReadOutcomes, ThePauseBeforeALostReadIsReportedSeparately) {
   ReadOutcomes outcomes;
   EXPECT_FALSE(outcomes.record(round_at(0, true)).has_value());
   std::optional<ReadsEvent> const event = outcomes.record(round_at(common::seconds(5), false));
   ASSERT_TRUE(event.has_value());
-  EXPECT_EQ(std::get<ReadsLost>(*event).rest, common::seconds(5) - round_span);
+  EXPECT_EQ(std::get<ReadsLost>(*event).pause_before, common::seconds(5) - round_span);
 }
 
 TEST(ReadOutcomes, ALineNamesWhatEachVoterDid) {
@@ -89,7 +89,7 @@
             "unsettled: none, missing: none");
 }
 
-TEST(ReadOutcomes, EveryOutcomeHasALineOfMetrics) {
+TEST(ReadOutcomes, EveryOutcomeHasAMetricsLine) {
   ReadOutcomes outcomes;
   (void)outcomes.record(round_at(0, true));
   std::string const text = metrics_of(outcomes);
--- a/source/tests/control_plane/register_client_test.cpp
+++ b/source/tests/control_plane/register_client_test.cpp
@@ -10,7 +10,7 @@
 namespace finchlink::control_plane {
 namespace {
 
-/// A client of the register before three scripted acceptors that promise and accept whatever comes.
+/// A register client and three scripted acceptors that promise and accept every ballot.
 struct ThreeAcceptors {
   boost::asio::io_context context;
   common::Caller caller{context};
@@ -47,15 +47,15 @@
     return std::nullopt;
   }
 
-  /// One change; the process stands still for `frozen` between promise and accept.
+  /// Makes one change; the process is frozen for `frozen` microseconds between promise and accept.
   RegisterClient::Result change(common::Span deadline, common::Span frozen) {
     std::optional<RegisterClient::Result> result;
     common::start(context, [&](common::Yield yield) {
       result = client.change(
           "charter",
           [frozen](schema::Value const& found) -> consensus::Proposal {
-            common::Moment const woken = common::boot_now() + frozen;
-            while (common::boot_now() < woken) {
+            common::Moment const resume_at = common::boot_now() + frozen;
+            while (common::boot_now() < resume_at) {
             }
             return schema::Value{found.revision + 1, "new", {}};
           },
@@ -68,21 +68,21 @@
 };
 
 TEST(RegisterClient, AChangeIsChosenInTwoRounds) {
-  ThreeAcceptors world;
-  RegisterClient::Result const result = world.change(common::seconds(60), 0);
+  ThreeAcceptors cluster;
+  RegisterClient::Result const result = cluster.change(common::seconds(60), 0);
   ASSERT_TRUE(std::holds_alternative<consensus::Chosen>(result));
-  EXPECT_EQ(world.client.value("charter").content, "new");
-  EXPECT_GE(world.accepts, 2u);
+  EXPECT_EQ(cluster.client.value("charter").content, "new");
+  EXPECT_GE(cluster.accepts, 2u);
 }
 
-TEST(RegisterClient, OneFrozenBetweenPrepareAndAcceptSendsNoAcceptBehindItsDeadline) {
-  ThreeAcceptors world;
+TEST(RegisterClient, AClientFrozenBetweenPrepareAndAcceptSendsNoAcceptAfterItsDeadline) {
+  ThreeAcceptors cluster;
   common::Span const deadline = common::milliseconds(300);
-  RegisterClient::Result const result = world.change(deadline, deadline);
+  RegisterClient::Result const result = cluster.change(deadline, deadline);
   EXPECT_TRUE(std::holds_alternative<RegisterClient::Unknown>(result));
-  EXPECT_GE(world.prepares, 2u);
-  EXPECT_EQ(world.accepts, 0u);
-  EXPECT_EQ(world.client.value("charter").revision, 0u);
+  EXPECT_GE(cluster.prepares, 2u);
+  EXPECT_EQ(cluster.accepts, 0u);
+  EXPECT_EQ(cluster.client.value("charter").revision, 0u);
 }
 
 }  // namespace
