--- a/source/fake_workers/ledger/ledger.cpp
+++ b/source/fake_workers/ledger/ledger.cpp
@@ -110,7 +110,7 @@
   return common::print_tree(object.get(), true);
 }
 
-void RegisterClient::isolation(std::string const& tenant, CacheReading const& reading) {
+void RegisterClient::isolation(std::string const& tenant, CacheResult const& reading) {
   std::lock_guard<std::mutex> const guard(lock_);
   TenantReuse& entry = by_tenant_[tenant];
   ++entry.prompts;
@@ -133,7 +133,7 @@
   cJSON* const tenants = cJSON_AddObjectToObject(object.get(), "tenants");
   for (std::pair<std::string const, TenantReuse> const& entry : by_tenant_) {
     cJSON* const part = cJSON_AddObjectToObject(tenants, entry.first.c_str());
-    CacheReading const& sum = entry.second.sum;
+    CacheResult const& sum = entry.second.sum;
     cJSON_AddNumberToObject(part, "prompts", static_cast<double>(entry.second.prompts));
     cJSON_AddNumberToObject(part, "tokens", sum.tokens);
     cJSON_AddNumberToObject(part, "reused", sum.reused);
--- a/source/fake_workers/ledger/ledger.hpp
+++ b/source/fake_workers/ledger/ledger.hpp
@@ -34,7 +34,7 @@
   /// From now on queries of the rule may reach workers of this region only; empty: of any.
   void only(std::string const& rule, std::string const& region);
   /// What a relayed prompt found at a worker, by its true tenant.
-  void isolation(std::string const& tenant, CacheReading const& reading);
+  void isolation(std::string const& tenant, CacheResult const& reading);
   [[nodiscard]] std::string print_isolation();
   [[nodiscard]] std::string print();
   [[nodiscard]] std::string ran_nonces();
@@ -64,7 +64,7 @@
   std::map<std::string, std::uint64_t> per_worker_;
   struct TenantReuse {
     std::uint64_t prompts = 0;
-    CacheReading sum;
+    CacheResult sum;
   };
   std::map<std::string, TenantReuse> by_tenant_;
   std::vector<std::string> crossings_;  ///< the first hundred
--- a/source/fake_workers/worker/part_cache.cpp
+++ b/source/fake_workers/worker/part_cache.cpp
@@ -2,11 +2,11 @@
 
 namespace finchlink::fake_workers {
 
-CacheReading PartCache::read(std::string const& reader, std::string const& weights,
-                             std::vector<CachePart> const& parts) {
-  CacheReading reading;
+CacheResult PartCache::read(std::string const& reader, std::string const& weights,
+                            std::vector<RequestPart> const& parts) {
+  CacheResult reading;
   bool all_before = true;
-  for (CachePart const& part : parts) {
+  for (RequestPart const& part : parts) {
     reading.tokens += part.tokens;
     std::map<std::string, Kept>::iterator found = kept_.find(part.id);
     all_before = all_before && found != kept_.end();
@@ -32,7 +32,7 @@
     }
   }
   // The end of a prompt gives way before its beginning.
-  for (std::vector<CachePart>::const_reverse_iterator part = parts.rbegin(); part != parts.rend(); ++part) {
+  for (std::vector<RequestPart>::const_reverse_iterator part = parts.rbegin(); part != parts.rend(); ++part) {
     Kept& kept = kept_.at(part->id);
     by_use_.erase(kept.used);
     kept.used = ++uses_;
--- a/source/fake_workers/worker/part_cache.hpp
+++ b/source/fake_workers/worker/part_cache.hpp
@@ -8,13 +8,13 @@
 namespace finchlink::fake_workers {
 
 /// A part of a prompt as it came to a stand-in worker.
-struct CachePart {
+struct RequestPart {
   std::string id;
   double tokens = 0;
   bool open = false;  ///< truly nobody's, by its caller's word
 };
 /// What one prompt found, by true tenants.
-struct CacheReading {
+struct CacheResult {
   double tokens = 0;
   double reused = 0;
   std::uint64_t own_hits = 0;
@@ -31,8 +31,8 @@
 class PartCache {
  public:
   explicit PartCache(double most) : most_(most) {}
-  [[nodiscard]] CacheReading read(std::string const& reader, std::string const& weights,
-                                  std::vector<CachePart> const& parts);
+  [[nodiscard]] CacheResult read(std::string const& reader, std::string const& weights,
+                                 std::vector<RequestPart> const& parts);
   void clear();
 
  private:
--- a/source/fake_workers/worker/worker.cpp
+++ b/source/fake_workers/worker/worker.cpp
@@ -120,7 +120,7 @@
     std::size_t const colon = word.rfind(':');
     if (colon != std::string::npos) {
       job.parts.push_back(
-          CachePart{word.substr(0, colon), std::atof(word.c_str() + colon + 1), job.parts.size() < open});
+          RequestPart{word.substr(0, colon), std::atof(word.c_str() + colon + 1), job.parts.size() < open});
     }
   }
 }
@@ -172,7 +172,7 @@
         prefill = waiting_.front();
         waiting_.pop_front();
         running_.push_back(prefill);
-        CacheReading reading;
+        CacheResult reading;
         if (prefill->relayed) {
           reading = part_cache_.read(prefill->tenant, prefill->weights, prefill->parts);
           register_.isolation(prefill->tenant, reading);
--- a/source/fake_workers/worker/worker.hpp
+++ b/source/fake_workers/worker/worker.hpp
@@ -54,7 +54,7 @@
     std::vector<std::uint64_t> chain;
     double tokens = 0;
     bool relayed = false;  ///< by a relay, with parts (docs/operating/walls.md)
-    std::vector<CachePart> parts;
+    std::vector<RequestPart> parts;
     std::string tenant;
     std::string weights;
     std::string load;
--- a/source/simulator/prompt_isolation/prompt_isolation.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -340,16 +340,17 @@
       again(flight);
       return;
     }
-    std::vector<fake_workers::CachePart> parts;
+    std::vector<fake_workers::RequestPart> parts;
     for (scheduling::NamedPart const& part : scheduling::parse_parts(flight->isolated.header)) {
-      parts.push_back(fake_workers::CachePart{part.id, part.tokens, flight->query->open && parts.empty()});
+      parts.push_back(fake_workers::RequestPart{part.id, part.tokens, flight->query->open && parts.empty()});
     }
-    fake_workers::CacheReading const reading = worker->cache.read(flight->query->reader, worker->weights, parts);
+    fake_workers::CacheResult const reading =
+        worker->cache.look_up_and_store(flight->query->reader, worker->weights, parts);
     judge(*flight, *worker, reading);
     ++worker->running;
     std::uint64_t const life = worker->life;
     std::string const weights = worker->weights;
-    common::Span const took = 4000 + static_cast<common::Span>((reading.tokens - reading.reused) * 18) +
+    common::Span const took = 4000 + static_cast<common::Span>((reading.tokens - reading.cached_tokens) * 18) +
                               static_cast<common::Span>(worker->running) * 500;
     kernel_.after(took, [this, flight, life, weights, reading] {
       SimWorker* const there = holder(flight->assignment.worker);
@@ -368,8 +369,8 @@
         return;
       }
       double const predicted = flight->query->tokens - flight->assignment.uncached;
-      report_.evicted += reading.reused < predicted ? 1 : 0;
-      hear(*flight, *origin, *there, reading.reused, weights);
+      report_.evicted += reading.cached_tokens < predicted ? 1 : 0;
+      hear(*flight, *origin, *there, reading.cached_tokens, weights);
       origin->balancer->first_token(
           flight->assignment,
           flight->isolated.version.empty() ? std::vector<scheduling::PromptPart>() : flight->wanted.parts, 0.02);
@@ -377,14 +378,15 @@
     });
   }
 
-  void judge(Flight const& flight, SimWorker const& worker, fake_workers::CacheReading const& reading) {
+  void judge(Flight const& flight, SimWorker const& worker, fake_workers::CacheResult const& reading) {
     ++report_.ran;
     report_.own_hits += reading.own_hits;
-    report_.public_hits += reading.open_hits;
+    report_.public_hits += reading.public_hits;
     report_.crossed_hits += reading.crossed_hits;
     report_.old_hits += reading.old_hits;
     kernel_.trace("read " + std::to_string(flight.query->number) + " " + flight.query->reader + " at " + worker.id +
-                  " " + worker.weights + " reused " + std::to_string(static_cast<std::uint64_t>(reading.reused)));
+                  " " + worker.weights + " reused " +
+                  std::to_string(static_cast<std::uint64_t>(reading.cached_tokens)));
     for (std::string const& crossing : reading.crossings) {
       violate("hit across a wall at " + worker.id + ": " + crossing);
     }
