--- a/source/fake_network/main.cpp
+++ b/source/fake_network/main.cpp
@@ -13,82 +13,91 @@
 #include "common/settings/settings.hpp"
 #include "schema/standin.hpp"
 
-/// The network between the machines of a fleet on one machine: passes bytes on,
-/// with hops, and cuts (docs/operating/standins.md). What is held by a cut goes
-/// on when it heals, as a network's repeats would.
+/// The program stile: a fake network between the simulated machines of a fleet that runs on one machine
+/// (docs/operating/standins.md). It forwards TCP connections, adds a delay between regions and cuts links on command.
+/// Bytes held back by a cut are forwarded when it heals, as the retransmissions of a network would be.
 namespace {
 using namespace finchlink;
 namespace http = common::http;
 using boost::system::error_code;
 
-struct Net {
-  schema::Stile stile;
-  std::map<std::string, schema::StileMachine> machines;  ///< by IP
-  std::mutex lock;
-  std::set<std::pair<std::string, std::string>> cuts;    ///< from and to, names of machines
-  std::set<std::pair<std::string, std::string>> losses;  ///< answers from one to the other are lost
-  std::atomic<std::uint64_t> passed = 0;
-  std::atomic<std::uint64_t> lost = 0;  ///< answers that were dropped
-  std::atomic<std::uint64_t> held = 0;  ///< pieces and connections held by a cut
+/// Machines and link faults; shared by all connections.
+struct Network {
+  schema::Stile config;
+  std::map<std::string, schema::StileMachine> machines;           ///< by IP
+  std::mutex lock;                                                ///< guards `cuts` and `response_losses`
+  std::set<std::pair<std::string, std::string>> cuts;             ///< names of machines: from, to
+  std::set<std::pair<std::string, std::string>> response_losses;  ///< names of machines: responses from, to
+  std::atomic<std::uint64_t> forwarded_chunks = 0;                ///< chunks of bytes
+  std::atomic<std::uint64_t> dropped_responses = 0;               ///< chunks that were dropped
+  std::atomic<std::uint64_t> held_back = 0;                       ///< chunks and connections held back by a cut
 
-  [[nodiscard]] std::vector<std::string> named(std::string const& word) const {
+  /// Names of the machines that `segment` selects: "all", a machine, a zone or a region.
+  [[nodiscard]] std::vector<std::string> matching_machines(std::string const& segment) const {
     std::vector<std::string> names;
     for (std::pair<std::string const, schema::StileMachine> const& entry : machines) {
-      if (word == "all" || word == entry.second.name || word == entry.second.hall || word == entry.second.region) {
+      if (segment == "all" || segment == entry.second.name || segment == entry.second.hall ||
+          segment == entry.second.region) {
         names.push_back(entry.second.name);
       }
     }
     return names;
   }
-  [[nodiscard]] std::string name(std::string const& ip) const {
+  /// Name of the machine with this IP; empty: unknown.
+  [[nodiscard]] std::string machine_name(std::string const& ip) const {
     std::map<std::string, schema::StileMachine>::const_iterator const found = machines.find(ip);
     return found == machines.end() ? "" : found->second.name;
   }
-  [[nodiscard]] common::Span hop(std::string const& from, std::string const& to) const {
-    std::map<std::string, schema::StileMachine>::const_iterator const left = machines.find(from);
-    std::map<std::string, schema::StileMachine>::const_iterator const right = machines.find(to);
-    bool const far = left != machines.end() && right != machines.end() && left->second.region != right->second.region;
-    return far && !left->second.region.empty() && !right->second.region.empty()
-               ? static_cast<common::Span>(stile.hop_ms * 1000)
+  /// One-way delay between two IPs: zero within a region or if a region is unknown.
+  [[nodiscard]] common::Span hop_delay(std::string const& from, std::string const& to) const {
+    std::map<std::string, schema::StileMachine>::const_iterator const source = machines.find(from);
+    std::map<std::string, schema::StileMachine>::const_iterator const destination = machines.find(to);
+    bool const other_region = source != machines.end() && destination != machines.end() &&
+                              source->second.region != destination->second.region;
+    return other_region && !source->second.region.empty() && !destination->second.region.empty()
+               ? static_cast<common::Span>(config.hop_ms * 1000)
                : 0;
   }
-  [[nodiscard]] bool cut(std::string const& from, std::string const& to) {
+  [[nodiscard]] bool is_cut(std::string const& from, std::string const& to) {
     std::lock_guard<std::mutex> const guard(lock);
-    return cuts.count({name(from), name(to)}) > 0;
+    return cuts.count({machine_name(from), machine_name(to)}) > 0;
   }
-  [[nodiscard]] bool loses(std::string const& from, std::string const& to) {
+  [[nodiscard]] bool loses_responses(std::string const& from, std::string const& to) {
     std::lock_guard<std::mutex> const guard(lock);
-    return losses.count({name(from), name(to)}) > 0;
+    return response_losses.count({machine_name(from), machine_name(to)}) > 0;
   }
-  void hold(boost::asio::io_context& context, std::string const& from, std::string const& to, common::Yield yield) {
+  /// Returns when the link isn't cut.
+  void wait_while_cut(boost::asio::io_context& context, std::string const& from, std::string const& to,
+                      common::Yield yield) {
     bool counted = false;
-    while (cut(from, to)) {
-      held += counted ? 0 : 1;
+    while (is_cut(from, to)) {
+      held_back += counted ? 0 : 1;
       counted = true;
       common::pause(context, common::milliseconds(10), yield);
     }
   }
 };
 
-/// One way of a connection; `answers`: that of the machine that was connected to.
-void pump(boost::asio::io_context& context, Net& net, common::Stream& from, common::Stream& to,
-          std::string const& from_ip, std::string const& to_ip, bool answers, common::Yield yield) {
-  std::vector<char> piece(65536);
-  common::Span const hop = net.hop(from_ip, to_ip);
+/// Forwards one direction of a connection until it ends. `carries_responses`: the direction from the machine that
+/// accepted the connection.
+void forward_bytes(boost::asio::io_context& context, Network& network, common::Stream& from, common::Stream& to,
+                   std::string const& from_ip, std::string const& to_ip, bool carries_responses, common::Yield yield) {
+  std::vector<char> chunk(65536);
+  common::Span const hop_delay = network.hop_delay(from_ip, to_ip);
   error_code error;
   while (!error) {
-    std::size_t const count = from.socket().async_read_some(boost::asio::buffer(piece), yield[error]);
-    if (hop > 0) {
-      common::pause(context, hop, yield);
+    std::size_t const count = from.socket().async_read_some(boost::asio::buffer(chunk), yield[error]);
+    if (hop_delay > 0) {
+      common::pause(context, hop_delay, yield);
     }
-    net.hold(context, from_ip, to_ip, yield);
-    if (count > 0 && answers && net.loses(from_ip, to_ip)) {
-      ++net.lost;
+    network.wait_while_cut(context, from_ip, to_ip, yield);
+    if (count > 0 && carries_responses && network.loses_responses(from_ip, to_ip)) {
+      ++network.dropped_responses;
       error = boost::asio::error::connection_reset;
     } else if (count > 0) {
       error_code writing;
-      boost::asio::async_write(to.socket(), boost::asio::buffer(piece.data(), count), yield[writing]);
-      ++net.passed;
+      boost::asio::async_write(to.socket(), boost::asio::buffer(chunk.data(), count), yield[writing]);
+      ++network.forwarded_chunks;
       error = error ? error : writing;
     }
   }
@@ -101,28 +110,29 @@
   }
 }
 
-void carry(boost::asio::io_context& context, Net& net, std::string const& target, common::Stream& near,
-           common::Yield yield) {
+/// Connects to `target` on behalf of the client and forwards both directions.
+void proxy_connection(boost::asio::io_context& context, Network& network, std::string const& target,
+                      common::Stream& client, common::Yield yield) {
   error_code error;
-  std::string const from = near.socket().remote_endpoint(error).address().to_string();
+  std::string const from = client.socket().remote_endpoint(error).address().to_string();
   std::string const to = target.substr(0, target.rfind(':'));
-  common::pause(context, net.hop(from, to), yield);
-  net.hold(context, from, to, yield);
-  absl::StatusOr<std::unique_ptr<common::Stream>> const far =
+  common::pause(context, network.hop_delay(from, to), yield);
+  network.wait_while_cut(context, from, to, yield);
+  absl::StatusOr<std::unique_ptr<common::Stream>> const server =
       common::connect(context, target, common::seconds(2), yield);
-  if (!far.ok()) {
+  if (!server.ok()) {
     return;
   }
-  near.expires_never();
-  (*far)->expires_never();
-  std::shared_ptr<bool> const back = std::make_shared<bool>(false);
+  client.expires_never();
+  (*server)->expires_never();
+  std::shared_ptr<bool> const responses_done = std::make_shared<bool>(false);
   boost::asio::steady_timer done(yield.get_executor());
   done.expires_at(std::chrono::steady_clock::time_point::max());
   boost::asio::spawn(
       yield.get_executor(),
-      [&, back](common::Yield inner) {
-        pump(context, net, **far, near, to, from, true, inner);
-        *back = true;
+      [&, responses_done](common::Yield inner) {
+        forward_bytes(context, network, **server, client, to, from, true, inner);
+        *responses_done = true;
         done.cancel();
       },
       [](std::exception_ptr thrown) {
@@ -130,47 +140,48 @@
           std::rethrow_exception(thrown);
         }
       });
-  pump(context, net, near, **far, from, to, false, yield);
-  while (!*back) {
+  forward_bytes(context, network, client, **server, from, to, false, yield);
+  while (!*responses_done) {
     done.async_wait(yield[error]);
   }
 }
 
-/// POST /cut/FROM/TO, /lose/FROM/TO, /heal/FROM/TO: a machine, a hall, a region or all, one way. What is lost are
-/// answers on connections that TO opened; the connection is closed behind them.
-common::Answer control(Net& net, common::Ask const& ask) {
+/// POST /cut/FROM/TO, /lose/FROM/TO, /heal/FROM/TO: change one direction between machines; FROM and TO are a machine, a
+/// zone, a region or "all". "lose" drops responses on connections that TO opened and then closes the connection.
+/// GET /counts returns what was forwarded, held back and dropped.
+common::Answer control(Network& network, common::Ask const& ask) {
   std::string const target(ask.target());
-  std::stringstream words(target);
-  std::string word;
+  std::stringstream segments(target);
+  std::string segment;
   std::vector<std::string> parts;
-  while (std::getline(words, word, '/')) {
-    parts.push_back(word);
+  while (std::getline(segments, segment, '/')) {
+    parts.push_back(segment);
   }
   if (target == "/counts") {
-    std::string counts = "{\"passed\":" + std::to_string(net.passed);
-    counts += ",\"held\":" + std::to_string(net.held);
-    counts += ",\"lost\":" + std::to_string(net.lost) + "}";
+    std::string counts = "{\"passed\":" + std::to_string(network.forwarded_chunks);
+    counts += ",\"held\":" + std::to_string(network.held_back);
+    counts += ",\"lost\":" + std::to_string(network.dropped_responses) + "}";
     return common::answer_text(http::status::ok, counts);
   }
   bool const known = parts.size() == 4 && (parts[1] == "cut" || parts[1] == "lose" || parts[1] == "heal");
   if (ask.method() != http::verb::post || !known) {
     return common::answer_error(http::status::not_found, "unknown_path", target);
   }
-  std::lock_guard<std::mutex> const guard(net.lock);
+  std::lock_guard<std::mutex> const guard(network.lock);
   std::size_t pairs = 0;
-  for (std::string const& from : net.named(parts[2])) {
-    for (std::string const& to : net.named(parts[3])) {
+  for (std::string const& from : network.matching_machines(parts[2])) {
+    for (std::string const& to : network.matching_machines(parts[3])) {
       if (from == to) {
         continue;
       }
       ++pairs;
       if (parts[1] == "cut") {
-        net.cuts.insert({from, to});
+        network.cuts.insert({from, to});
       } else if (parts[1] == "lose") {
-        net.losses.insert({from, to});
+        network.response_losses.insert({from, to});
       } else {
-        net.cuts.erase({from, to});
-        net.losses.erase({from, to});
+        network.cuts.erase({from, to});
+        network.response_losses.erase({from, to});
       }
     }
   }
@@ -179,43 +190,44 @@
 }
 }  // namespace
 
-int main(int count, char** values) {
-  if (count != 2 || std::string(values[1]) == "--help") {
+int main(int count, char** arguments) {
+  if (count != 2 || std::string(arguments[1]) == "--help") {
     std::cerr << "stile FILE   (routes and machines: see schema/standin.json)\n";
     return count == 2 ? 0 : common::exit_usage;
   }
-  Net net;
-  std::ifstream file(values[1]);
+  Network network;
+  std::ifstream file(arguments[1]);
   std::stringstream content;
   content << file.rdbuf();
   absl::StatusOr<common::Tree> const tree = common::read_tree(content.str());
   std::vector<common::Fault> faults;
   if (tree.ok()) {
-    schema::read(tree->get(), "", net.stile, faults);
+    schema::read(tree->get(), "", network.config, faults);
   }
   if (!tree.ok() || !faults.empty()) {
-    std::cerr << "stile: " << values[1] << ": "
+    std::cerr << "stile: " << arguments[1] << ": "
               << (tree.ok() ? common::describe(faults) : std::string(tree.status().message())) << "\n";
     return common::exit_usage;
   }
-  for (schema::StileMachine const& machine : net.stile.machines) {
-    net.machines[machine.ip] = machine;
+  for (schema::StileMachine const& machine : network.config.machines) {
+    network.machines[machine.ip] = machine;
   }
   std::signal(SIGPIPE, SIG_IGN);
   boost::asio::io_context context(4);
-  for (schema::StileRoute const& route : net.stile.routes) {
-    absl::Status const status = common::listen(
-        context, route.listen, 100000, [&context, &net, to = route.to](common::Stream& stream, common::Yield yield) {
-          carry(context, net, to, stream, yield);
-        });
+  for (schema::StileRoute const& route : network.config.routes) {
+    absl::Status const status =
+        common::listen(context, route.listen, 100000,
+                       [&context, &network, to = route.to](common::Stream& stream, common::Yield yield) {
+                         proxy_connection(context, network, to, stream, yield);
+                       });
     if (!status.ok()) {
       std::cerr << "stile: " << status.message() << "\n";
       return common::exit_listen;
     }
   }
   absl::Status const status =
-      common::serve_asks(context, net.stile.control, 64, 4096,
-                         [&net](common::Ask const& ask, common::Yield) { return control(net, ask); });
+      common::serve_asks(context, network.config.control, 64, 4096,
+                         [&network](common::Ask const& ask, common::Yield) { return control(network, ask); });
   if (!status.ok()) {
     std::cerr << "stile: " << status.message() << "\n";
     return common::exit_listen;
--- a/source/fake_workers/worker/part_cache.cpp
+++ b/source/fake_workers/worker/part_cache.cpp
@@ -2,54 +2,54 @@
 
 namespace finchlink::fake_workers {
 
-CacheResult PartCache::read(std::string const& reader, std::string const& weights,
-                            std::vector<RequestPart> const& parts) {
-  CacheResult reading;
-  bool all_before = true;
+CacheResult PartCache::look_up_and_store(std::string const& reader, std::string const& weights,
+                                         std::vector<RequestPart> const& parts) {
+  CacheResult result;
+  bool prefix_cached = true;
   for (RequestPart const& part : parts) {
-    reading.tokens += part.tokens;
-    std::map<std::string, Kept>::iterator found = kept_.find(part.id);
-    all_before = all_before && found != kept_.end();
-    if (all_before) {
-      Kept const& kept = found->second;
-      reading.reused += part.tokens;
-      reading.old_hits += kept.weights != weights ? 1 : 0;
-      if (kept.writer == reader) {
-        ++reading.own_hits;
-      } else if (kept.open && part.open) {
-        ++reading.open_hits;
+    result.tokens += part.tokens;
+    std::map<std::string, Entry>::iterator found = entries_.find(part.id);
+    prefix_cached = prefix_cached && found != entries_.end();
+    if (prefix_cached) {
+      Entry const& entry = found->second;
+      result.cached_tokens += part.tokens;
+      result.old_hits += entry.weights != weights ? 1 : 0;
+      if (entry.writer == reader) {
+        ++result.own_hits;
+      } else if (entry.is_public && part.is_public) {
+        ++result.public_hits;
       } else {
-        ++reading.crossed_hits;
-        reading.crossings.push_back(kept.writer + " > " + reader + ": " + part.id);
+        ++result.crossed_hits;
+        result.crossings.push_back(entry.writer + " > " + reader + ": " + part.id);
       }
-    } else if (found == kept_.end()) {
-      found = kept_.emplace(part.id, Kept{reader, weights, part.open, part.tokens, 0}).first;
+    } else if (found == entries_.end()) {
+      found = entries_.emplace(part.id, Entry{reader, weights, part.is_public, part.tokens, 0}).first;
       tokens_ += part.tokens;
-    } else {  // read anew behind other parts
+    } else {  // stored, but computed again because a part before it was missing
       found->second.writer = reader;
       found->second.weights = weights;
-      found->second.open = part.open;
+      found->second.is_public = part.is_public;
     }
   }
-  // The end of a prompt gives way before its beginning.
+  // Marked as used from last to first, so that the end of a prompt is evicted before its beginning.
   for (std::vector<RequestPart>::const_reverse_iterator part = parts.rbegin(); part != parts.rend(); ++part) {
-    Kept& kept = kept_.at(part->id);
-    by_use_.erase(kept.used);
-    kept.used = ++uses_;
-    by_use_[kept.used] = part->id;
+    Entry& entry = entries_.at(part->id);
+    by_last_use_.erase(entry.last_use);
+    entry.last_use = ++use_count_;
+    by_last_use_[entry.last_use] = part->id;
   }
-  while (tokens_ > most_ && !by_use_.empty()) {
-    std::map<std::string, Kept>::iterator const oldest = kept_.find(by_use_.begin()->second);
+  while (tokens_ > capacity_tokens_ && !by_last_use_.empty()) {
+    std::map<std::string, Entry>::iterator const oldest = entries_.find(by_last_use_.begin()->second);
     tokens_ -= oldest->second.tokens;
-    kept_.erase(oldest);
-    by_use_.erase(by_use_.begin());
+    entries_.erase(oldest);
+    by_last_use_.erase(by_last_use_.begin());
   }
-  return reading;
+  return result;
 }
 
 void PartCache::clear() {
-  kept_.clear();
-  by_use_.clear();
+  entries_.clear();
+  by_last_use_.clear();
   tokens_ = 0;
 }
 
--- a/source/fake_workers/worker/worker.cpp
+++ b/source/fake_workers/worker/worker.cpp
@@ -14,31 +14,31 @@
 namespace http = common::http;
 using boost::system::error_code;
 
-Worker::Worker(boost::asio::io_context& context, schema::Bed const& bed, schema::BedWorker const& self,
-               RegisterClient& ledger, bool warm, std::uint64_t seed)
+Worker::Worker(boost::asio::io_context& context, schema::Bed const& config, schema::BedWorker const& spec,
+               RunLedger& ledger, bool warm, std::uint64_t seed)
     : context_(context),
-      bed_(bed),
-      self_(self),
-      register_(ledger),
+      config_(config),
+      spec_(spec),
+      ledger_(ledger),
       random_(seed),
-      cache_(bed.cache_blocks),
-      part_cache_(static_cast<double>(bed.kept_tokens)),
-      boot_("boot-" + std::to_string(seed) + "-0"),
-      up_since_(common::boot_now()),
+      prefix_record_(config.cache_blocks),
+      part_cache_(static_cast<double>(config.kept_tokens)),
+      start_id_("boot-" + std::to_string(seed) + "-0"),
+      started_at_(common::boot_now()),
       warm_(warm) {}
 
-void Worker::begin() {
-  common::start(context_, [this](common::Yield yield) { engine(yield); });
+void Worker::start() {
+  common::start(context_, [this](common::Yield yield) { run_engine(yield); });
 }
 
-double Worker::noisy(double seconds) {
-  std::normal_distribution<double> spread(1.0, bed_.model.noise);
-  return std::max(0.0, seconds * slow_ * std::max(0.2, spread(random_)) / self_.speed);
+double Worker::add_noise(double seconds) {
+  std::normal_distribution<double> spread(1.0, config_.model.noise);
+  return std::max(0.0, seconds * slowdown_ * std::max(0.2, spread(random_)) / spec_.speed);
 }
 
 void Worker::set_draining(bool on) {
   draining_ = on;
-  register_.draining(self_.id, on, common::boot_now());
+  ledger_.set_worker_draining(spec_.id, on, common::boot_now());
 }
 bool Worker::draining() {
   return draining_;
@@ -66,11 +66,11 @@
     waiting_.clear();
     running_.clear();
   } else {
-    ++life_;
-    boot_ = boot_.substr(0, boot_.rfind('-')) + "-" + std::to_string(life_);
-    up_since_ = common::boot_now();
+    ++restarts_;
+    start_id_ = start_id_.substr(0, start_id_.rfind('-')) + "-" + std::to_string(restarts_);
+    started_at_ = common::boot_now();
     warm_ = false;
-    cache_.clear();
+    prefix_record_.clear();
     part_cache_.clear();
   }
 }
@@ -80,15 +80,13 @@
   ++weights_;
 }
 
-/// A relay names the worker and the weights that it means: another one says
-/// so, and nothing runs.
-bool Worker::turned_away(common::Stream& stream, common::Ask const& ask, common::Yield yield) {
+bool Worker::rejects_mismatch(common::Stream& stream, common::Ask const& ask, common::Yield yield) {
   std::string weights;
   {
     std::lock_guard<std::mutex> const guard(lock_);
     weights = "w" + std::to_string(weights_);
   }
-  bool const other_worker = ask["Finchlink-Worker"] != self_.id;
+  bool const other_worker = ask["Finchlink-Worker"] != spec_.id;
   bool const other_weights = !ask["Finchlink-Expect-Weights"].empty() && ask["Finchlink-Expect-Weights"] != weights;
   if (!other_worker && !other_weights) {
     return false;
@@ -106,40 +104,41 @@
   return true;
 }
 
-/// Under `lock_`.
-void Worker::take_parts(common::Ask const& ask, Job& job) {
+void Worker::read_prompt_parts(common::Ask const& ask, Job& job) {
   job.relayed = true;
   job.tokens = std::max(1.0, std::atof(std::string(ask["Finchlink-Tokens"]).c_str()));
   job.tenant = std::string(ask["Finchlink-Standin-Tenant"]);
   job.weights = "w" + std::to_string(weights_);
-  job.load = std::to_string(running_.size()) + "," + std::to_string(waiting_.size()) + "," + std::to_string(bed_.limit);
-  std::size_t const open = static_cast<std::size_t>(std::atoll(std::string(ask["Finchlink-Standin-Public"]).c_str()));
-  std::stringstream words{std::string(ask["Finchlink-Parts"])};
-  std::string word;
-  while (std::getline(words, word, ',')) {
-    std::size_t const colon = word.rfind(':');
+  job.load_header =
+      std::to_string(running_.size()) + "," + std::to_string(waiting_.size()) + "," + std::to_string(config_.limit);
+  std::size_t const public_parts =
+      static_cast<std::size_t>(std::atoll(std::string(ask["Finchlink-Standin-Public"]).c_str()));
+  std::stringstream entries{std::string(ask["Finchlink-Parts"])};
+  std::string entry;
+  while (std::getline(entries, entry, ',')) {
+    std::size_t const colon = entry.rfind(':');
     if (colon != std::string::npos) {
-      job.parts.push_back(
-          RequestPart{word.substr(0, colon), std::atof(word.c_str() + colon + 1), job.parts.size() < open});
+      job.prompt_parts.push_back(RequestPart{entry.substr(0, colon), std::atof(entry.c_str() + colon + 1),
+                                             job.prompt_parts.size() < public_parts});
     }
   }
 }
 
-bool Worker::over_limit(bool& flooded) {
-  std::size_t const open = waiting_.size() + running_.size() + plain_open_;
-  double const up = static_cast<double>(common::boot_now() - up_since_) / 1000.0;
-  flooded = false;
-  if (!warm_ && up < static_cast<double>(bed_.warming_ms)) {
-    double const bears = static_cast<double>(bed_.cold_bears) +
-                         static_cast<double>(bed_.limit) * up / static_cast<double>(bed_.warming_ms);
-    flooded = static_cast<double>(open) >= bears;
+bool Worker::is_over_limit(bool& overloads_cold_worker) {
+  std::size_t const open_queries = waiting_.size() + running_.size() + plain_open_;
+  double const uptime = static_cast<double>(common::boot_now() - started_at_) / 1000.0;
+  overloads_cold_worker = false;
+  if (!warm_ && uptime < static_cast<double>(config_.warming_ms)) {
+    double const cold_limit = static_cast<double>(config_.cold_bears) +
+                              static_cast<double>(config_.limit) * uptime / static_cast<double>(config_.warming_ms);
+    overloads_cold_worker = static_cast<double>(open_queries) >= cold_limit;
   }
-  return flooded || open >= bed_.limit;
+  return overloads_cold_worker || open_queries >= config_.limit;
 }
 
 void Worker::emit(JobPointer const& job, std::string const& text, bool last) {
-  ++job->produced;
-  if (job->produced <= job->skip) {
+  ++job->produced_events;
+  if (job->produced_events <= job->skipped_events) {
     return;
   }
   common::Tree object(cJSON_CreateObject());
@@ -147,7 +146,8 @@
   if (last) {
     cJSON_AddStringToObject(object.get(), "query", job->query.c_str());
   }
-  std::string const event = "id: " + std::to_string(job->produced) + "\nevent: " + (last ? "complete" : "token") +
+  std::string const event = "id: " + std::to_string(job->produced_events) +
+                            "\nevent: " + (last ? "complete" : "token") +
                             "\ndata: " + common::print_tree(object.get()) + "\n\n";
   boost::asio::post(job->timer.get_executor(), [job, event, last] {
     job->events.push_back(event);
@@ -156,7 +156,7 @@
   });
 }
 
-void Worker::engine(common::Yield yield) {
+void Worker::run_engine(common::Yield yield) {
   while (true) {
     std::uint64_t const seen = bell_.count();
     JobPointer prefill;
@@ -172,34 +172,35 @@
         prefill = waiting_.front();
         waiting_.pop_front();
         running_.push_back(prefill);
-        CacheResult reading;
+        CacheResult cache_result;
         if (prefill->relayed) {
-          reading = part_cache_.read(prefill->tenant, prefill->weights, prefill->parts);
-          register_.isolation(prefill->tenant, reading);
-          prefill->reused = reading.reused;
-          prefill->read = true;
+          cache_result = part_cache_.look_up_and_store(prefill->tenant, prefill->weights, prefill->prompt_parts);
+          ledger_.record_cache_result(prefill->tenant, cache_result);
+          prefill->cached_tokens = cache_result.cached_tokens;
+          prefill->prompt_read = true;
         }
-        double const cached =
-            prefill->relayed
-                ? std::min(reading.reused, prefill->tokens - 1)
-                : std::min(static_cast<double>(cache_.match(prefill->chain)) * static_cast<double>(bed_.block_tokens),
-                           prefill->tokens - 1);
+        double const cached = prefill->relayed
+                                  ? std::min(cache_result.cached_tokens, prefill->tokens - 1)
+                                  : std::min(static_cast<double>(prefix_record_.match(prefill->block_chain)) *
+                                                 static_cast<double>(config_.block_tokens),
+                                             prefill->tokens - 1);
         double const uncached = prefill->tokens - cached;
-        cache_.remember(prefill->chain);
-        std::vector<double> const& terms = bed_.model.prefill;
-        if (prefill->leg == "decode") {
-          seconds = 0;  // the KV came over from the prefill worker
+        prefix_record_.remember(prefill->block_chain);
+        std::vector<double> const& coefficients = config_.model.prefill;
+        if (prefill->phase == "decode") {
+          seconds = 0;  // the KV cache was transferred from the prefill worker
         } else {
-          seconds = noisy(terms[0] + terms[1] * uncached + terms[2] * scheduling::pairs(uncached, cached));
+          seconds = add_noise(coefficients[0] + coefficients[1] * uncached +
+                              coefficients[2] * scheduling::pairs(uncached, cached));
         }
       } else {
         batch = running_.size();
-        std::vector<double> const& terms = bed_.model.decode;
-        seconds = batch == 0
-                      ? 0
-                      : noisy(terms[0] +
-                              terms[1] * scheduling::spread(bed_.model.experts_share, 1, static_cast<double>(batch)) +
-                              terms[2] * static_cast<double>(batch));
+        std::vector<double> const& coefficients = config_.model.decode;
+        seconds = batch == 0 ? 0
+                             : add_noise(coefficients[0] +
+                                         coefficients[1] * scheduling::spread(config_.model.experts_share, 1,
+                                                                              static_cast<double>(batch)) +
+                                         coefficients[2] * static_cast<double>(batch));
       }
     }
     if (prefill == nullptr && batch == 0) {
@@ -214,7 +215,7 @@
       continue;
     }
     if (prefill != nullptr) {
-      bool const last = prefill->leg == "prefill";
+      bool const last = prefill->phase == "prefill";
       if (last) {
         boost::asio::post(prefill->timer.get_executor(), [prefill] {
           prefill->ended = true;
@@ -226,17 +227,17 @@
       }
       continue;
     }
-    std::string const piece(static_cast<std::size_t>(static_cast<double>(bed_.tokens_per_event) * bed_.bytes_per_token),
-                            'w');
-    for (std::list<JobPointer>::iterator place = running_.begin(); place != running_.end();) {
-      JobPointer const job = *place;
+    std::string const piece(
+        static_cast<std::size_t>(static_cast<double>(config_.tokens_per_event) * config_.bytes_per_token), 'w');
+    for (std::list<JobPointer>::iterator position = running_.begin(); position != running_.end();) {
+      JobPointer const job = *position;
       if (job->dropped) {
-        place = running_.erase(place);
+        position = running_.erase(position);
         continue;
       }
-      bool const last = job->produced * bed_.tokens_per_event >= job->outputs;
+      bool const last = job->produced_events * config_.tokens_per_event >= job->output_tokens;
       emit(job, piece, last);
-      place = last ? running_.erase(place) : std::next(place);
+      position = last ? running_.erase(position) : std::next(position);
     }
   }
 }
@@ -247,7 +248,7 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     ++plain_open_;
-    seconds = noisy(bed_.plain_ms / 1000);
+    seconds = add_noise(config_.plain_ms / 1000);
   }
   common::pause(context_, static_cast<common::Span>(seconds * 1e6), yield);
   {
@@ -266,10 +267,10 @@
 
 void Worker::answer_stream(common::Stream& stream, JobPointer const& job, common::Yield yield) {
   error_code error;
-  bool header = false;
+  bool header_sent = false;
   while (true) {
     if (job->dropped) {
-      return;  // the connection closes without the last chunk
+      return;  // closes the connection without the last chunk, so that the client sees the response as incomplete
     }
     if (job->events.empty() && !job->ended) {
       error_code woken;
@@ -277,24 +278,24 @@
       job->timer.async_wait(yield[woken]);
       continue;
     }
-    if (job->leg == "prefill") {
+    if (job->phase == "prefill") {
       common::Answer answer = common::answer_text(http::status::ok, "{\"prefill\":\"done\"}");
       answer.set("Finchlink-Query", job->query);
-      answer.set("Finchlink-Kv", self_.address + "/" + job->query);
+      answer.set("Finchlink-Kv", spec_.address + "/" + job->query);
       answer.keep_alive(false);
       http::async_write(stream, answer, yield[error]);
       return;
     }
-    if (!header) {
-      header = true;
+    if (!header_sent) {
+      header_sent = true;
       http::response<http::empty_body> head{http::status::ok, 11};
       head.set(http::field::content_type, "text/event-stream");
       head.set("Finchlink-Query", job->query);
       if (job->relayed) {
-        head.set("Finchlink-Seal", self_.id + "." + job->query);
+        head.set("Finchlink-Seal", spec_.id + "." + job->query);
         head.set("Finchlink-Weights", job->weights);
-        head.set("Finchlink-Reused", std::to_string(static_cast<std::uint64_t>(job->reused)));
-        head.set("Finchlink-Load", job->load);
+        head.set("Finchlink-Reused", std::to_string(static_cast<std::uint64_t>(job->cached_tokens)));
+        head.set("Finchlink-Load", job->load_header);
       }
       head.keep_alive(false);
       head.chunked(true);
@@ -334,7 +335,7 @@
     if (error || crashed_) {
       return;
     }
-    while (dark_) {
+    while (unreachable_) {
       common::pause(context_, common::milliseconds(50), yield);
     }
     common::Ask const ask = parser.release();
@@ -343,7 +344,7 @@
       {
         std::lock_guard<std::mutex> const guard(lock_);
         body = "{\"running\":" + std::to_string(running_.size() + plain_open_) +
-               ",\"waiting\":" + std::to_string(waiting_.size()) + ",\"boot\":\"" + boot_ + "\"}";
+               ",\"waiting\":" + std::to_string(waiting_.size()) + ",\"boot\":\"" + start_id_ + "\"}";
       }
       common::Answer answer = common::answer_text(http::status::ok, body);
       answer.keep_alive(true);
@@ -354,59 +355,60 @@
       continue;
     }
     bool const relayed = !ask["Finchlink-Worker"].empty();
-    if (relayed && turned_away(stream, ask, yield)) {
+    if (relayed && rejects_mismatch(stream, ask, yield)) {
       return;
     }
     std::string const query(ask["Finchlink-Query"]);
-    RegisterClient::Arrival arrival;
+    RunLedger::Arrival arrival;
     arrival.rule = std::string(ask["Finchlink-Rule"]);
-    arrival.worker = self_.id;
-    arrival.region = self_.region;
-    arrival.zone = self_.zone;
-    arrival.leg = std::string(ask["Finchlink-Leg"]);
+    arrival.worker = spec_.id;
+    arrival.region = spec_.region;
+    arrival.zone = spec_.zone;
+    arrival.phase = std::string(ask["Finchlink-Leg"]);
     arrival.dispatch = std::atoi(std::string(ask["Finchlink-Dispatch"]).c_str());
     arrival.now = common::boot_now();
-    std::uint64_t outputs = 16;
+    std::uint64_t output_tokens = 16;
     absl::StatusOr<common::Tree> const tree = common::read_tree(ask.body());
     if (tree.ok()) {
       cJSON const* const nonce = cJSON_GetObjectItemCaseSensitive(tree->get(), "nonce");
       cJSON const* const home = cJSON_GetObjectItemCaseSensitive(tree->get(), "home");
       cJSON const* const repeatable = cJSON_GetObjectItemCaseSensitive(tree->get(), "repeatable");
-      cJSON const* const wanted = cJSON_GetObjectItemCaseSensitive(tree->get(), "outputs");
+      cJSON const* const requested_tokens = cJSON_GetObjectItemCaseSensitive(tree->get(), "outputs");
       arrival.nonce = cJSON_IsString(nonce) != 0 ? nonce->valuestring : "";
       arrival.home = cJSON_IsString(home) != 0 ? home->valuestring : "";
       arrival.repeatable = cJSON_IsTrue(repeatable) != 0;
-      outputs = cJSON_IsNumber(wanted) != 0 ? static_cast<std::uint64_t>(wanted->valuedouble) : outputs;
+      output_tokens = cJSON_IsNumber(requested_tokens) != 0 ? static_cast<std::uint64_t>(requested_tokens->valuedouble)
+                                                            : output_tokens;
     }
     std::string const target(ask.target());
-    std::size_t const mark = target.find("nonce=");
-    if (arrival.nonce.empty() && mark != std::string::npos) {
-      arrival.nonce = target.substr(mark + 6);
+    std::size_t const nonce_at = target.find("nonce=");
+    if (arrival.nonce.empty() && nonce_at != std::string::npos) {
+      arrival.nonce = target.substr(nonce_at + 6);
       arrival.repeatable = true;
     }
     JobPointer const job = std::make_shared<Job>(yield.get_executor());
-    bool refused = false;
-    bool flooded = false;
+    bool rejected = false;
+    bool overloads_cold_worker = false;
     {
       std::lock_guard<std::mutex> const guard(lock_);
-      refused = over_limit(flooded);
-      if (!refused && self_.kind == "model") {
+      rejected = is_over_limit(overloads_cold_worker);
+      if (!rejected && spec_.kind == "model") {
         job->query = query;
         job->nonce = arrival.nonce;
-        job->leg = arrival.leg;
-        job->tokens = std::max(1.0, static_cast<double>(ask.body().size()) / bed_.bytes_per_token);
-        job->chain = scheduling::block_hashes(
-            ask.body(), static_cast<std::size_t>(static_cast<double>(bed_.block_tokens) * bed_.bytes_per_token));
+        job->phase = arrival.phase;
+        job->tokens = std::max(1.0, static_cast<double>(ask.body().size()) / config_.bytes_per_token);
+        job->block_chain = scheduling::block_hashes(
+            ask.body(), static_cast<std::size_t>(static_cast<double>(config_.block_tokens) * config_.bytes_per_token));
         if (relayed) {
-          take_parts(ask, *job);
+          read_prompt_parts(ask, *job);
         }
-        job->outputs = outputs;
-        job->skip = static_cast<std::uint64_t>(std::atoll(std::string(ask["Last-Event-ID"]).c_str()));
+        job->output_tokens = output_tokens;
+        job->skipped_events = static_cast<std::uint64_t>(std::atoll(std::string(ask["Last-Event-ID"]).c_str()));
         waiting_.push_back(job);
       }
     }
-    register_.arrived(arrival, !refused, flooded);
-    if (refused) {
+    ledger_.record_arrival(arrival, !rejected, overloads_cold_worker);
+    if (rejected) {
       common::Answer answer = common::answer_error(http::status::too_many_requests, "full", "nothing ran");
       if (relayed) {
         answer.set("Finchlink-Refused", "1");
@@ -416,7 +418,7 @@
       http::async_write(stream, answer, yield[error]);
       return;
     }
-    if (self_.kind != "model") {
+    if (spec_.kind != "model") {
       answer_plain(stream, query, arrival.nonce, yield);
       return;
     }
--- a/source/hollow_nodes/hollow_nodes.hpp
+++ b/source/hollow_nodes/hollow_nodes.hpp
@@ -13,33 +13,40 @@
 
 namespace finchlink::hollow_nodes {
 
-/// What all hollow furrows of this process saw.
-struct Tally {
-  std::uint64_t asks = 0;
-  std::uint64_t unanswered = 0;
-  std::uint64_t unconfirmed = 0;
-  std::uint64_t lapses = 0;                                      ///< vouches that ended before the next one came
-  std::map<std::uint64_t, std::vector<common::Moment>> adopted;  ///< setup revision to when each furrow held it
+/// Counts over all hollow proxies of this process.
+struct SessionCounts {
+  std::uint64_t requests = 0;        ///< requests for updates
+  std::uint64_t unanswered = 0;      ///< requests that failed
+  std::uint64_t unconfirmed = 0;     ///< responses of a controller that couldn't confirm its state
+  std::uint64_t lease_expiries = 0;  ///< freshness leases that expired before they were renewed
+  std::map<std::uint64_t, std::vector<common::Moment>> applied_at;  ///< by setup revision: when each proxy applied it
 };
 
-/// The session of one furrow (section 6.1) without its queries: it asks,
-/// counts its vouch and keeps setup, members and list as a furrow does.
-class Hollow {
+/// The controller session of one proxy (docs/design.md section 6.1) without queries: it requests updates, keeps its
+/// freshness lease and holds setup, members and worker list as a proxy does. Used to load controllers in scale runs.
+class HollowProxy {
  public:
-  Hollow(boost::asio::io_context& context, schema::Gourd const& gourd, std::uint64_t number, Tally& tally);
-  void begin(common::Span delay);
+  /// `config` and `counts` must outlive the proxy; `number` sets its name, zone, address and first controller.
+  HollowProxy(boost::asio::io_context& context, schema::Gourd const& config, std::uint64_t number,
+              SessionCounts& counts);
+  /// Starts the session after `delay`.
+  void start(common::Span delay);
 
  private:
-  void converse(common::Yield yield);
-  void take(schema::NewsAnswer const& answer, common::Moment asked);
-  void stir(common::Moment now);
-  [[nodiscard]] schema::FurrowReport report(std::uint64_t slice) const;
+  /// Requests updates without end, from the next controller whenever one fails or can't confirm its state.
+  void run_session(common::Yield yield);
+  /// Applies a response to a request that was sent at `request_sent`.
+  void apply_response(schema::NewsAnswer const& response, common::Moment request_sent);
+  /// Changes the reported load every `stir_ms`, so that the member entry changes.
+  void update_load(common::Moment now);
+  /// A report with as many figures and samples as configured.
+  [[nodiscard]] schema::FurrowReport make_report(std::uint64_t interval) const;
 
   boost::asio::io_context& context_;
-  schema::Gourd const& gourd_;
-  Tally& tally_;
-  common::Caller caller_;  ///< its own, as every furrow has its own connections
-  data_plane::ContentFetcher contents_;
+  schema::Gourd const& config_;
+  SessionCounts& counts_;
+  common::Caller caller_;  ///< not shared, as every proxy has its own connections
+  data_plane::ContentFetcher content_fetcher_;
   std::uint64_t number_;
   std::string region_;
   schema::Member member_;
@@ -47,8 +54,8 @@
   bool was_confirmed_ = false;
   std::string setup_;
   membership::MemberReplica members_;
-  membership::ListReplica list_;
-  common::Moment stirred_ = 0;
+  membership::ListReplica worker_list_;
+  common::Moment load_updated_at_ = 0;
 };
 
 }  // namespace finchlink::hollow_nodes
--- a/source/hollow_nodes/main.cpp
+++ b/source/hollow_nodes/main.cpp
@@ -11,18 +11,20 @@
 #include "common/settings/settings.hpp"
 #include "hollow_nodes/hollow_nodes.hpp"
 
-/// Hollow furrows for scale runs (docs/operating/standins.md).
+/// The program gourd: many hollow proxies in one process, for scale runs (docs/operating/standins.md).
 namespace {
 using namespace finchlink;
 
-void print(hollow_nodes::Tally const& tally, std::uint64_t proxies) {
-  std::cout << "{\"furrows\": " << proxies << ", \"asks\": " << tally.asks << ", \"unanswered\": " << tally.unanswered
-            << ", \"unvouched\": " << tally.unconfirmed << ", \"lapses\": " << tally.lapses << ", \"adopted\": {";
+/// Prints the counts as one line of JSON; tools/scale reads it.
+void print(hollow_nodes::SessionCounts const& counts, std::uint64_t proxies) {
+  std::cout << "{\"furrows\": " << proxies << ", \"asks\": " << counts.requests
+            << ", \"unanswered\": " << counts.unanswered << ", \"unvouched\": " << counts.unconfirmed
+            << ", \"lapses\": " << counts.lease_expiries << ", \"adopted\": {";
   char const* separator = "";
-  for (std::pair<std::uint64_t const, std::vector<common::Moment>> const& revision : tally.adopted) {
-    std::cout << separator << "\"" << revision.first << "\": [";
+  for (std::pair<std::uint64_t const, std::vector<common::Moment>> const& setup_revision : counts.applied_at) {
+    std::cout << separator << "\"" << setup_revision.first << "\": [";
     separator = "";
-    for (common::Moment const moment : revision.second) {
+    for (common::Moment const moment : setup_revision.second) {
       std::cout << separator << moment;
       separator = ", ";
     }
@@ -33,24 +35,24 @@
 }
 }  // namespace
 
-int main(int count, char** values) {
-  if (count != 2 || std::string(values[1]) == "--help") {
-    std::cerr << "gourd FILE   (hollow furrows: see schema/standin.json)\n";
+int main(int count, char** arguments) {
+  if (count != 2 || std::string(arguments[1]) == "--help") {
+    std::cerr << "gourd FILE   (hollow proxies: see schema/standin.json)\n";
     return count == 2 ? 0 : common::exit_usage;
   }
-  std::ifstream file(values[1]);
+  std::ifstream file(arguments[1]);
   std::stringstream content;
   content << file.rdbuf();
   absl::StatusOr<common::Tree> const tree = common::read_tree(content.str());
-  schema::Gourd gourd;
+  schema::Gourd config;
   std::vector<common::Fault> faults;
   if (!tree.ok()) {
-    std::cerr << "gourd: " << values[1] << ": " << tree.status().message() << "\n";
+    std::cerr << "gourd: " << arguments[1] << ": " << tree.status().message() << "\n";
     return common::exit_usage;
   }
-  schema::read(tree->get(), "", gourd, faults);
-  if (gourd.halls.empty() || gourd.seeds.empty()) {
-    faults.push_back(common::Fault{"", "needs a hall and a seed"});
+  schema::read(tree->get(), "", config, faults);
+  if (config.halls.empty() || config.seeds.empty()) {
+    faults.push_back(common::Fault{"", "needs at least one entry in halls and one in seeds"});
   }
   if (!faults.empty()) {
     std::cerr << "gourd: " << common::describe(faults) << "\n";
@@ -59,17 +61,19 @@
   std::signal(SIGPIPE, SIG_IGN);
   common::start_log("gourd", "gourd", "info");
   boost::asio::io_context context(1);
-  hollow_nodes::Tally tally;
-  std::vector<std::unique_ptr<hollow_nodes::Hollow>> hollows;
-  for (std::uint64_t index = 0; index < gourd.furrows; ++index) {
-    hollows.push_back(std::make_unique<hollow_nodes::Hollow>(context, gourd, gourd.first + index, tally));
-    // Spread over one hold, as furrows that started at different times are.
-    hollows.back()->begin(common::milliseconds(static_cast<std::int64_t>(gourd.ask_hold_ms * index / gourd.furrows)));
+  hollow_nodes::SessionCounts counts;
+  std::vector<std::unique_ptr<hollow_nodes::HollowProxy>> hollow_proxies;
+  for (std::uint64_t index = 0; index < config.furrows; ++index) {
+    hollow_proxies.push_back(
+        std::make_unique<hollow_nodes::HollowProxy>(context, config, config.first + index, counts));
+    // Spread over one long-poll wait, like proxies that started at different times.
+    hollow_proxies.back()->start(
+        common::milliseconds(static_cast<std::int64_t>(config.ask_hold_ms * index / config.furrows)));
   }
   common::note_traffic_on_signal(context);
   boost::asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&context](boost::system::error_code const&, int) { context.stop(); });
   context.run();
-  print(tally, gourd.furrows);
+  print(counts, config.furrows);
   return 0;
 }
--- a/source/load_generator/main.cpp
+++ b/source/load_generator/main.cpp
@@ -20,39 +20,44 @@
 #include "data_plane/worker/contract.hpp"
 #include "schema/standin.hpp"
 
-/// Stand-in callers: an open stream of queries by the mixes, each answer
-/// checked for owner, completeness and numbering (docs/operating/standins.md).
+/// The program gleaner: a load generator. It sends queries at the rates of the configured mixes, whether or not earlier
+/// ones were answered, and checks that each response belongs to its query, is complete and numbers its events in order
+/// (docs/operating/standins.md).
 namespace {
 using namespace finchlink;
 namespace http = common::http;
 using boost::system::error_code;
 
-struct Tally {
+/// Outcomes of the queries of one mix.
+struct MixCounts {
   std::uint64_t sent = 0;
-  std::uint64_t good = 0;
-  std::uint64_t refused = 0;       ///< 503 or 429: told that nothing ran
-  std::uint64_t without_hint = 0;  ///< of these, without Retry-After
-  std::uint64_t may_have_run = 0;
-  std::uint64_t broken = 0;     ///< streams that ended with an error event or were cut
-  std::uint64_t unreached = 0;  ///< no answer in any try
-  std::uint64_t other = 0;
-  std::uint64_t wrong_owner = 0;
-  std::uint64_t wrong_number = 0;
-  std::uint64_t looked_whole = 0;  ///< ended well but incomplete
+  std::uint64_t succeeded = 0;
+  std::uint64_t rejected = 0;             ///< status 503 or 429, which state that nothing ran
+  std::uint64_t without_retry_after = 0;  ///< rejected without the header Retry-After
+  std::uint64_t may_have_run = 0;         ///< status 502 or 504
+  std::uint64_t interrupted = 0;          ///< streams that ended with an error event or were cut
+  std::uint64_t unanswered = 0;           ///< no response in any attempt
+  std::uint64_t other_status = 0;
+  std::uint64_t wrong_owner = 0;            ///< responses without the nonce of their query
+  std::uint64_t wrong_number = 0;           ///< streams with events missing, repeated or after the last one
+  std::uint64_t undetected_incomplete = 0;  ///< ended without an error but incomplete
   std::uint64_t redirects = 0;
-  std::vector<double> first;
-  std::vector<double> whole;
+  std::vector<double> first_byte_seconds;  ///< seconds to the first byte, of successful queries
+  std::vector<double> total_seconds;       ///< seconds to the end, of successful queries
 };
 
-struct Book {
-  std::mutex lock;
-  std::map<std::string, Tally> tallies;
-  std::set<std::string> refused;
-  std::map<std::int64_t, std::pair<std::uint64_t, std::uint64_t>> by_second;  ///< good and not good
-  std::atomic<std::int64_t> open = 0;
+/// Outcomes of all queries; shared by all threads.
+struct Results {
+  std::mutex lock;  ///< guards all fields but `open`
+  std::map<std::string, MixCounts> by_mix;
+  std::set<std::string> rejected;  ///< nonces
+  /// Counts of succeeded and failed queries by the second in which they started.
+  std::map<std::int64_t, std::pair<std::uint64_t, std::uint64_t>> by_second;
+  std::atomic<std::int64_t> open = 0;  ///< queries in flight
 };
 
-std::string filler(std::uint64_t seed, std::size_t size) {
+/// Text that depends on the seed alone, so that equal seeds give equal prompt prefixes.
+std::string random_text(std::uint64_t seed, std::size_t size) {
   static char const letters[] = "abcdefghijklmnopqrstuvwxyz 0123456789:/._-";
   std::mt19937_64 random(seed);
   std::string text(size, ' ');
@@ -62,290 +67,304 @@
   return text;
 }
 
-struct Call {
+/// One query to send.
+struct Request {
   schema::Mix mix;
   std::string target;
   std::string nonce;
   std::string home;
   std::string body;
-  std::vector<std::pair<std::string, std::string>> fields;  ///< more of its header
+  std::vector<std::pair<std::string, std::string>> headers;  ///< additional HTTP headers
 };
 
-struct Seen {
-  int status = 0;
-  bool hint = false;
-  bool ran_no = false;
+/// What came back for one attempt.
+struct Response {
+  int status = 0;                ///< HTTP status; 0: no response
+  bool has_retry_after = false;  ///< the header Retry-After is there
+  bool says_not_run = false;     ///< Finchlink-May-Have-Run: no
   std::string location;
   std::string text;
   bool stream = false;
-  bool complete = false;
-  bool ended = false;
-  bool numbered = true;
-  double first = 0;
+  bool complete = false;         ///< the last event arrived
+  bool ended = false;            ///< the body was read to its end
+  bool numbers_in_order = true;  ///< event numbers are 1, 2, 3, ...
+  double first_byte_seconds = 0;
 };
 
-Seen talk(boost::asio::io_context& context, Call const& call, std::string const& address, common::Moment until,
-          common::Yield yield) {
-  Seen seen;
-  common::Moment const began = common::boot_now();
+/// Sends the request to `address` and reads the response until it ends or `until` has passed.
+Response send_request(boost::asio::io_context& context, Request const& request, std::string const& address,
+                      common::Moment until, common::Yield yield) {
+  Response response;
+  common::Moment const start_time = common::boot_now();
   absl::StatusOr<std::unique_ptr<common::Stream>> const connection =
       common::connect(context, address, common::seconds(2), yield);
   if (!connection.ok()) {
-    return seen;
+    return response;
   }
   common::Stream& stream = **connection;
-  common::Ask ask{http::string_to_verb(call.mix.method), call.mix.path, 11};
-  ask.set(http::field::host, call.mix.host.empty() ? address : call.mix.host);
-  ask.set(http::field::content_type, "application/json");
-  if (!call.home.empty()) {
-    ask.set("Finchlink-Home", call.home);
+  common::Ask message{http::string_to_verb(request.mix.method), request.mix.path, 11};
+  message.set(http::field::host, request.mix.host.empty() ? address : request.mix.host);
+  message.set(http::field::content_type, "application/json");
+  if (!request.home.empty()) {
+    message.set("Finchlink-Home", request.home);
   }
-  for (std::pair<std::string, std::string> const& field : call.fields) {
-    ask.set(field.first, field.second);
+  for (std::pair<std::string, std::string> const& header : request.headers) {
+    message.set(header.first, header.second);
   }
-  ask.body() = call.body;
-  ask.keep_alive(false);
-  ask.prepare_payload();
+  message.body() = request.body;
+  message.keep_alive(false);
+  message.prepare_payload();
   error_code error;
-  stream.expires_after(common::duration(std::max<common::Span>(until - began, 1000)));
-  http::async_write(stream, ask, yield[error]);
+  stream.expires_after(common::duration(std::max<common::Span>(until - start_time, 1000)));
+  http::async_write(stream, message, yield[error]);
   boost::beast::flat_buffer buffer;
   http::response_parser<http::buffer_body> parser;
   parser.body_limit(boost::none);
   http::async_read_header(stream, buffer, parser, yield[error]);
   if (error) {
-    return seen;
+    return response;
   }
-  seen.status = static_cast<int>(parser.get().result_int());
-  seen.hint = !parser.get()[http::field::retry_after].empty();
-  seen.ran_no = parser.get()["Finchlink-May-Have-Run"] == "no";
-  seen.location = std::string(parser.get()[http::field::location]);
-  seen.stream = parser.get()[http::field::content_type].starts_with("text/event-stream");
+  response.status = static_cast<int>(parser.get().result_int());
+  response.has_retry_after = !parser.get()[http::field::retry_after].empty();
+  response.says_not_run = parser.get()["Finchlink-May-Have-Run"] == "no";
+  response.location = std::string(parser.get()[http::field::location]);
+  response.stream = parser.get()[http::field::content_type].starts_with("text/event-stream");
   data_plane::EventReader reader(4);
   std::uint64_t expected = 1;
   while (!parser.is_done()) {
-    char piece[16384];
-    parser.get().body().data = piece;
-    parser.get().body().size = sizeof(piece);
+    char chunk[16384];
+    parser.get().body().data = chunk;
+    parser.get().body().size = sizeof(chunk);
     http::async_read_some(stream, buffer, parser, yield[error]);
     if (error && error != http::error::need_buffer) {
-      return seen;
+      return response;
     }
-    std::string_view const bytes(piece, sizeof(piece) - parser.get().body().size);
-    if (seen.first == 0) {
-      seen.first = static_cast<double>(common::boot_now() - began) / 1e6;
+    std::string_view const bytes(chunk, sizeof(chunk) - parser.get().body().size);
+    if (response.first_byte_seconds == 0) {
+      response.first_byte_seconds = static_cast<double>(common::boot_now() - start_time) / 1e6;
     }
-    if (!seen.stream) {
-      seen.text.append(bytes);
+    if (!response.stream) {
+      response.text.append(bytes);
       continue;
     }
     std::vector<data_plane::StreamEvent> events;
     (void)reader.feed(bytes, events);  // an error event has no number
     for (data_plane::StreamEvent const& event : events) {
-      seen.numbered = seen.numbered && event.number == expected++ && !seen.complete;
-      seen.complete = seen.complete || event.last;
-      seen.text += event.text;
+      response.numbers_in_order = response.numbers_in_order && event.number == expected++ && !response.complete;
+      response.complete = response.complete || event.last;
+      response.text += event.text;
     }
   }
-  seen.ended = true;
-  return seen;
+  response.ended = true;
+  return response;
 }
 
-void judge(Book& book, Call const& call, Seen const& seen, common::Moment began, int redirects) {
-  double const took = static_cast<double>(common::boot_now() - began) / 1e6;
-  std::lock_guard<std::mutex> const guard(book.lock);
-  Tally& tally = book.tallies[call.mix.name];
-  tally.redirects += static_cast<std::uint64_t>(redirects);
-  bool good = false;
-  if (seen.status == 200) {
-    bool const owner = seen.text.find(call.nonce) != std::string::npos;
-    tally.wrong_number += seen.numbered ? 0 : 1;
-    if (!seen.ended) {
-      ++tally.broken;
-    } else if (seen.stream && !seen.complete) {
-      ++tally.looked_whole;
+/// Classifies the outcome of a query, from its last response.
+void record_outcome(Results& results, Request const& request, Response const& response, common::Moment start_time,
+                    int redirects) {
+  double const seconds = static_cast<double>(common::boot_now() - start_time) / 1e6;
+  std::lock_guard<std::mutex> const guard(results.lock);
+  MixCounts& counts = results.by_mix[request.mix.name];
+  counts.redirects += static_cast<std::uint64_t>(redirects);
+  bool succeeded = false;
+  if (response.status == 200) {
+    bool const owner = response.text.find(request.nonce) != std::string::npos;
+    counts.wrong_number += response.numbers_in_order ? 0 : 1;
+    if (!response.ended) {
+      ++counts.interrupted;
+    } else if (response.stream && !response.complete) {
+      ++counts.undetected_incomplete;
     } else if (!owner) {
-      ++tally.wrong_owner;
+      ++counts.wrong_owner;
     } else {
-      std::size_t const least = call.mix.plain ? 0 : static_cast<std::size_t>(call.mix.outputs);
-      if (seen.text.size() < least) {
-        ++tally.looked_whole;
+      std::size_t const least_size = request.mix.plain ? 0 : static_cast<std::size_t>(request.mix.outputs);
+      if (response.text.size() < least_size) {
+        ++counts.undetected_incomplete;
       } else {
-        good = true;
-        ++tally.good;
-        tally.first.push_back(seen.first);
-        tally.whole.push_back(took);
+        succeeded = true;
+        ++counts.succeeded;
+        counts.first_byte_seconds.push_back(response.first_byte_seconds);
+        counts.total_seconds.push_back(seconds);
       }
     }
-  } else if (seen.status == 503 || seen.status == 429) {
-    ++tally.refused;
-    tally.without_hint += seen.hint ? 0 : 1;
-    book.refused.insert(call.nonce);
-  } else if (seen.status == 502 || seen.status == 504) {
-    ++tally.may_have_run;
-  } else if (seen.status == 0) {
-    ++tally.unreached;
+  } else if (response.status == 503 || response.status == 429) {
+    ++counts.rejected;
+    counts.without_retry_after += response.has_retry_after ? 0 : 1;
+    results.rejected.insert(request.nonce);
+  } else if (response.status == 502 || response.status == 504) {
+    ++counts.may_have_run;
+  } else if (response.status == 0) {
+    ++counts.unanswered;
   } else {
-    ++tally.other;
+    ++counts.other_status;
   }
-  std::pair<std::uint64_t, std::uint64_t>& second = book.by_second[began / 1000000];
-  (good ? second.first : second.second) += 1;
+  std::pair<std::uint64_t, std::uint64_t>& second = results.by_second[start_time / 1000000];
+  (succeeded ? second.first : second.second) += 1;
 }
 
-/// Whose query it is, and its prompt in parts. All tenants send the same parts;
-/// only the last is a query's own. Stand-in workers are told the true tenant,
-/// and how many parts are truly nobody's, beside what the relay makes of it.
-void name_tenant(Call& call, std::string const& run, std::uint64_t number, std::mt19937_64& random) {
-  schema::Mix const& mix = call.mix;
-  std::uint64_t const drawn = mix.in_turn ? number % mix.tenants : random() % mix.tenants;
-  std::string const digits = std::to_string(mix.first_tenant + drawn);
+/// Picks the tenant of a query and adds the headers with the tenant and the prompt parts. All tenants send the same
+/// parts; only the last part is unique to the query. The Finchlink-Standin-* headers tell fake workers the true tenant
+/// and how many parts belong to no tenant, independently of what the relay derives.
+void add_tenant_headers(Request& request, std::string const& run_id, std::uint64_t number, std::mt19937_64& random) {
+  schema::Mix const& mix = request.mix;
+  std::uint64_t const tenant_index = mix.in_turn ? number % mix.tenants : random() % mix.tenants;
+  std::string const digits = std::to_string(mix.first_tenant + tenant_index);
   std::string const tenant = "tenant-" + std::string(6 - std::min<std::size_t>(6, digits.size()), '0') + digits;
   std::uint64_t tokens = 0;
   std::string parts;
-  std::function<void(std::string const&, std::uint64_t)> const add = [&](std::string const& id, std::uint64_t count) {
+  std::function<void(std::string const&, std::uint64_t)> const add_part = [&](std::string const& id,
+                                                                              std::uint64_t count) {
     parts += (parts.empty() ? "" : ",") + id + ":" + std::to_string(count);
     tokens += count;
   };
   if (!mix.public_part.empty()) {
-    add(mix.public_part, mix.public_tokens);
+    add_part(mix.public_part, mix.public_tokens);
   }
-  add("a" + std::to_string(random() % std::max<std::uint64_t>(1, mix.prefixes)), mix.prefix_bytes / 4);
+  add_part("a" + std::to_string(random() % std::max<std::uint64_t>(1, mix.prefixes)), mix.prefix_bytes / 4);
   if (mix.endings > 0) {
-    add("b" + std::to_string(random() % mix.endings), mix.ending_tokens);
+    add_part("b" + std::to_string(random() % mix.endings), mix.ending_tokens);
   }
-  std::stringstream own;
-  own << "f" << std::hex << std::hash<std::string>()(run + mix.name) << number;
-  add(own.str(), mix.own_tokens);
-  call.fields = {{"Finchlink-Query", call.nonce},
-                 {"Finchlink-Model", "m"},
-                 {"Finchlink-Tokens", std::to_string(tokens) + "," + std::to_string(mix.outputs)},
-                 {"Finchlink-Parts", parts},
-                 {"Finchlink-Standin-Tenant", tenant},
-                 {"Finchlink-Standin-Public", mix.public_part.empty() ? "0" : "1"}};
+  std::stringstream own_id;
+  own_id << "f" << std::hex << std::hash<std::string>()(run_id + mix.name) << number;
+  add_part(own_id.str(), mix.own_tokens);
+  request.headers = {{"Finchlink-Query", request.nonce},
+                     {"Finchlink-Model", "m"},
+                     {"Finchlink-Tokens", std::to_string(tokens) + "," + std::to_string(mix.outputs)},
+                     {"Finchlink-Parts", parts},
+                     {"Finchlink-Standin-Tenant", tenant},
+                     {"Finchlink-Standin-Public", mix.public_part.empty() ? "0" : "1"}};
   if (!mix.tenant_header.empty()) {
-    call.fields.emplace_back(mix.tenant_header, tenant);
+    request.headers.emplace_back(mix.tenant_header, tenant);
   }
-  std::size_t const place = call.mix.path.find("{tenant}");
-  if (place != std::string::npos) {
-    call.mix.path.replace(place, std::string("{tenant}").size(), tenant);
+  std::size_t const placeholder = request.mix.path.find("{tenant}");
+  if (placeholder != std::string::npos) {
+    request.mix.path.replace(placeholder, std::string("{tenant}").size(), tenant);
   }
 }
 
-void run_call(boost::asio::io_context& context, Book& book, Call const& call, std::string address,
-              std::vector<std::string> const& others, common::Span deadline, common::Yield yield) {
-  common::Moment const began = common::boot_now();
-  Seen seen;
+/// Sends one query, with retries (tenants) or redirects (others), and records its outcome.
+void run_request(boost::asio::io_context& context, Results& results, Request const& request, std::string address,
+                 std::vector<std::string> const& targets, common::Span deadline, common::Yield yield) {
+  common::Moment const start_time = common::boot_now();
+  Response response;
   int redirects = 0;
-  // A tenant's caller knows all furrows and asks another when one is gone or full.
-  for (int tries = 1; call.mix.tenants > 0 && tries <= 3; ++tries) {
-    seen = talk(context, call, address, began + deadline, yield);
-    if ((seen.status != 0 && seen.status != 503) || tries == 3) {
+  // A tenant's client knows all proxies and tries another when one is unreachable or full.
+  for (int attempt = 1; request.mix.tenants > 0 && attempt <= 3; ++attempt) {
+    response = send_request(context, request, address, start_time + deadline, yield);
+    if ((response.status != 0 && response.status != 503) || attempt == 3) {
       break;
     }
-    common::pause(context, seen.status == 503 ? common::milliseconds(300) : common::milliseconds(20), yield);
-    address = others[common::random_number() % others.size()];
+    common::pause(context, response.status == 503 ? common::milliseconds(300) : common::milliseconds(20), yield);
+    address = targets[common::random_number() % targets.size()];
   }
-  for (; call.mix.tenants == 0 && redirects < 3; ++redirects) {
-    seen = talk(context, call, address, began + deadline, yield);
-    if (seen.status != 307 || seen.location.rfind("http://", 0) != 0) {
+  for (; request.mix.tenants == 0 && redirects < 3; ++redirects) {
+    response = send_request(context, request, address, start_time + deadline, yield);
+    if (response.status != 307 || response.location.rfind("http://", 0) != 0) {
       break;
     }
-    std::string const rest = seen.location.substr(7);
+    std::string const rest = response.location.substr(7);
     address = rest.substr(0, rest.find('/'));
   }
-  judge(book, call, seen, began, redirects);
-  --book.open;
+  record_outcome(results, request, response, start_time, redirects);
+  --results.open;
 }
 
-double percentile(std::vector<double>& values, double part) {
+/// The value at `fraction` (0 to 1) of the sorted values, 0 if there are none; sorts them in place.
+double percentile(std::vector<double>& values, double fraction) {
   if (values.empty()) {
     return 0;
   }
   std::sort(values.begin(), values.end());
-  return values[std::min(values.size() - 1, static_cast<std::size_t>(part * static_cast<double>(values.size())))];
+  return values[std::min(values.size() - 1, static_cast<std::size_t>(fraction * static_cast<double>(values.size())))];
 }
 
-std::string report(Book& book, std::string const& ran) {
-  std::lock_guard<std::mutex> const guard(book.lock);
+/// The outcomes as JSON. `ran_nonces`: nonces of the queries that ran, one per line, from the ledger of the fake
+/// workers.
+std::string to_json(Results& results, std::string const& ran_nonces) {
+  std::lock_guard<std::mutex> const guard(results.lock);
   common::Tree object(cJSON_CreateObject());
-  std::uint64_t refused_ran = 0;
-  std::stringstream lines(ran);
+  std::uint64_t rejected_but_ran = 0;
+  std::stringstream lines(ran_nonces);
   std::string nonce;
   while (std::getline(lines, nonce)) {
-    refused_ran += book.refused.count(nonce);
+    rejected_but_ran += results.rejected.count(nonce);
   }
-  cJSON_AddNumberToObject(object.get(), "refused_but_ran", static_cast<double>(refused_ran));
+  cJSON_AddNumberToObject(object.get(), "refused_but_ran", static_cast<double>(rejected_but_ran));
   std::uint64_t worst_gap = 0;
   std::uint64_t gap = 0;
-  for (std::pair<std::int64_t const, std::pair<std::uint64_t, std::uint64_t>> const& second : book.by_second) {
+  for (std::pair<std::int64_t const, std::pair<std::uint64_t, std::uint64_t>> const& second : results.by_second) {
     gap = second.second.first == 0 ? gap + 1 : 0;
     worst_gap = std::max(worst_gap, gap);
   }
   cJSON_AddNumberToObject(object.get(), "longest_seconds_without_a_good_answer", static_cast<double>(worst_gap));
-  for (std::pair<std::string const, Tally>& entry : book.tallies) {
-    Tally& tally = entry.second;
-    cJSON* const part = cJSON_AddObjectToObject(object.get(), entry.first.c_str());
+  for (std::pair<std::string const, MixCounts>& entry : results.by_mix) {
+    MixCounts& counts = entry.second;
+    cJSON* const counts_object = cJSON_AddObjectToObject(object.get(), entry.first.c_str());
     std::vector<std::pair<char const*, std::uint64_t>> const numbers{
-        {"sent", tally.sent},
-        {"good", tally.good},
-        {"refused", tally.refused},
-        {"refused_without_retry_after", tally.without_hint},
-        {"may_have_run", tally.may_have_run},
-        {"unreached", tally.unreached},
-        {"broken", tally.broken},
-        {"other", tally.other},
-        {"wrong_owner", tally.wrong_owner},
-        {"wrong_number", tally.wrong_number},
-        {"cut_but_looked_whole", tally.looked_whole},
-        {"redirects", tally.redirects}};
+        {"sent", counts.sent},
+        {"good", counts.succeeded},
+        {"refused", counts.rejected},
+        {"refused_without_retry_after", counts.without_retry_after},
+        {"may_have_run", counts.may_have_run},
+        {"unreached", counts.unanswered},
+        {"broken", counts.interrupted},
+        {"other", counts.other_status},
+        {"wrong_owner", counts.wrong_owner},
+        {"wrong_number", counts.wrong_number},
+        {"cut_but_looked_whole", counts.undetected_incomplete},
+        {"redirects", counts.redirects}};
     for (std::pair<char const*, std::uint64_t> const& number : numbers) {
-      cJSON_AddNumberToObject(part, number.first, static_cast<double>(number.second));
+      cJSON_AddNumberToObject(counts_object, number.first, static_cast<double>(number.second));
     }
-    cJSON_AddNumberToObject(part, "first_byte_p50_ms", std::round(percentile(tally.first, 0.5) * 10000) / 10);
-    cJSON_AddNumberToObject(part, "first_byte_p99_ms", std::round(percentile(tally.first, 0.99) * 10000) / 10);
-    cJSON_AddNumberToObject(part, "whole_p50_ms", std::round(percentile(tally.whole, 0.5) * 10000) / 10);
-    cJSON_AddNumberToObject(part, "whole_p99_ms", std::round(percentile(tally.whole, 0.99) * 10000) / 10);
+    cJSON_AddNumberToObject(counts_object, "first_byte_p50_ms",
+                            std::round(percentile(counts.first_byte_seconds, 0.5) * 10000) / 10);
+    cJSON_AddNumberToObject(counts_object, "first_byte_p99_ms",
+                            std::round(percentile(counts.first_byte_seconds, 0.99) * 10000) / 10);
+    cJSON_AddNumberToObject(counts_object, "whole_p50_ms",
+                            std::round(percentile(counts.total_seconds, 0.5) * 10000) / 10);
+    cJSON_AddNumberToObject(counts_object, "whole_p99_ms",
+                            std::round(percentile(counts.total_seconds, 0.99) * 10000) / 10);
   }
   return common::print_tree(object.get(), true);
 }
 }  // namespace
 
-int main(int count, char** values) {
-  if (count < 2 || count > 3 || std::string(values[1]) == "--help") {
-    std::cerr << "gleaner FILE [SECONDS]   (a harvest: see schema/standin.json)\n";
+int main(int count, char** arguments) {
+  if (count < 2 || count > 3 || std::string(arguments[1]) == "--help") {
+    std::cerr << "gleaner FILE [SECONDS]   (a load run: see schema/standin.json)\n";
     return count == 2 ? 0 : common::exit_usage;
   }
-  std::ifstream file(values[1]);
+  std::ifstream file(arguments[1]);
   std::stringstream content;
   content << file.rdbuf();
   absl::StatusOr<common::Tree> const tree = common::read_tree(content.str());
-  schema::Harvest harvest;
+  schema::Harvest config;
   std::vector<common::Fault> faults;
   if (!tree.ok()) {
-    std::cerr << "gleaner: " << values[1] << ": " << tree.status().message() << "\n";
+    std::cerr << "gleaner: " << arguments[1] << ": " << tree.status().message() << "\n";
     return common::exit_usage;
   }
-  schema::read(tree->get(), "", harvest, faults);
-  if (!faults.empty() || harvest.targets.empty()) {
+  schema::read(tree->get(), "", config, faults);
+  if (!faults.empty() || config.targets.empty()) {
     std::cerr << "gleaner: " << common::describe(faults) << "\n";
     return common::exit_usage;
   }
   if (count == 3) {
-    harvest.seconds = std::atof(values[2]);
+    config.seconds = std::atof(arguments[2]);
   }
   std::signal(SIGPIPE, SIG_IGN);
-  boost::asio::io_context context(static_cast<int>(harvest.threads));
-  Book book;
-  std::atomic<std::size_t> mixes_left = harvest.mixes.size();
-  std::string const run = std::to_string(common::random_identity());
-  common::Moment const start_of_run = common::boot_now();
-  std::uint64_t seed = harvest.seed;
-  for (schema::Mix const& mix : harvest.mixes) {
+  boost::asio::io_context context(static_cast<int>(config.threads));
+  Results results;
+  std::atomic<std::size_t> active_mixes = config.mixes.size();
+  std::string const run_id = std::to_string(common::random_identity());
+  common::Moment const run_started = common::boot_now();
+  std::uint64_t seed = config.seed;
+  for (schema::Mix const& mix : config.mixes) {
     common::start(context, [&, mix, mix_seed = ++seed](common::Yield yield) {
       std::mt19937_64 random(mix_seed);
-      std::exponential_distribution<double> gap(std::max(0.001, mix.rate * harvest.scale));
+      std::exponential_distribution<double> gap(std::max(0.001, mix.rate * config.scale));
       common::Moment next = common::boot_now();
-      common::Moment const until = next + static_cast<common::Span>(harvest.seconds * 1e6);
+      common::Moment const until = next + static_cast<common::Span>(config.seconds * 1e6);
       std::uint64_t number = 0;
       while (next < until) {
         next += static_cast<common::Span>(gap(random) * 1e6);
@@ -353,65 +372,66 @@
         if (next > now) {
           common::pause(context, next - now, yield);
         }
-        Call call;
-        call.mix = mix;
-        if (harvest.swing_seconds > 0 &&
-            common::boot_now() - start_of_run > static_cast<common::Span>(harvest.swing_seconds * 1e6)) {
-          std::swap(call.mix.outputs, call.mix.own_bytes);
+        Request request;
+        request.mix = mix;
+        if (config.swing_seconds > 0 &&
+            common::boot_now() - run_started > static_cast<common::Span>(config.swing_seconds * 1e6)) {
+          std::swap(request.mix.outputs, request.mix.own_bytes);
         }
-        call.nonce = run + "-" + mix.name + "-" + std::to_string(++number);
-        call.home = mix.homes.empty() ? "" : mix.homes[random() % mix.homes.size()];
+        request.nonce = run_id + "-" + mix.name + "-" + std::to_string(++number);
+        request.home = mix.homes.empty() ? "" : mix.homes[random() % mix.homes.size()];
         std::uint64_t const prefix = mix.prefixes == 0 ? 0 : random() % mix.prefixes;
         if (mix.tenants > 0) {
-          call.body =
-              "{\"nonce\":\"" + call.nonce + "\",\"repeatable\":true,\"outputs\":" + std::to_string(mix.outputs) + "}";
-          name_tenant(call, run, number - 1, random);
+          request.body = "{\"nonce\":\"" + request.nonce +
+                         "\",\"repeatable\":true,\"outputs\":" + std::to_string(mix.outputs) + "}";
+          add_tenant_headers(request, run_id, number - 1, random);
         } else if (mix.method == "GET") {
-          call.mix.path += "?nonce=" + call.nonce;
+          request.mix.path += "?nonce=" + request.nonce;
         } else {
-          call.body = "{\"prompt\":\"" + filler(mix_seed * 1000003 + prefix, mix.prefix_bytes) +
-                      filler(random(), call.mix.own_bytes) + "\",\"nonce\":\"" + call.nonce +
-                      "\",\"repeatable\":" + (mix.repeatable ? "true" : "false") +
-                      ",\"outputs\":" + std::to_string(call.mix.outputs) +
-                      (call.home.empty() ? "" : ",\"home\":\"" + call.home + "\"") + "}";
+          request.body = "{\"prompt\":\"" + random_text(mix_seed * 1000003 + prefix, mix.prefix_bytes) +
+                         random_text(random(), request.mix.own_bytes) + "\",\"nonce\":\"" + request.nonce +
+                         "\",\"repeatable\":" + (mix.repeatable ? "true" : "false") +
+                         ",\"outputs\":" + std::to_string(request.mix.outputs) +
+                         (request.home.empty() ? "" : ",\"home\":\"" + request.home + "\"") + "}";
         }
-        std::string const address = harvest.targets[random() % harvest.targets.size()];
+        std::string const address = config.targets[random() % config.targets.size()];
         {
-          std::lock_guard<std::mutex> const guard(book.lock);
-          ++book.tallies[mix.name].sent;
+          std::lock_guard<std::mutex> const guard(results.lock);
+          ++results.by_mix[mix.name].sent;
         }
-        if (book.open >= static_cast<std::int64_t>(harvest.most_open)) {
+        if (results.open >= static_cast<std::int64_t>(config.most_open)) {
           continue;
         }
-        ++book.open;
-        common::start(context, [&context, &book, &harvest, call, address](common::Yield inner) {
-          run_call(context, book, call, address, harvest.targets,
-                   common::milliseconds(static_cast<std::int64_t>(harvest.deadline_ms)), inner);
+        ++results.open;
+        common::start(context, [&context, &results, &config, request, address](common::Yield inner) {
+          run_request(context, results, request, address, config.targets,
+                      common::milliseconds(static_cast<std::int64_t>(config.deadline_ms)), inner);
         });
       }
-      --mixes_left;
+      --active_mixes;
     });
   }
   common::start(context, [&](common::Yield yield) {
-    while (mixes_left > 0 || book.open > 0) {
+    while (active_mixes > 0 || results.open > 0) {
       common::pause(context, common::milliseconds(50), yield);
     }
-    std::string ran;
-    if (!harvest.ledger.empty()) {
-      common::Ask ask{http::verb::get, "/ledger/ran", 11};
+    std::string ran_nonces;
+    if (!config.ledger.empty()) {
+      common::Ask message{http::verb::get, "/ledger/ran", 11};
       absl::StatusOr<common::Answer> const answer =
-          common::ask_once(context, harvest.ledger, ask, common::seconds(10), 1u << 30u, yield);
+          common::ask_once(context, config.ledger, message, common::seconds(10), 1u << 30u, yield);
       if (!answer.ok()) {
-        std::cerr << "gleaner: the ledger can't be read: " << answer.status().message() << "\n";
+        std::cerr << "gleaner: cannot read the ledger at " << config.ledger << ": " << answer.status().message()
+                  << "\n";
       } else {
-        ran = answer->body();
+        ran_nonces = answer->body();
       }
     }
-    std::cout << report(book, ran) << std::endl;
+    std::cout << to_json(results, ran_nonces) << std::endl;
     context.stop();
   });
   std::vector<std::thread> threads;
-  for (std::uint64_t index = 1; index < harvest.threads; ++index) {
+  for (std::uint64_t index = 1; index < config.threads; ++index) {
     threads.emplace_back([&context] { context.run(); });
   }
   context.run();
