--- a/examples/graft/main.cpp
+++ b/examples/graft/main.cpp
@@ -1,4 +1,4 @@
-/// Three holders of the register inside one program, one of them lost. The cores
+/// Three acceptors of the register in one program, two of them lost one after the other. The cores
 /// have no network, disk or clock: here messages are function calls; a daemon
 /// sends them, syncs the records of each outcome, and only then replies.
 #include <cstdio>
@@ -13,36 +13,36 @@
 using namespace finchlink;
 
 struct Group {
-  std::vector<consensus::Acceptor> holders;
+  std::vector<consensus::Acceptor> acceptors;
   std::vector<bool> up{true, true, true};
 
   Group() {
-    std::vector<std::string> const founders{"a", "b", "c"};
-    for (std::size_t index = 0; index < founders.size(); ++index) {
-      holders.emplace_back(100 + index, founders[index], founders, 0);
+    std::vector<std::string> const bootstrap_members{"a", "b", "c"};
+    for (std::size_t index = 0; index < bootstrap_members.size(); ++index) {
+      acceptors.emplace_back(100 + index, bootstrap_members[index], bootstrap_members, 0);
     }
   }
 
-  /// Each looks at the two others: first they pledge one set, then they found.
-  void found() {
-    for (int look = 0; look < 3; ++look) {
-      for (std::size_t index = 0; index < holders.size(); ++index) {
+  /// Each acceptor asks the two others: first they vote for one set, then they bootstrap it.
+  void bootstrap() {
+    for (int round = 0; round < 3; ++round) {
+      for (std::size_t index = 0; index < acceptors.size(); ++index) {
         std::vector<schema::FoundingAnswer> answers;
-        for (std::size_t other = 0; other < holders.size(); ++other) {
+        for (std::size_t other = 0; other < acceptors.size(); ++other) {
           if (other != index) {
             answers.push_back(
-                std::get<schema::FoundingAnswer>(*holders[other].receive(schema::FoundingAsk{}, 0).reply));
+                std::get<schema::FoundingAnswer>(*acceptors[other].receive(schema::FoundingAsk{}, 0).reply));
           }
         }
-        (void)holders[index].bootstrap(answers, 0);
+        (void)acceptors[index].bootstrap(answers, 0);
       }
     }
   }
 
-  /// One compare-and-set; what became of it in words.
+  /// Runs one compare-and-set and returns its outcome as text.
   std::string write(std::uint64_t proposer, std::uint64_t expected, std::string const& content) {
     consensus::Proposer change("wishes", proposer, consensus::replace_at(expected, content));
-    std::vector<consensus::ProposerAction> actions = change.begin(holders.front().set());
+    std::vector<consensus::ProposerAction> actions = change.begin(acceptors.front().set());
     for (std::size_t place = 0; place < actions.size(); ++place) {
       consensus::ProposerAction const action = actions[place];  // a copy: more are added below
       if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&action)) {
@@ -52,10 +52,10 @@
         return "refused at revision " + std::to_string(rejected->current.revision);
       }
       consensus::Send const* const send = std::get_if<consensus::Send>(&action);
-      for (std::size_t index = 0; send != nullptr && index < holders.size(); ++index) {
-        if (up[index] && holders[index].incarnation() == send->to.incarnation) {
+      for (std::size_t index = 0; send != nullptr && index < acceptors.size(); ++index) {
+        if (up[index] && acceptors[index].incarnation() == send->to.incarnation) {
           std::vector<consensus::ProposerAction> const more =
-              change.receive(send->to.incarnation, *holders[index].receive(send->message, 0).reply);
+              change.receive(send->to.incarnation, *acceptors[index].receive(send->message, 0).reply);
           actions.insert(actions.end(), more.begin(), more.end());
         }
       }
@@ -68,7 +68,7 @@
 
 int main() {
   Group group;
-  group.found();
+  group.bootstrap();
   std::printf("%s\n", group.write(1, 0, "pears").c_str());
   group.up[2] = false;
   std::printf("%s\n", group.write(2, 1, "plums").c_str());
