--- a/source/simulator/control/control.cpp
+++ b/source/simulator/control/control.cpp
@@ -20,7 +20,7 @@
   ControlPart part;
   part.begin = [world] { world->begin(); };
   part.each = [world] { world->check_leases(); };
-  part.end_day = [world](common::Moment at) { world->end_day(at); };
+  part.end_run = [world](common::Moment at) { world->end_run(at); };
   part.finish = [world] { return world->finish(); };
   part.confirmed = [world](std::size_t proxy) { return world->confirmed(proxy); };
   return part;
--- a/source/simulator/control/control.hpp
+++ b/source/simulator/control/control.hpp
@@ -80,13 +80,13 @@
   std::size_t disk_machines = 4;   ///< three founders and one that stands by
   std::size_t plain_machines = 2;  ///< trellises without a disk
   std::size_t proxies = 6;
-  double operators_pause = 0.7;  ///< seconds between two asks of one operator
+  double operator_pause = 0.7;  ///< seconds between two asks of one operator
   std::size_t operators = 3;
   OperatorLoad orders;  ///< operators of charters and evacuations, beside those of the setup
   ControlFaults faults;
   consensus::Guards guards;
   membership::FreshnessGuards freshness_guards;
-  membership::UpdateGuards desk_guards;
+  membership::UpdateGuards update_guards;
   membership::DepartureGuards departure_guards;
   membership::JoiningGuards joining_guards;
   bool acknowledge_waits = true;
--- a/source/simulator/control/controller_loops.cpp
+++ b/source/simulator/control/controller_loops.cpp
@@ -204,7 +204,7 @@
   }
   membership::UpdateDecision const decision =
       membership::decide_answer(ask, arrival, machine.reader.confirmed_from(), machine.reader.values(), false,
-                                network_.local_time(machine.process), options_.desk_guards, bounds);
+                                network_.local_time(machine.process), options_.update_guards, bounds);
   if (decision.answer.has_value()) {
     reply(schema::Message(*decision.answer));
     return;
--- a/source/simulator/control/operators.cpp
+++ b/source/simulator/control/operators.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 void World::operator_loop(std::size_t number) {
-  kernel_.after(static_cast<Span>(kernel_.exponential(options_.operators_pause) * 1e6), [this, number] {
+  kernel_.after(static_cast<Span>(kernel_.exponential(options_.operator_pause) * 1e6), [this, number] {
     operator_loop(number);
     double const kind = kernel_.uniform();
     if (kind < compare_and_set_up_to) {
--- a/source/simulator/main.cpp
+++ b/source/simulator/main.cpp
@@ -58,7 +58,7 @@
                                             {"never_back", &run.freshness_guards.never_back},
                                             {"count_from_ask", &run.freshness_guards.count_from_ask},
                                             {"stop_unvouched", &run.freshness_guards.stop_unvouched},
-                                            {"confirm_after_arrival", &run.desk_guards.confirm_after_arrival},
+                                            {"confirm_after_arrival", &run.update_guards.confirm_after_arrival},
                                             {"acknowledge_waits", &run.acknowledge_waits},
                                             {"learn_beyond_seeds", &run.learn_beyond_seeds},
                                             {"repair_fenced", &run.repair_fenced},
--- a/source/simulator/query_path/control_plane.cpp
+++ b/source/simulator/query_path/control_plane.cpp
@@ -21,18 +21,18 @@
   control.proxy_names = names_;
   control.first_setup = common::print_tree(common::Tree(schema::write(options_.deployment.setup)).get());
   control.patch = [this](std::string const& id) { return setup_patch(id); };
-  control.seen = [this](std::uint64_t revision, std::string const& content) {
+  control.on_content_seen = [this](std::uint64_t revision, std::string const& content) {
     setups_[revision] = config::read_setup(content).setup;
     newest_ = std::max(newest_, revision);
   };
-  control.adopted = [this](std::size_t proxy, std::uint64_t revision) {
+  control.on_applied = [this](std::size_t proxy, std::uint64_t revision) {
     Proxy& one = *proxies_[proxy];
     ++report_.faults;
     one.revision = revision;
     renew(one);
   };
-  control.acknowledged = [this](std::uint64_t revision) { acknowledged_ = std::max(acknowledged_, revision); };
-  control.lives = [this](std::size_t proxy, bool alive) {
+  control.on_acknowledged = [this](std::uint64_t revision) { acknowledged_ = std::max(acknowledged_, revision); };
+  control.on_proxy_state = [this](std::size_t proxy, bool alive) {
     if (alive) {
       proxies_[proxy]->alive = true;
     } else {
--- a/source/simulator/query_path/scenarios.cpp
+++ b/source/simulator/query_path/scenarios.cpp
@@ -71,7 +71,7 @@
   }
   options.control.emplace();
   options.control->faults = *faults;
-  options.control->operators_pause = 2;
+  options.control->operator_pause = 2;
   options.faults = *query_path_scenario(name == "whole-storm" ? "field-storm" : "field-calm");
   options.faults.setups = 0;  // they come by the register
   if (name != "whole-calm") {
--- a/source/simulator/query_path/world.cpp
+++ b/source/simulator/query_path/world.cpp
@@ -34,10 +34,10 @@
     }
     join_control();
     control_.begin();
-    control_.end_day(options_.length + calm_before_end);
+    control_.end_run(options_.length + calm_before_end);
   }
   begin_loops();
-  kernel_.run(options_.length + settling_time, control_.each);
+  kernel_.run(options_.length + settling_time, control_.after_event);
   if (control_.finish) {
     report_.control = control_.finish();
     report_.violations.insert(report_.violations.end(), report_.control.violations.begin(),
--- a/source/tests/simulator/catch_up_test.cpp
+++ b/source/tests/simulator/catch_up_test.cpp
@@ -20,7 +20,7 @@
   options.faults.last_fault = false;
   options.length = common::seconds(60);
   options.operators = 3;
-  options.operators_pause = 0.3;
+  options.operator_pause = 0.3;
   options.inline_bytes = 600;
   change(options);
   return simulator::run_control(options);
@@ -82,7 +82,7 @@
     ControlReport const report = run(scenario, 11, [](ControlOptions& options) {
       options.length = common::seconds(25);
       options.operators = 2;
-      options.operators_pause = 0.5;
+      options.operator_pause = 0.5;
       options.inline_bytes = 200;
     });
     EXPECT_TRUE(report.violations.empty()) << scenario << ": " << report.violations.front();
--- a/source/tests/simulator/control_test.cpp
+++ b/source/tests/simulator/control_test.cpp
@@ -73,9 +73,10 @@
 }
 TEST(Control, TheTrellisConfirmsAfterTheAsk) {
   ExpectedViolations const expected({common::Invariant::vouch_after_ask});
-  EXPECT_NE(first_break("cuts", 8,
-                        [](simulator::ControlOptions& options) { options.desk_guards.confirm_after_arrival = false; }),
-            "");
+  EXPECT_NE(
+      first_break("cuts", 8,
+                  [](simulator::ControlOptions& options) { options.update_guards.confirm_after_arrival = false; }),
+      "");
   EXPECT_GT(expected.count(common::Invariant::vouch_after_ask), 0u);
 }
 /// Planned replacements with a second loss, a failure or another departure behind them.
