--- a/source/simulator/main.cpp
+++ b/source/simulator/main.cpp
@@ -79,17 +79,17 @@
   return true;
 }
 bool switch_off_field(simulator::QueryPathOptions& run, std::string const& guard) {
-  std::map<std::string, bool*> const guards{{"tend_cold", &run.tend_cold},
+  std::map<std::string, bool*> const guards{{"tend_cold", &run.ramp_cold_workers},
                                             {"doubt", &run.placement.distrust_after_missed_probe},
                                             {"finish_begun", &run.placement.finish_begun},
                                             {"count_others", &run.placement.count_others},
-                                            {"hear_closing", &run.hear_closing},
-                                            {"budget", &run.budget},
+                                            {"hear_closing", &run.notice_closed_connections},
+                                            {"budget", &run.retry_budget},
                                             {"dispatch_once", &run.dispatch_once},
-                                            {"honest_refusal", &run.honest_refusal},
-                                            {"checked_numbers", &run.checked_numbers},
-                                            {"drop_drained", &run.drop_drained},
-                                            {"decide_anew", &run.decide_anew}};
+                                            {"honest_refusal", &run.no_rejection_after_run},
+                                            {"checked_numbers", &run.check_event_numbers},
+                                            {"drop_drained", &run.skip_draining},
+                                            {"decide_anew", &run.reevaluate_queries}};
   std::map<std::string, bool*>::const_iterator const found = guards.find(guard);
   if (found == guards.end()) {
     return false;
@@ -220,8 +220,8 @@
         (void)simulator::apply_whole(name, run);
       }
       run.scale = found["scale"].as<double>();
-      run.faults.crowd = found["crowd"].as<double>() > 0 ? found["crowd"].as<double>() : run.faults.crowd;
-      run.faults.crowd_on_first = found.count("crowd-on-first") > 0;
+      run.faults.burst_factor = found["crowd"].as<double>() > 0 ? found["crowd"].as<double>() : run.faults.burst_factor;
+      run.faults.burst_on_first = found.count("crowd-on-first") > 0;
       run.aims.manner = found["manner"].as<std::string>();
       run.aims.window_ms = static_cast<std::uint64_t>(found["window"].as<double>() * 1000);
       run.aims.hold_ms = static_cast<std::uint64_t>(found["hold"].as<double>() * 1000);
@@ -250,19 +250,19 @@
       refused += static_cast<double>(report.refused);
       apologies += static_cast<double>(report.apologies);
       broken += static_cast<double>(report.broken);
-      reuse += report.reuse;
+      reuse += report.cached_share;
       p50 += report.first_p50;
       p99 += report.first_p99;
-      rate += report.good_rate;
-      switches += static_cast<double>(report.switches);
+      rate += report.goodput;
+      switches += static_cast<double>(report.split_changes);
       retries += static_cast<double>(report.retries);
-      passes += static_cast<double>(report.passes);
+      passes += static_cast<double>(report.forwards);
       std::map<std::string, double> errors = report.fit_error;
       prefill_error += errors["prefill"];
       decode_error += errors["decode"];
       share = std::max(share, report.worst_retry_share);
       drain = std::max(drain, report.worst_drain);
-      decided_anew += static_cast<double>(report.decided_anew);
+      decided_anew += static_cast<double>(report.reevaluated);
       brought += static_cast<double>(report.faults);
       acknowledged += static_cast<double>(report.control.acknowledged);
       unknown += static_cast<double>(report.control.unknown);
@@ -270,11 +270,11 @@
       proxies_lost += static_cast<double>(report.proxies_lost);
       unconfirmed += static_cast<double>(report.unconfirmed);
       recovery = std::max(recovery, static_cast<double>(report.control.worst_recovery) / 1000);
-      calm_good += report.calm_good;
-      crowd_good += report.crowd_good;
-      others_good = std::min(others_good, report.others_good);
-      after_crowd = std::max(after_crowd, report.after_crowd);
-      worst_refusal = std::max(worst_refusal, report.worst_refusal);
+      calm_good += report.calm_goodput;
+      crowd_good += report.burst_goodput;
+      others_good = std::min(others_good, report.others_success_share);
+      after_crowd = std::max(after_crowd, report.recovery_seconds);
+      worst_refusal = std::max(worst_refusal, report.worst_rejection_seconds);
       splits.clear();
       for (std::size_t const count : report.prefill_workers) {
         splits += (splits.empty() ? "" : "/") + std::to_string(count);
