--- a/source/simulator/decisions/decisions.cpp
+++ b/source/simulator/decisions/decisions.cpp
@@ -14,21 +14,21 @@
 namespace constants = common::constants;
 
 namespace {
-constexpr double starved_part = 0.25;  ///< of how often all requests are served
-constexpr double urgency_slack = 0.05;
-constexpr std::uint64_t asked_least = 50;  ///< kinds with fewer requests are not judged
+constexpr double starvation_share = 0.25;   ///< kinds served less than this share of the average are starved
+constexpr double urgency_slack = 0.05;      ///< by which a less urgent kind may be served more often
+constexpr std::uint64_t min_requests = 50;  ///< kinds with fewer requests are not checked
 constexpr common::Span local_hop = common::milliseconds(1);
 
 common::Span span_of(double seconds) {
   return static_cast<common::Span>(seconds * 1e6);
 }
 
-/// A worker as it truly is: it reads prompts in the order in which they come.
+/// The true state of a worker. It prefills prompts in order of arrival.
 struct Engine {
   scheduling::WorkerSpec spec;
-  common::Moment read_until = 0;
+  common::Moment read_until = 0;  ///< end of the prefills queued so far
   std::uint64_t running = 0;
-  std::set<std::uint64_t> kept;  ///< shared parts
+  std::set<std::uint64_t> kept;  ///< keys of cached shared parts
 };
 
 struct Proxy {
@@ -39,21 +39,22 @@
 struct Request {
   std::size_t kind = 0;
   std::size_t proxy = 0;
-  scheduling::PlacementRequest wanted;
+  scheduling::PlacementRequest placement_request;
   scheduling::Assignment assignment;
   common::Moment arrived = 0;
 };
 using RequestPointer = std::shared_ptr<Request>;
 
-class Play {
+/// One simulated run. All work runs as events of `kernel_`.
+class DecisionRun {
  public:
-  explicit Play(DecisionOptions const& options)
+  explicit DecisionRun(DecisionOptions const& options)
       : options_(options), deployment_(draw_deployment(options.seed)), kernel_(options.seed + 1) {}
 
   DecisionReport run() {
     begin();
     kernel_.run(options_.length + common::seconds(10), nullptr);
-    judge();
+    check_shares();
     return report_;
   }
 
@@ -71,7 +72,7 @@
     for (std::size_t kind = 0; kind < deployment_.kinds.size(); ++kind) {
       RequestKind const& entry = deployment_.kinds[kind];
       report_.kinds.push_back(KindReport{entry.name, entry.urgency, 0, 0, 0});
-      ask_next(kind);
+      submit_next(kind);
     }
   }
 
@@ -91,16 +92,16 @@
     proxies_.push_back(std::move(proxy));
   }
 
-  void ask_next(std::size_t kind) {
+  void submit_next(std::size_t kind) {
     kernel_.after(span_of(kernel_.exponential(1 / deployment_.kinds[kind].per_second)), [this, kind] {
-      if (kernel_.now() < options_.length && asked_ < options_.requests_most) {
-        ask(kind);
-        ask_next(kind);
+      if (kernel_.now() < options_.length && submitted_ < options_.max_requests) {
+        submit(kind);
+        submit_next(kind);
       }
     });
   }
 
-  void ask(std::size_t kind) {
+  void submit(std::size_t kind) {
     RequestKind const& entry = deployment_.kinds[kind];
     RequestPointer const request = std::make_shared<Request>();
     request->kind = kind;
@@ -108,25 +109,25 @@
     request->arrived = kernel_.now();
     std::uint64_t const subject = scheduling::mix(kind + 1, 1 + kernel_.below(entry.subjects));
     double const own = kernel_.exponential(entry.own_tokens);
-    request->wanted.shares = {schema::Share{"model", 1}};
-    request->wanted.homes = entry.homes;
-    request->wanted.parts = {scheduling::PromptPart{subject, entry.shared_tokens},
-                             scheduling::PromptPart{kernel_.draw(), own}};
-    request->wanted.tokens = entry.shared_tokens + own;
-    request->wanted.outputs = kernel_.exponential(entry.output_tokens);
-    request->wanted.draw = kernel_.uniform();
-    ++asked_;
-    ++report_.kinds[kind].asked;
+    request->placement_request.shares = {schema::Share{"model", 1}};
+    request->placement_request.homes = entry.homes;
+    request->placement_request.parts = {scheduling::PromptPart{subject, entry.shared_tokens},
+                                        scheduling::PromptPart{kernel_.draw(), own}};
+    request->placement_request.tokens = entry.shared_tokens + own;
+    request->placement_request.outputs = kernel_.exponential(entry.output_tokens);
+    request->placement_request.draw = kernel_.uniform();
+    ++submitted_;
+    ++report_.kinds[kind].submitted;
     place(request, kernel_.now() + span_of(entry.set_point_seconds * constants::placement_wait_fraction));
   }
 
   void place(RequestPointer const& request, common::Moment until) {
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
-        proxies_[request->proxy].balancer.choose(request->wanted, kernel_.now());
+        proxies_[request->proxy].balancer.choose(request->placement_request, kernel_.now());
     if (scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found)) {
       request->assignment = *assignment;
       check_homes(*request);
-      kernel_.after(hop(*request), [this, request] { come(request); });
+      kernel_.after(hop(*request), [this, request] { reach_worker(request); });
       return;
     }
     check_idle(*request);
@@ -140,20 +141,20 @@
     return near ? local_hop : span_of(deployment_.region_seconds);
   }
 
-  void come(RequestPointer const& request) {
+  void reach_worker(RequestPointer const& request) {
     Engine& engine = engines_.at(request->assignment.worker);
     ++engine.running;
-    double const shared = request->wanted.parts.front().tokens;
-    std::uint64_t const subject = request->wanted.parts.front().key;
+    double const shared = request->placement_request.parts.front().tokens;
+    std::uint64_t const subject = request->placement_request.parts.front().key;
     bool const kept = !engine.kept.insert(subject).second;
-    bool const read_before = !read_[subject].insert(engine.spec.region).second;
-    report_.kept_tokens += kept ? shared : 0;
-    report_.read_again_tokens += !kept && read_before ? shared : 0;
-    double const tokens = request->wanted.tokens - (kept ? shared : 0);
+    bool const read_before = !regions_by_subject_[subject].insert(engine.spec.region).second;
+    report_.cached_tokens += kept ? shared : 0;
+    report_.recomputed_tokens += !kept && read_before ? shared : 0;
+    double const tokens = request->placement_request.tokens - (kept ? shared : 0);
     engine.read_until = std::max(engine.read_until, kernel_.now()) + span_of(tokens / deployment_.tokens_per_second);
     kernel_.at(engine.read_until + hop(*request), [this, request] { first_token(request); });
     double const step = deployment_.step_seconds * (1 + 0.005 * static_cast<double>(engine.running));
-    kernel_.at(engine.read_until + span_of(step * request->wanted.outputs) + hop(*request),
+    kernel_.at(engine.read_until + span_of(step * request->placement_request.outputs) + hop(*request),
                [this, request] { end(request); });
   }
 
@@ -161,18 +162,18 @@
     KindReport& kind = report_.kinds[request->kind];
     RequestKind const& entry = deployment_.kinds[request->kind];
     double const waited = static_cast<double>(kernel_.now() - request->arrived) / 1e6;
-    kind.in_set_point += waited <= entry.set_point_seconds ? 1 : 0;
+    kind.within_set_point += waited <= entry.set_point_seconds ? 1 : 0;
     kind.served += waited <= entry.deadline_seconds ? 1 : 0;
     scheduling::LoadBalancer& balancer = proxies_[request->proxy].balancer;
     balancer.heard(request->assignment.worker, kernel_.now());
-    balancer.first_token(request->assignment, request->wanted.parts, waited);
+    balancer.first_token(request->assignment, request->placement_request.parts, waited);
   }
 
   void end(RequestPointer const& request) {
     Engine& engine = engines_.at(request->assignment.worker);
     --engine.running;
     scheduling::LoadBalancer& balancer = proxies_[request->proxy].balancer;
-    if (deployment_.tells_load) {
+    if (deployment_.reports_load) {
       balancer.report_load(request->assignment.worker, static_cast<double>(engine.running), 0,
                            static_cast<double>(engine.spec.capacity), kernel_.now());
     }
@@ -180,7 +181,7 @@
   }
 
   [[nodiscard]] static bool allows(Request const& request, scheduling::WorkerSpec const& spec) {
-    std::vector<std::string> const& homes = request.wanted.homes;
+    std::vector<std::string> const& homes = request.placement_request.homes;
     return homes.empty() || std::find(homes.begin(), homes.end(), spec.region) != homes.end();
   }
   void check_homes(Request const& request) {
@@ -188,7 +189,7 @@
       report_.violations.push_back("a request was placed outside its homes, at " + request.assignment.worker);
     }
   }
-  /// No place is held idle while work waits that may use it.
+  /// No worker may be idle while a request that may use it is unassigned.
   void check_idle(Request const& request) {
     for (std::pair<std::string const, Engine> const& entry : engines_) {
       if (allows(request, entry.second.spec) && entry.second.running == 0) {
@@ -197,23 +198,23 @@
       }
     }
   }
-  void judge() {
-    double asked = 0;
+  void check_shares() {
+    double submitted = 0;
     double served = 0;
     for (KindReport const& kind : report_.kinds) {
-      asked += static_cast<double>(kind.asked);
+      submitted += static_cast<double>(kind.submitted);
       served += static_cast<double>(kind.served);
     }
     for (KindReport const& kind : report_.kinds) {
-      if (kind.asked < asked_least) {
+      if (kind.submitted < min_requests) {
         continue;
       }
-      if (kind.served_part() < starved_part * served / asked) {
+      if (kind.served_share() < starvation_share * served / submitted) {
         report_.violations.push_back(kind.name + " was starved");
       }
       for (KindReport const& other : report_.kinds) {
-        bool const less_urgent = other.urgency > kind.urgency && other.asked >= asked_least;
-        if (less_urgent && kind.served_part() < other.served_part() - urgency_slack) {
+        bool const less_urgent = other.urgency > kind.urgency && other.submitted >= min_requests;
+        if (less_urgent && kind.served_share() < other.served_share() - urgency_slack) {
           report_.violations.push_back(kind.name + " was served less than " + other.name + ", which is less urgent");
         }
       }
@@ -227,13 +228,14 @@
   std::map<std::string, Engine> engines_;
   std::vector<std::string> names_;
   std::vector<Proxy> proxies_;
-  std::map<std::uint64_t, std::set<std::string>> read_;  ///< subject to regions that have read it
-  std::size_t asked_ = 0;
+  /// Regions that have computed a shared part, by its key.
+  std::map<std::uint64_t, std::set<std::string>> regions_by_subject_;
+  std::size_t submitted_ = 0;
 };
 }  // namespace
 
-DecisionReport play_decisions(DecisionOptions const& options) {
-  return Play(options).run();
+DecisionReport run_decisions(DecisionOptions const& options) {
+  return DecisionRun(options).run();
 }
 
 }  // namespace finchlink::simulator
--- a/source/simulator/decisions/deployment.cpp
+++ b/source/simulator/decisions/deployment.cpp
@@ -7,20 +7,20 @@
 namespace finchlink::simulator {
 
 namespace {
-constexpr std::uint64_t regions_most = 3;
-constexpr std::uint64_t zones_each_most = 3;
-constexpr std::uint64_t workers_each_most = 6;  // in one zone
-constexpr std::uint64_t proxies_each_most = 8;
-constexpr double load_least = 0.3;
-constexpr double load_most = 0.8;
+constexpr std::uint64_t max_regions = 3;
+constexpr std::uint64_t max_zones_per_region = 3;
+constexpr std::uint64_t max_workers_per_zone = 6;
+constexpr std::uint64_t max_proxies_per_zone = 8;
+constexpr double min_load = 0.3;
+constexpr double max_load = 0.8;
 
 double within(Kernel& kernel, double least, double most) {
   return least + (most - least) * kernel.uniform();
 }
 
-/// Requests of this kind a second that one worker bears, its shared part kept: what it can read, or what its slots
-/// hold while answers run.
-double borne_by_one(RequestKind const& kind, Deployment const& deployment, double slots) {
+/// Requests of this kind per second that one worker sustains while the shared part is cached: bounded by its prefill
+/// speed and by its slots, which are occupied while responses run.
+double requests_per_worker(RequestKind const& kind, Deployment const& deployment, double slots) {
   double const reading = deployment.tokens_per_second / kind.own_tokens;
   double const answering = slots / (kind.output_tokens * deployment.step_seconds);
   return std::min(reading, answering);
@@ -47,7 +47,7 @@
   double const slots = static_cast<double>(4 + kernel.below(28));
   double const kept = within(kernel, 100000, 400000);
   for (std::size_t zone = 0; zone < deployment.zones.size(); ++zone) {
-    std::uint64_t const count = 1 + kernel.below(workers_each_most);
+    std::uint64_t const count = 1 + kernel.below(max_workers_per_zone);
     for (std::uint64_t index = 0; index < count; ++index) {
       scheduling::WorkerSpec spec;
       spec.id = "worker-" + std::to_string(deployment.workers.size());
@@ -60,7 +60,7 @@
       spec.kept_tokens = kept;
       deployment.workers.push_back(spec);
     }
-    deployment.proxies.insert(deployment.proxies.end(), 1 + kernel.below(proxies_each_most), zone);
+    deployment.proxies.insert(deployment.proxies.end(), 1 + kernel.below(max_proxies_per_zone), zone);
   }
 }
 
@@ -78,8 +78,8 @@
 Deployment draw_deployment(std::uint64_t seed) {
   Kernel kernel(seed);
   Deployment deployment;
-  std::uint64_t const regions = 1 + kernel.below(regions_most);
-  std::uint64_t const zones_each = 1 + kernel.below(zones_each_most);
+  std::uint64_t const regions = 1 + kernel.below(max_regions);
+  std::uint64_t const zones_each = 1 + kernel.below(max_zones_per_region);
   for (std::uint64_t region = 0; region < regions; ++region) {
     deployment.regions.push_back("region-" + std::to_string(region));
   }
@@ -89,19 +89,20 @@
   deployment.tokens_per_second = within(kernel, 20000, 90000);
   deployment.step_seconds = within(kernel, 0.003, 0.008);
   deployment.region_seconds = within(kernel, 0.01, 0.08);
-  deployment.tells_load = kernel.chance(0.5);
+  deployment.reports_load = kernel.chance(0.5);
   draw_workers(kernel, deployment);
   double const slots = static_cast<double>(deployment.workers.front().capacity);
   std::uint64_t const kinds = 2 + kernel.below(2);
-  double const load = within(kernel, load_least, load_most);
+  double const load = within(kernel, min_load, max_load);
   for (std::size_t index = 0; index < kinds; ++index) {
     RequestKind kind = draw_kind(kernel, deployment, index);
     double const workers = workers_for(deployment, kind) / static_cast<double>(kinds);
-    kind.per_second = load * workers * borne_by_one(kind, deployment, slots);
-    // First readings take their part of a short run, too: one region's workers read all subjects within a second.
+    kind.per_second = load * workers * requests_per_worker(kind, deployment, slots);
+    // In a short run the first prefills of shared parts matter too: the workers of one region must get through all of
+    // them within a second.
     double const region_tokens = workers * deployment.tokens_per_second / static_cast<double>(regions);
-    double const subjects_most = kind.shared_tokens <= 0 ? 1e6 : region_tokens / kind.shared_tokens;
-    kind.subjects = std::clamp<std::uint64_t>(kind.subjects, 1, 1 + static_cast<std::uint64_t>(subjects_most));
+    double const max_subjects = kind.shared_tokens <= 0 ? 1e6 : region_tokens / kind.shared_tokens;
+    kind.subjects = std::clamp<std::uint64_t>(kind.subjects, 1, 1 + static_cast<std::uint64_t>(max_subjects));
     deployment.kinds.push_back(std::move(kind));
   }
   return deployment;
--- a/source/simulator/query_path/control_plane.cpp
+++ b/source/simulator/query_path/control_plane.cpp
@@ -1,4 +1,4 @@
-// The control plane beside the query path, and furrows that it kills.
+// The connection to the simulated control plane, and proxies that its faults kill.
 
 #include <algorithm>
 
@@ -9,43 +9,45 @@
 
 namespace {
 
-constexpr double changes_that_matter = 0.15;
+constexpr double query_change_chance = 0.15;
 
 }  // namespace
 
-void World::join_control() {
+void World::attach_control_plane() {
   ControlOptions control = *options_.control;
   control.seed = options_.seed;
   control.length = options_.length;
   control.proxies = proxies_.size();
-  control.proxy_names = names_;
+  control.proxy_names = proxy_names_;
   control.first_setup = common::print_tree(common::Tree(schema::write(options_.deployment.setup)).get());
   control.patch = [this](std::string const& id) { return setup_patch(id); };
   control.on_content_seen = [this](std::uint64_t revision, std::string const& content) {
     setups_[revision] = config::read_setup(content).setup;
-    newest_ = std::max(newest_, revision);
+    newest_revision_ = std::max(newest_revision_, revision);
   };
   control.on_applied = [this](std::size_t proxy, std::uint64_t revision) {
     Proxy& one = *proxies_[proxy];
     ++report_.faults;
     one.revision = revision;
-    renew(one);
+    update_plan(one);
+  };
+  control.on_acknowledged = [this](std::uint64_t revision) {
+    acknowledged_revision_ = std::max(acknowledged_revision_, revision);
   };
-  control.on_acknowledged = [this](std::uint64_t revision) { acknowledged_ = std::max(acknowledged_, revision); };
   control.on_proxy_state = [this](std::size_t proxy, bool alive) {
     if (alive) {
       proxies_[proxy]->alive = true;
     } else {
-      lose(proxy);
+      kill_proxy(proxy);
     }
   };
   control_ = control_part(control, kernel_);
 }
 
-/// Most changes touch no query; some move homes or empty halls.
+/// Most changes affect no query; the others change a rule or drain or restore a zone.
 std::string World::setup_patch(std::string const& id) {
   schema::Setup const from = setups_.empty() ? options_.deployment.setup : setups_.rbegin()->second;
-  schema::Setup to = kernel_.chance(changes_that_matter) ? changed_setup(from) : from;
+  schema::Setup to = kernel_.chance(query_change_chance) ? changed_setup(from) : from;
   to.halls[options_.deployment.halls.front().name].labels["mark"] = id;
   common::Tree const whole(schema::write(to));
   common::Tree patch(cJSON_CreateObject());
@@ -55,9 +57,9 @@
   return common::print_tree(patch.get());
 }
 
-/// A furrow is killed: its callers and the furrows that passed to it see their
-/// connections cut, its workers end what it had there; it comes back with nothing.
-void World::lose(std::size_t number) {
+/// Callers of the killed proxy and proxies that forwarded to it see their connections cut, workers cancel its jobs,
+/// and it restarts with no state.
+void World::kill_proxy(std::size_t number) {
   Proxy& proxy = *proxies_[number];
   ++report_.proxies_lost;
   proxy.alive = false;
@@ -69,13 +71,13 @@
   }
   for (QueryPointer const& query : open) {
     if (query->parent != nullptr) {
-      settle_parent(query, scheduling::WorkerFailure{"pass_cut"});
+      report_to_parent(query, scheduling::WorkerFailure{"pass_cut"});
     }
-    ended(*query, false);
+    record_outcome(*query, false);
     feed(query, scheduling::CallerGone{});
   }
   proxy.placement = scheduling::Placement(options_.placement);
-  proxy.budgets.clear();
+  proxy.retry_budgets.clear();
   proxy.outputs.clear();
   proxy.revision = 0;
   proxy.plan = std::make_shared<scheduling::Plan const>();
--- a/source/simulator/query_path/deployment.cpp
+++ b/source/simulator/query_path/deployment.cpp
@@ -1,4 +1,4 @@
-// A deployment, read from its files.
+// Reads a deployment from its files.
 
 #include <algorithm>
 #include <cmath>
--- a/source/simulator/query_path/faults.cpp
+++ b/source/simulator/query_path/faults.cpp
@@ -1,4 +1,4 @@
-// Faults of workers and of the list of workers.
+// Faults of workers and changes of the worker list.
 
 #include "common/constants.hpp"
 #include "simulator/query_path/world.hpp"
@@ -10,12 +10,12 @@
 
 void World::schedule_faults() {
   QueryPathFaults const& mix = options_.faults;
-  repeat(mix.crash, [this] { crash_any(); });
-  repeat(mix.dark, [this] { darken_any(); });
-  repeat(mix.setups, [this] { apply_setup(changed_setup(setups_.at(newest_))); });
-  repeat(mix.blink, [this] { blink_any(); });
-  repeat(mix.drain, [this] { drain_any(); });
-  repeat(mix.replace, [this] { replace_any(); });
+  repeat(mix.crash_interval, [this] { crash_any(); });
+  repeat(mix.unreachable_interval, [this] { make_any_unreachable(); });
+  repeat(mix.setup_change_interval, [this] { apply_setup(changed_setup(setups_.at(newest_revision_))); });
+  repeat(mix.silent_restart_interval, [this] { restart_any_silently(); });
+  repeat(mix.drain_interval, [this] { drain_any(); });
+  repeat(mix.replace_interval, [this] { replace_any(); });
 }
 
 void World::repeat(double mean, std::function<void()> const& fault) {
@@ -42,30 +42,30 @@
   }
 }
 
-void World::darken_any() {
+void World::make_any_unreachable() {
   Worker& worker = any_worker();
-  worker.dark = true;
+  worker.unreachable = true;
   kernel_.after(kernel_.between(common::seconds(1), common::seconds(7)), [this, &worker] {
-    worker.dark = false;
+    worker.unreachable = false;
     step(worker);
   });
 }
 
-/// A worker goes dark and is back cold within a second: what ran is gone, and
-/// its furrows learn of it by silence only.
-void World::blink_any() {
+/// A worker becomes unreachable and is back cold within a second: its jobs are lost, and proxies notice that only by
+/// the stall of their streams.
+void World::restart_any_silently() {
   Worker& worker = any_worker();
-  if (!worker.up || worker.dark || kernel_.now() - worker.up_since < warming) {
+  if (!worker.up || worker.unreachable || kernel_.now() - worker.up_since < warm_up_span) {
     return;
   }
   ++report_.faults;
-  worker.dark = true;
+  worker.unreachable = true;
   kernel_.after(kernel_.between(common::milliseconds(300), common::milliseconds(900)), [this, &worker] {
     std::vector<JobPointer> const jobs = take_jobs(worker);
-    worker.dark = false;
+    worker.unreachable = false;
     revive(worker);
     for (JobPointer const& job : jobs) {
-      kernel_.after(constants::stream_silence, [this, job] { lose_job(job, "silence"); });
+      kernel_.after(constants::stream_silence, [this, job] { fail_job(job, "silence"); });
     }
   });
 }
@@ -79,7 +79,7 @@
   }
 }
 
-/// Drained, gone at short notice or slowly, and a new one in its place.
+/// Drains a worker, stops it at short or longer notice, and starts a new one in its place.
 void World::replace_any() {
   Worker& worker = any_worker();
   if (worker.draining || !worker.up) {
@@ -97,20 +97,20 @@
   });
 }
 
-/// The list says so: a trellis reads it, and furrows hear of it. The list is
-/// counted: an older one never replaces a newer.
+/// Changes the worker list, which reaches each proxy after a delay, as through a controller. List versions are
+/// numbered, so that an older one never replaces a newer one.
 void World::show_draining(Worker& worker, bool draining) {
   worker.draining = draining;
   worker.draining_since = kernel_.now();
-  std::uint64_t const shown = ++worker.shown;
+  std::uint64_t const list_version = ++worker.list_version;
   for (std::unique_ptr<Proxy> const& proxy : proxies_) {
     Proxy* const one = proxy.get();
     kernel_.after(kernel_.between(common::milliseconds(30), common::milliseconds(1400)),
-                  [this, one, id = worker.id, draining, shown] {
-                    if (shown > one->list_seen[id]) {
-                      one->list_seen[id] = shown;
+                  [this, one, id = worker.id, draining, list_version] {
+                    if (list_version > one->list_versions[id]) {
+                      one->list_versions[id] = list_version;
                       one->drained[id] = draining;
-                      renew(*one);
+                      update_plan(*one);
                     }
                   });
   }
--- a/source/simulator/query_path/proxy_loops.cpp
+++ b/source/simulator/query_path/proxy_loops.cpp
@@ -1,4 +1,4 @@
-// Furrows' loops: plan, load of the workers, reports; and the scaler of each region.
+// Periodic work of proxies (plan, worker load, reports) and of the scaler of each region.
 
 #include <algorithm>
 #include <utility>
@@ -14,11 +14,11 @@
 
 constexpr common::Span refresh_pause = common::milliseconds(250);
 constexpr common::Span load_jitter = common::milliseconds(20);
-constexpr common::Span least_split_delay = common::milliseconds(20);
-constexpr common::Span most_split_delay = common::milliseconds(300);
+constexpr common::Span min_split_delay = common::milliseconds(20);
+constexpr common::Span max_split_delay = common::milliseconds(300);
 
-std::string boot_of(Worker const& worker) {
-  return "boot-" + std::to_string(worker.life);
+std::string start_id_of(Worker const& worker) {
+  return "boot-" + std::to_string(worker.incarnation);
 }
 
 }  // namespace
@@ -28,28 +28,28 @@
     return false;
   }
   std::size_t const number =
-      static_cast<std::size_t>(std::find(names_.begin(), names_.end(), proxy.name) - names_.begin());
+      static_cast<std::size_t>(std::find(proxy_names_.begin(), proxy_names_.end(), proxy.name) - proxy_names_.begin());
   return !control_.confirmed || control_.confirmed(number);
 }
 
-void World::refresh(Proxy& proxy) {
-  renew(proxy);
-  obey(proxy.placement.tick(kernel_.now()));
-  kernel_.after(refresh_pause, [this, &proxy] { refresh(proxy); });
+void World::refresh_loop(Proxy& proxy) {
+  update_plan(proxy);
+  apply_placement(proxy.placement.tick(kernel_.now()));
+  kernel_.after(refresh_pause, [this, &proxy] { refresh_loop(proxy); });
 }
 
-/// The plan anew, by the same rules as a furrow's; whoever waits follows it.
-void World::renew(Proxy& proxy) {
+/// Derives the plan again, by the same rules as a real proxy, and evaluates waiting queries again if it changed.
+void World::update_plan(Proxy& proxy) {
   if (!proxy.alive || proxy.revision == 0) {
     return;
   }
   std::shared_ptr<scheduling::Plan> const plan = make_plan(proxy);
-  bool const turned = plan->setup_revision != proxy.plan->setup_revision || plan->allowed != proxy.plan->allowed;
+  bool const changed = plan->setup_revision != proxy.plan->setup_revision || plan->allowed != proxy.plan->allowed;
   proxy.plan = plan;
-  obey(proxy.placement.update(plan->desired_workers["model"], options_.bounds, options_.aims, plan->proxies_here,
-                              kernel_.now()));
-  if (turned && options_.decide_anew) {
-    follow_waiting(proxy);
+  apply_placement(proxy.placement.update(plan->desired_workers["model"], options_.bounds, options_.aims,
+                                         plan->proxies_here, kernel_.now()));
+  if (changed && options_.reevaluate_queries) {
+    reevaluate_waiting(proxy);
   }
 }
 
@@ -75,7 +75,7 @@
   }
   for (std::unique_ptr<Worker> const& worker : workers_) {
     if (proxy.listed[worker->id]) {
-      bool const draining = options_.drop_drained && proxy.drained[worker->id];
+      bool const draining = options_.skip_draining && proxy.drained[worker->id];
       plan->list.workers.push_back(schema::WorkerEntry{worker->id, worker->id, worker->hall, "model", draining, {}});
     }
   }
@@ -83,14 +83,14 @@
   bool const usable = confirmed(proxy);
   for (scheduling::DesiredWorker& desired : plan->desired_workers["model"]) {
     desired.usable = desired.usable && usable;
-    if (!options_.tend_cold) {
-      desired.warm_start_ids.push_back(boot_of(*worker_of(desired.id)));
+    if (!options_.ramp_cold_workers) {
+      desired.warm_start_ids.push_back(start_id_of(*worker_of(desired.id)));
     }
   }
   return plan;
 }
 
-void World::follow_waiting(Proxy& proxy) {
+void World::reevaluate_waiting(Proxy& proxy) {
   std::vector<QueryPointer> waiting;
   for (std::pair<std::uint64_t const, QueryPointer> const& entry : tickets_) {
     if (proxies_[entry.second->proxy].get() == &proxy &&
@@ -100,29 +100,30 @@
   }
   for (QueryPointer const& query : waiting) {
     if (query->ticket != 0 && std::holds_alternative<scheduling::Waitlisted>(query->state_machine->state()) &&
-        follow(query) && !query->state_machine->settled()) {
+        reevaluate(query) && !query->state_machine->settled()) {
       std::uint64_t const ticket = query->ticket;
       query->ticket = 0;
       tickets_.erase(ticket);
-      obey(proxy.placement.cancel(ticket, kernel_.now()));
+      apply_placement(proxy.placement.cancel(ticket, kernel_.now()));
       place(query);
     }
   }
 }
 
-void World::look(Proxy& proxy) {
+void World::probe_loop(Proxy& proxy) {
   for (std::unique_ptr<Worker> const& worker : workers_) {
     if (worker->region != proxy.region || !proxy.listed[worker->id]) {
       continue;
     }
-    if (worker->up && !worker->dark) {
-      obey(proxy.placement.report_load(worker->id, static_cast<double>(worker->running.size()),
-                                       static_cast<double>(worker->waiting.size()), boot_of(*worker), kernel_.now()));
+    if (worker->up && !worker->unreachable) {
+      apply_placement(proxy.placement.report_load(worker->id, static_cast<double>(worker->running.size()),
+                                                  static_cast<double>(worker->waiting.size()), start_id_of(*worker),
+                                                  kernel_.now()));
     } else {
-      obey(proxy.placement.report_load_missed(worker->id, kernel_.now()));
+      apply_placement(proxy.placement.report_load_missed(worker->id, kernel_.now()));
     }
   }
-  kernel_.after(constants::load_pause + kernel_.between(0, load_jitter), [this, &proxy] { look(proxy); });
+  kernel_.after(constants::load_pause + kernel_.between(0, load_jitter), [this, &proxy] { probe_loop(proxy); });
 }
 
 void World::report_loop(Proxy& proxy) {
@@ -140,9 +141,9 @@
   });
 }
 
-void World::scale(std::size_t index) {
+void World::scale_loop(std::size_t index) {
   kernel_.after(constants::duty_pause, [this, index] {
-    scale(index);
+    scale_loop(index);
     Region& region = regions_[index];
     std::vector<std::string> names;
     for (std::unique_ptr<Worker> const& worker : workers_) {
@@ -155,18 +156,18 @@
     if (scheduling::WriteSplit const* const write = std::get_if<scheduling::WriteSplit>(&action)) {
       region.split = write->split;
       ++region.revision;
-      ++report_.switches;
+      ++report_.split_changes;
       kernel_.trace("split of region " + std::to_string(index) + ": " + write->split.reason);
-      tell_split(index);
+      distribute_split(index);
     }
   });
 }
 
-void World::tell_split(std::size_t region) {
+void World::distribute_split(std::size_t region) {
   for (std::unique_ptr<Proxy> const& proxy : proxies_) {
     if (proxy->region == region) {
       Proxy* const one = proxy.get();
-      kernel_.after(kernel_.between(least_split_delay, most_split_delay),
+      kernel_.after(kernel_.between(min_split_delay, max_split_delay),
                     [one, split = regions_[region].split] { one->split = split; });
     }
   }
--- a/source/simulator/query_path/queries.cpp
+++ b/source/simulator/query_path/queries.cpp
@@ -1,4 +1,4 @@
-// What a query's chart orders is done here.
+// Performs the actions that query state machines return.
 
 #include <algorithm>
 
@@ -20,133 +20,136 @@
   perform(query, query->state_machine->advance(message, kernel_.now()));
 }
 
-/// What became of a query that was passed on goes back to the furrow that passed it.
-void World::settle_parent(QueryPointer const& query, scheduling::QueryMessage const& message) {
+/// Sends the result of a forwarded query back to the proxy that forwarded it.
+void World::report_to_parent(QueryPointer const& query, scheduling::QueryMessage const& message) {
   kernel_.after(hop_within_region() + options_.deployment.hop,
                 [this, parent = query->parent, message] { feed(parent, message); });
 }
 
 void World::perform(QueryPointer const& query, std::vector<scheduling::QueryAction> const& actions) {
   for (scheduling::QueryAction const& action : actions) {
-    perform_one(query, action);
+    perform_action(query, action);
   }
   if (query->state_machine->settled()) {
-    withdraw(query);
+    release(query);
   }
 }
 
-void World::perform_one(QueryPointer const& query, scheduling::QueryAction const& action) {
-  if (scheduling::Place const* const wanted = std::get_if<scheduling::Place>(&action)) {
-    report_.retries += wanted->again ? 1 : 0;
+void World::perform_action(QueryPointer const& query, scheduling::QueryAction const& action) {
+  if (scheduling::Place const* const placement = std::get_if<scheduling::Place>(&action)) {
+    report_.retries += placement->again ? 1 : 0;
     place(query);
   } else if (std::holds_alternative<scheduling::ForwardToRegion>(action)) {
-    pass_on(query);
+    forward_to_peer(query);
   } else if (scheduling::SendEvent const* const event = std::get_if<scheduling::SendEvent>(&action)) {
-    forward(query, *event);
+    send_event(query, *event);
   } else if (std::holds_alternative<scheduling::SendResponse>(action)) {
-    deliver_whole(query);
+    send_response(query);
   } else if (std::holds_alternative<scheduling::RedirectHome>(action)) {
-    send_home(query);
+    redirect_home(query);
   } else if (std::holds_alternative<scheduling::RejectQuery>(action)) {
-    refuse(query);
-  } else if (scheduling::FailUncertain const* const apology = std::get_if<scheduling::FailUncertain>(&action)) {
-    apologise(query, *apology);
+    reject(query);
+  } else if (scheduling::FailUncertain const* const failure = std::get_if<scheduling::FailUncertain>(&action)) {
+    fail_uncertain(query, *failure);
   } else if (std::holds_alternative<scheduling::EndWithError>(action)) {
-    end_broken(query);
+    end_with_error(query);
   }
 }
 
-void World::forward(QueryPointer const& query, scheduling::SendEvent const& event) {
+void World::send_event(QueryPointer const& query, scheduling::SendEvent const& event) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::Event{event.number, event.last});
+    report_to_parent(query, scheduling::Event{event.number, event.last});
     return;
   }
   if (query->first == 0) {
     query->first = kernel_.now();
   }
-  if (event.number != query->seen + 1) {
-    violate("a caller got event " + std::to_string(event.number) + " after " + std::to_string(query->seen));
+  if (event.number != query->events_seen + 1) {
+    add_violation("a caller got event " + std::to_string(event.number) + " after " +
+                  std::to_string(query->events_seen));
   }
-  query->seen = event.number;
+  query->events_seen = event.number;
   if (event.last) {
-    end_good(*query, query->first);
+    record_success(*query, query->first);
   }
 }
 
-void World::deliver_whole(QueryPointer const& query) {
+void World::send_response(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::WholeResponse{});
+    report_to_parent(query, scheduling::WholeResponse{});
     return;
   }
-  end_good(*query, query->first == 0 ? kernel_.now() : query->first);
+  record_success(*query, query->first == 0 ? kernel_.now() : query->first);
 }
 
-void World::end_good(Query const& query, Moment first) {
-  ended(query, true);
+void World::record_success(Query const& query, Moment first) {
+  record_outcome(query, true);
   ++report_.good;
-  good_late_ += kernel_.now() > options_.length / 2 ? 1 : 0;
-  firsts_.push_back(in_seconds(first - query.began));
+  late_successes_ += kernel_.now() > options_.length / 2 ? 1 : 0;
+  first_event_seconds_.push_back(in_seconds(first - query.started));
 }
 
-void World::send_home(QueryPointer const& query) {
+void World::redirect_home(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::NoCapacity{});
-  } else if (query->hops < most_hops) {
+    report_to_parent(query, scheduling::NoCapacity{});
+  } else if (query->redirects < max_redirects) {
     kernel_.after(hop_within_region(), [this, query] {
-      arrive(query->mix, query->home, query->tries, query->hops + 1, query->footing.home);
+      arrive(query->mix, query->home, query->attempts, query->redirects + 1, query->query_config.home);
     });
   }
 }
 
-void World::refuse(QueryPointer const& query) {
+void World::reject(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::NoCapacity{});
+    report_to_parent(query, scheduling::NoCapacity{});
     return;
   }
   ++report_.refused;
-  query->told_refused = true;
-  ended(*query, false);
-  report_.worst_refusal = std::max(report_.worst_refusal, in_seconds(kernel_.now() - query->began));
-  if (query->tries < options_.faults.comes_back) {
-    kernel_.after(common::seconds(scheduling::retry_after_with_jitter(query->wait, kernel_.uniform())), [this, query] {
-      if (kernel_.now() < options_.length) {
-        arrive(query->mix, query->home, query->tries + 1, 0, std::nullopt);
-      }
-    });
+  query->was_rejected = true;
+  record_outcome(*query, false);
+  report_.worst_rejection_seconds =
+      std::max(report_.worst_rejection_seconds, in_seconds(kernel_.now() - query->started));
+  if (query->attempts < options_.faults.caller_retries) {
+    kernel_.after(common::seconds(scheduling::retry_after_with_jitter(query->expected_wait, kernel_.uniform())),
+                  [this, query] {
+                    if (kernel_.now() < options_.length) {
+                      arrive(query->mix, query->home, query->attempts + 1, 0, std::nullopt);
+                    }
+                  });
   }
 }
 
-void World::apologise(QueryPointer const& query, scheduling::FailUncertain const& apology) {
+void World::fail_uncertain(QueryPointer const& query, scheduling::FailUncertain const& failure) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::WorkerErrorResponse{apology.status});
+    report_to_parent(query, scheduling::WorkerErrorResponse{failure.status});
     return;
   }
-  if (!options_.honest_refusal) {  // the guard off: said as "busy"
-    query->told_refused = true;
+  if (!options_.no_rejection_after_run) {  // guard disabled: reported as "busy"
+    query->was_rejected = true;
   }
   ++report_.apologies;
-  ended(*query, false);
+  record_outcome(*query, false);
 }
 
-void World::end_broken(QueryPointer const& query) {
+void World::end_with_error(QueryPointer const& query) {
   if (query->parent != nullptr) {
-    settle_parent(query, scheduling::WorkerFailure{"pass_cut"});
+    report_to_parent(query, scheduling::WorkerFailure{"pass_cut"});
     return;
   }
   ++report_.broken;
-  ended(*query, false);
+  record_outcome(*query, false);
 }
 
-void World::withdraw(QueryPointer const& query) {
+void World::release(QueryPointer const& query) {
   if (query->job != nullptr) {
-    query->job->gone = true;
+    query->job->cancelled = true;
     query->job = nullptr;
   }
   if (query->ticket != 0) {
     std::uint64_t const ticket = query->ticket;
     query->ticket = 0;
     tickets_.erase(ticket);
-    obey(proxies_[query->proxy]->placement.cancel(ticket, kernel_.now()));
+    apply_placement(proxies_[query->proxy]->placement.cancel(ticket, kernel_.now()));
   }
 }
 
--- a/source/simulator/query_path/query_path.hpp
+++ b/source/simulator/query_path/query_path.hpp
@@ -1,5 +1,7 @@
 #pragma once
 
+/// Options, fault mixes and report of the simulated query path, and its entry point.
+
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -15,118 +17,129 @@
 
 namespace finchlink::simulator {
 
-/// One service of a deployment, in tokens; what is done with it says the setup.
+/// The traffic of one service of a deployment. Routing and limits of the service are in the setup.
 struct QueryPathMix {
   std::string name;
   std::string method;
   std::string path;
-  double rate = 10;  ///< queries a second
+  double rate = 10;  ///< queries per second
   double prefix_tokens = 0;
   double own_tokens = 100;
   std::uint64_t prefixes = 20;
-  double outputs = 16;             ///< iterations of decode
-  std::vector<std::string> homes;  ///< named by callers in turn; empty: none
+  double outputs = 16;             ///< decode iterations
+  std::vector<std::string> homes;  ///< home regions that callers name, drawn at random; empty: none
 };
+/// A zone of a deployment.
 struct QueryPathZone {
   std::string name;
-  std::size_t region = 0;  ///< place among the deployment's regions
+  std::size_t region = 0;  ///< index among the deployment's regions
   std::size_t proxies = 0;
   std::size_t workers = 0;
 };
+/// The simulated machines, their traffic and their setup.
 struct QueryPathDeployment {
   std::vector<std::string> regions;
   std::vector<QueryPathZone> halls;
-  common::Span hop = common::milliseconds(8);  ///< between the regions
-  std::vector<QueryPathMix> mixes;             ///< of model workers; plain services are left out
+  common::Span hop = common::milliseconds(8);  ///< one-way delay between regions
+  std::vector<QueryPathMix> mixes;             ///< services on model workers; plain services are left out
   schema::Setup setup;
   [[nodiscard]] std::size_t workers_of(std::size_t region) const;
 };
 
+/// A mix of faults and load changes. Intervals are mean seconds between two faults of a kind; 0 disables it.
 struct QueryPathFaults {
-  double crash = 0;  ///< mean seconds between two; back cold after a while
-  double dark = 0;
-  double blink = 0;  ///< dark without closing anything, back cold within a second
-  double drain = 0;
-  double replace = 0;           ///< one by one: drained, gone, a new one comes
-  common::Moment swing_at = 0;  ///< from then on long prompts become long answers
-  common::Moment crowd_at = 0;  ///< from then on for crowd_span
-  double crowd = 1;             ///< times the rate
-  common::Span crowd_span = common::seconds(10);
-  bool crowd_on_first = false;   ///< the crowd is on the first service only
-  std::uint64_t comes_back = 0;  ///< times that a refused caller tries again, when it was told to
-  double setups = 0;             ///< a rule's home or repeatable is changed, a hall emptied or taken back
-  double cut = 0;                ///< connections to workers cut at any point
+  double crash_interval = 0;        ///< workers crash and come back cold after a while
+  double unreachable_interval = 0;  ///< workers become unreachable for a while
+  /// Workers are unreachable, close nothing, and are back cold within a second
+  double silent_restart_interval = 0;
+  double drain_interval = 0;    ///< workers drain and return
+  double replace_interval = 0;  ///< workers are replaced one by one: drained, removed, then a new one starts
+  common::Moment shift_at = 0;  ///< from then on prompts are shorter and responses longer; 0: never
+  common::Moment burst_at = 0;  ///< start of a burst that lasts burst_span; 0: none
+  double burst_factor = 1;      ///< the rate is multiplied by this
+  common::Span burst_span = common::seconds(10);
+  bool burst_on_first = false;  ///< the burst is on the first service only
+  /// Times that a rejected caller retries, after the Retry-After that it got
+  std::uint64_t caller_retries = 0;
+  double setup_change_interval = 0;  ///< a rule's home or repeatability changes, a zone is drained or restored
+  double cut_chance = 0;             ///< probability that the connection of a dispatch is cut at some point
 };
 
+/// Parameters of a run. Each "guard" is a safety rule that a test can disable (`--off` with the quoted name), to show
+/// that the checks detect the failure that the rule prevents.
 struct QueryPathOptions {
   std::uint64_t seed = 1;
-  common::Span length = common::seconds(60);
+  common::Span length = common::seconds(60);  ///< of simulated time in which queries arrive
   QueryPathDeployment deployment;
   QueryPathFaults faults;
   schema::ScalerAims aims;
   schema::WorkerBounds bounds;
-  double scale = 1;
-  bool tend_cold = true;        ///< guard: one furrow ramps a cold worker
-  bool budget = true;           ///< guard: retries only by right
-  bool dispatch_once = true;    ///< guard: not repeatable means one dispatch
-  bool honest_refusal = true;   ///< guard: no refusal once it may have run
-  bool checked_numbers = true;  ///< guard: numbering of streams is checked
-  bool decide_anew = true;      ///< guard: a query goes by the setup in force when bytes go
-  bool drop_drained = true;     ///< guard: a draining worker gets nothing new
+  double scale = 1;                    ///< all rates are multiplied by this
+  bool ramp_cold_workers = true;       ///< guard "tend_cold": a single proxy ramps a cold worker up
+  bool retry_budget = true;            ///< guard "budget": each retry takes a retry token
+  bool dispatch_once = true;           ///< guard "dispatch_once": a query that is not repeatable is dispatched once
+  bool no_rejection_after_run = true;  ///< guard "honest_refusal": no rejection once the query may have run
+  bool check_event_numbers = true;     ///< guard "checked_numbers": event numbers of streams are checked
+  /// Guard "decide_anew": the setup in force is evaluated again before bytes are sent
+  bool reevaluate_queries = true;
+  bool skip_draining = true;  ///< guard "drop_drained": a draining worker gets no new query
   scheduling::PlacementGuards placement;
-  bool hear_closing = true;  ///< guard: a closing connection tells of a crash at once
-  bool print = false;
-  /// With it the control plane runs beside, on the same clock: setups come by
-  /// its register and news, and without its vouch nothing is sent (section 10.1).
+  bool notice_closed_connections = true;  ///< guard "hear_closing": a closed connection reports a crash at once
+  bool print = false;                     ///< prints the trace
+  /// If set, the control plane is simulated on the same clock: setups come through its register and updates, and
+  /// a proxy whose freshness lease has expired sends nothing (section 10.1).
   std::optional<ControlOptions> control;
 };
 
+/// Counts and figures of a run.
 struct QueryPathReport {
   std::vector<std::string> violations;
   std::uint64_t sent = 0;
   std::uint64_t good = 0;
   std::uint64_t refused = 0;
-  std::uint64_t apologies = 0;
-  std::uint64_t broken = 0;
-  std::uint64_t passes = 0;
+  std::uint64_t apologies = 0;  ///< queries that failed after they may have run
+  std::uint64_t broken = 0;     ///< streams that ended with an error
+  std::uint64_t forwards = 0;   ///< queries forwarded to another proxy
   std::uint64_t retries = 0;
-  std::uint64_t faults = 0;  ///< that were really brought about
-  std::uint64_t switches = 0;
-  std::uint64_t moved = 0;
-  double reuse = 0;      ///< part of prompt tokens found in the true caches
-  double first_p50 = 0;  ///< seconds
+  std::uint64_t faults = 0;         ///< faults that actually took effect
+  std::uint64_t split_changes = 0;  ///< prefill/decode splits written by scalers
+  std::uint64_t moved = 0;          ///< waiting queries that placements moved to another worker
+  double cached_share = 0;          ///< share of prompt tokens that were found in the caches of workers
+  double first_p50 = 0;             ///< seconds to the first event
   double first_p99 = 0;
-  double good_rate = 0;            ///< good answers a second over the second half
-  double crowd_good = 0;           ///< good answers a second while the crowd is there, its first three seconds left out
-  double calm_good = 0;            ///< before it
-  double others_good = 0;          ///< part of the other services' queries that end well meanwhile
-  double after_crowd = 0;          ///< seconds behind the crowd until fewer than one in fifty is refused or late
-  double worst_refusal = 0;        ///< seconds from arrival to a refusal, at most
-  std::uint64_t decided_anew = 0;  ///< queries that a change of the setup turned
-  double worst_retry_share = 0;
-  common::Span worst_drain = 0;
-  std::map<std::string, double> fit_error;   ///< mean relative error against the true times
+  double goodput = 0;                  ///< successes per second over the second half of the run
+  double burst_goodput = 0;            ///< successes per second during the burst, without its first three seconds
+  double calm_goodput = 0;             ///< successes per second before the burst
+  double others_success_share = 0;     ///< share of the other services' queries that succeed during the burst
+  double recovery_seconds = 0;         ///< after the burst, until fewer than one in fifty queries is rejected or late
+  double worst_rejection_seconds = 0;  ///< longest time from arrival to a rejection
+  std::uint64_t reevaluated = 0;       ///< queries whose disposition a setup change altered
+  double worst_retry_share = 0;        ///< largest share of retries in a service's traffic over ten seconds
+  common::Span worst_drain = 0;        ///< longest time from showing a worker draining to a dispatch to it
+  std::map<std::string, double> fit_error;   ///< mean relative error of fitted costs against the true ones
   std::vector<std::size_t> prefill_workers;  ///< per region, at the end
   std::uint64_t trace_hash = 0;
   std::uint64_t events = 0;
   ControlReport control;
-  std::uint64_t unconfirmed = 0;  ///< queries refused, or withdrawn, for want of a vouch
-  std::uint64_t proxies_lost = 0;
+  std::uint64_t unconfirmed = 0;   ///< queries rejected or withdrawn because the setup was not confirmed
+  std::uint64_t proxies_lost = 0;  ///< proxies killed by the control plane's faults
 };
 
-/// Runs placement, charts, budgets and scalers over simulated workers.
+/// Runs the production placement, query state machines, retry budgets and scalers over simulated workers.
 [[nodiscard]] QueryPathReport run_query_path(QueryPathOptions const& options);
 
-/// Reads fleet.json and setup.json of a deployment; says what is wrong.
+/// Reads fleet.json and setup.json in `folder`. The error names the file and what is invalid in it.
 [[nodiscard]] absl::StatusOr<QueryPathDeployment> query_path_deployment(std::string const& folder);
-/// Fault mixes by name; nothing for an unknown one.
+/// The fault mix of a scenario; nullopt for an unknown name.
 [[nodiscard]] std::optional<QueryPathFaults> query_path_scenario(std::string const& name);
+/// Names of all scenarios of the query path.
 [[nodiscard]] std::vector<std::string> query_path_scenarios();
-/// "whole-X": all of it in one world, the control plane under scenario X, the
-/// query path under crashes and drains; false for an unknown one.
+/// Whether the name is "whole-X": control plane and query path in one simulation.
 [[nodiscard]] bool is_whole(std::string const& name);
+/// Sets up "whole-X": the control plane under its scenario X, the query path under crashes and drains. False for an
+/// unknown X.
 [[nodiscard]] bool apply_whole(std::string const& name, QueryPathOptions& options);
-/// Own earlier or lesser ways, to compare with: false for an unknown one.
+/// Applies a baseline to compare with, such as static scaling or placement without prefixes; false for an unknown name.
 [[nodiscard]] bool apply_variant(std::string const& name, QueryPathOptions& options);
 
 }  // namespace finchlink::simulator
--- a/source/simulator/query_path/results.cpp
+++ b/source/simulator/query_path/results.cpp
@@ -1,4 +1,4 @@
-// Checks and figures at the end of a run.
+// Final checks and figures of a run.
 
 #include <algorithm>
 #include <cmath>
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr std::size_t kept_violations = 20;
-constexpr Moment one_second = common::seconds(1);
+constexpr std::size_t max_violations = 20;
+constexpr Moment second_span = common::seconds(1);
 constexpr double retry_share_bound = 0.2;
-/// In seconds: what is left out at the beginning of a run, and of a crowd.
+/// Seconds that are left out at the start of a run and of a burst.
 constexpr Moment run_start = 5;
-constexpr Moment crowd_start = 3;
-constexpr double bad_part = 0.02;
+constexpr Moment burst_start = 3;
+constexpr double failure_share_bound = 0.02;
 /// The prompt and the batch at which fitted times are compared with the true ones.
 constexpr double probe_uncached = 600;
 constexpr double probe_cached = 1200;
@@ -26,74 +26,75 @@
 
 }  // namespace
 
-void World::violate(std::string const& text) {
+void World::add_violation(std::string const& text) {
   kernel_.trace("VIOLATION " + text);
-  if (report_.violations.size() < kept_violations) {
+  if (report_.violations.size() < max_violations) {
     report_.violations.push_back("at " + std::to_string(kernel_.now()) + " us: " + text);
   }
 }
 
-Second& World::second(std::size_t mix, Moment at) {
-  return seconds_[{mix, at / one_second}];
+SecondOutcomes& World::outcomes_at(std::size_t mix, Moment at) {
+  return outcomes_by_second_[{mix, at / second_span}];
 }
 
-void World::ended(Query const& query, bool good) {
-  Second& one = second(query.mix, query.began);
-  (good ? one.good : one.bad) += 1;
+void World::record_outcome(Query const& query, bool success) {
+  SecondOutcomes& one = outcomes_at(query.mix, query.started);
+  (success ? one.successes : one.failures) += 1;
 }
 
-/// Near a crowd: what ended well before, in and behind it (section 10).
-void World::weigh_crowd() {
-  Moment const from = options_.faults.crowd_at / one_second;
-  Moment const until = (options_.faults.crowd_at + options_.faults.crowd_span) / one_second;
+/// Success rates before, during and after a burst (section 10).
+void World::summarize_burst() {
+  Moment const from = options_.faults.burst_at / second_span;
+  Moment const until = (options_.faults.burst_at + options_.faults.burst_span) / second_span;
   double others = 0;
-  double others_good = 0;
-  std::map<Moment, Second> sums;
-  for (std::pair<std::pair<std::size_t, Moment> const, Second> const& entry : seconds_) {
+  double others_succeeded = 0;
+  std::map<Moment, SecondOutcomes> sums;
+  for (std::pair<std::pair<std::size_t, Moment> const, SecondOutcomes> const& entry : outcomes_by_second_) {
     Moment const at = entry.first.second;
-    sums[at].good += entry.second.good;
-    sums[at].bad += entry.second.bad;
+    sums[at].successes += entry.second.successes;
+    sums[at].failures += entry.second.failures;
     if (entry.first.first > 0 && at >= from && at < until) {
-      others += entry.second.good + entry.second.bad;
-      others_good += entry.second.good;
+      others += entry.second.successes + entry.second.failures;
+      others_succeeded += entry.second.successes;
     }
   }
-  for (std::pair<Moment const, Second> const& entry : sums) {
+  for (std::pair<Moment const, SecondOutcomes> const& entry : sums) {
     if (entry.first >= run_start && entry.first < from) {
-      report_.calm_good += entry.second.good / static_cast<double>(from - run_start);
-    } else if (entry.first >= from + crowd_start && entry.first < until) {
-      report_.crowd_good += entry.second.good / static_cast<double>(until - from - crowd_start);
-    } else if (entry.first >= until && entry.first < options_.length / one_second - 1 &&
-               entry.second.bad > bad_part * (entry.second.good + entry.second.bad)) {
-      report_.after_crowd = static_cast<double>(entry.first + 1 - until);
+      report_.calm_goodput += entry.second.successes / static_cast<double>(from - run_start);
+    } else if (entry.first >= from + burst_start && entry.first < until) {
+      report_.burst_goodput += entry.second.successes / static_cast<double>(until - from - burst_start);
+    } else if (entry.first >= until && entry.first < options_.length / second_span - 1 &&
+               entry.second.failures > failure_share_bound * (entry.second.successes + entry.second.failures)) {
+      report_.recovery_seconds = static_cast<double>(entry.first + 1 - until);
     }
   }
-  report_.others_good = others > 0 ? others_good / others : 1;
+  report_.others_success_share = others > 0 ? others_succeeded / others : 1;
 }
 
 void World::check_queries() {
   for (QueryPointer const& query : queries_) {
     if (!query->state_machine->settled() && query->parent == nullptr) {
-      violate("query " + std::to_string(query->id) + " was never settled");
+      add_violation("query " + std::to_string(query->id) + " was never settled");
     }
-    if (query->told_refused && query->runs > 0) {
-      violate("query " + std::to_string(query->id) + " was told refused though it ran");
+    if (query->was_rejected && query->runs > 0) {
+      add_violation("query " + std::to_string(query->id) + " was told refused though it ran");
     }
   }
 }
 
-void World::weigh_retries() {
+void World::summarize_retries() {
   for (std::pair<std::string const, std::vector<Moment>> const& entry : retries_) {
     report_.worst_retry_share = std::max(report_.worst_retry_share,
                                          scheduling::worst_retry_share(first_dispatches_[entry.first], entry.second));
   }
   if (report_.worst_retry_share > retry_share_bound) {
-    violate("retries were " + std::to_string(report_.worst_retry_share) + " of a service's traffic in ten seconds");
+    add_violation("retries were " + std::to_string(report_.worst_retry_share) +
+                  " of a service's traffic in ten seconds");
   }
 }
 
-/// How far the fitted times are from the true ones, and the splits at the end.
-void World::weigh_fit() {
+/// Errors of the fitted costs against the true ones, and the final splits.
+void World::summarize_fit() {
   double const share = options_.aims.experts_share;
   double const true_prompt = true_prefill[0] + true_prefill[1] * probe_uncached +
                              true_prefill[2] * scheduling::pairs(probe_uncached, probe_cached);
@@ -122,19 +123,19 @@
 }
 
 void World::finish() {
-  if (options_.faults.crowd_at > 0) {
-    weigh_crowd();
+  if (options_.faults.burst_at > 0) {
+    summarize_burst();
   }
   check_queries();
-  weigh_retries();
-  std::sort(firsts_.begin(), firsts_.end());
-  if (!firsts_.empty()) {
-    report_.first_p50 = firsts_[firsts_.size() / 2];
-    report_.first_p99 = firsts_[firsts_.size() * 99 / 100];
+  summarize_retries();
+  std::sort(first_event_seconds_.begin(), first_event_seconds_.end());
+  if (!first_event_seconds_.empty()) {
+    report_.first_p50 = first_event_seconds_[first_event_seconds_.size() / 2];
+    report_.first_p99 = first_event_seconds_[first_event_seconds_.size() * 99 / 100];
   }
-  report_.reuse = prompt_tokens_ > 0 ? cached_tokens_ / prompt_tokens_ : 0;
-  report_.good_rate = static_cast<double>(good_late_) / (static_cast<double>(options_.length) / 2e6);
-  weigh_fit();
+  report_.cached_share = prompt_tokens_ > 0 ? cached_tokens_ / prompt_tokens_ : 0;
+  report_.goodput = static_cast<double>(late_successes_) / (static_cast<double>(options_.length) / 2e6);
+  summarize_fit();
   for (std::unique_ptr<Proxy> const& proxy : proxies_) {
     report_.moved += proxy->placement.moved();
   }
--- a/source/simulator/query_path/scenarios.cpp
+++ b/source/simulator/query_path/scenarios.cpp
@@ -1,4 +1,4 @@
-// The mixes of faults, whole worlds and variants by name.
+// Fault mixes, combined scenarios ("whole-X") and baselines by name.
 
 #include <algorithm>
 
@@ -19,43 +19,43 @@
   }
   bool const all = name == "field-storm";
   if (name == "field-crashes" || all) {
-    faults.crash = all ? 6 : 2;
+    faults.crash_interval = all ? 6 : 2;
   }
   if (name == "field-dark" || all) {
-    faults.dark = all ? 12 : 4;
+    faults.unreachable_interval = all ? 12 : 4;
   }
   if (name == "field-blinks") {
-    faults.blink = 2;
+    faults.silent_restart_interval = 2;
   }
   if (name == "field-drains" || all) {
-    faults.drain = all ? 9 : 3;
+    faults.drain_interval = all ? 9 : 3;
   }
   if (name == "field-replace" || all) {
-    faults.replace = all ? 10 : 4;
+    faults.replace_interval = all ? 10 : 4;
   }
   if (name == "field-cuts" || all) {
-    faults.cut = all ? 0.01 : 0.05;
+    faults.cut_chance = all ? 0.01 : 0.05;
   }
   if (name == "field-setups" || all) {
-    faults.setups = all ? 8 : 1.2;
+    faults.setup_change_interval = all ? 8 : 1.2;
   }
   if (name == "field-setups") {
-    faults.crowd_at = common::seconds(10);  // so that many wait at the changes
-    faults.crowd = 7;
-    faults.crowd_span = common::seconds(30);
-    faults.cut = 0.02;
+    faults.burst_at = common::seconds(10);  // so that many queries wait when the setup changes
+    faults.burst_factor = 7;
+    faults.burst_span = common::seconds(30);
+    faults.cut_chance = 0.02;
   }
   if (name == "field-swing" || all) {
-    faults.swing_at = common::seconds(25);
+    faults.shift_at = common::seconds(25);
   }
   if (name == "field-overload") {
-    faults.crowd_at = common::seconds(20);
-    faults.crowd_span = common::seconds(15);
-    faults.comes_back = 4;
+    faults.burst_at = common::seconds(20);
+    faults.burst_span = common::seconds(15);
+    faults.caller_retries = 4;
   }
   if (name == "field-crowd" || all) {
-    faults.crowd_at = common::seconds(15);
-    faults.crowd = 3;
+    faults.burst_at = common::seconds(15);
+    faults.burst_factor = 3;
   }
   return faults;
 }
@@ -73,10 +73,10 @@
   options.control->faults = *faults;
   options.control->operator_pause = 2;
   options.faults = *query_path_scenario(name == "whole-storm" ? "field-storm" : "field-calm");
-  options.faults.setups = 0;  // they come by the register
+  options.faults.setup_change_interval = 0;  // setups come through the register instead
   if (name != "whole-calm") {
-    options.faults.crash = 8;
-    options.faults.drain = 8;
+    options.faults.crash_interval = 8;
+    options.faults.drain_interval = 8;
   }
   return true;
 }
--- a/source/simulator/query_path/setups.cpp
+++ b/source/simulator/query_path/setups.cpp
@@ -1,4 +1,4 @@
-// The setup in force, its changes, and queries that follow it.
+// The setup in force, its changes, and the evaluation of queries under it.
 
 #include <algorithm>
 
@@ -12,10 +12,10 @@
 namespace {
 
 char const* const home_header = "Finchlink-Home";
-constexpr common::Span least_update_delay = common::milliseconds(20);
-constexpr double fixed_homes = 0.6;
+constexpr common::Span min_update_delay = common::milliseconds(20);
+constexpr double fixed_home_chance = 0.6;
 
-/// The one header that rules of these deployments read.
+/// Request headers with only the one that the rules of these deployments read.
 std::function<std::string(std::string const&)> headers_with(std::string const& home) {
   return [home](std::string const& name) { return name == home_header ? home : std::string(); };
 }
@@ -28,37 +28,39 @@
   return config::decide(setup, region, service.method, service.path, headers_with(home), 0);
 }
 
-/// The query goes by the setup in force at its furrow; whether that changed anything.
-bool World::follow(QueryPointer const& query) {
-  if (!options_.decide_anew) {
+/// Evaluates the query again under the setup in force at its proxy; returns whether its disposition changed.
+bool World::reevaluate(QueryPointer const& query) {
+  if (!options_.reevaluate_queries) {
     return false;
   }
   QueryPathMix const& mix = options_.deployment.mixes[query->mix];
   scheduling::RequestHead const header{mix.method, mix.path, headers_with(query->home), 0};
-  scheduling::Reevaluation followed = scheduling::reevaluate(query->footing, proxies_[query->proxy]->plan, header);
-  report_.decided_anew += followed.changed ? 1 : 0;
-  if (followed.decided.has_value()) {
-    followed.decided->repeatable = followed.decided->repeatable || !options_.dispatch_once;
-    feed(query, *followed.decided);
+  scheduling::Reevaluation reevaluation =
+      scheduling::reevaluate(query->query_config, proxies_[query->proxy]->plan, header);
+  report_.reevaluated += reevaluation.changed ? 1 : 0;
+  if (reevaluation.decided.has_value()) {
+    reevaluation.decided->repeatable = reevaluation.decided->repeatable || !options_.dispatch_once;
+    feed(query, *reevaluation.decided);
   }
-  return followed.changed;
+  return reevaluation.changed;
 }
 
 void World::apply_setup(schema::Setup const& setup) {
-  std::uint64_t const revision = ++newest_;
+  std::uint64_t const revision = ++newest_revision_;
   setups_[revision] = setup;
   ++report_.faults;
   kernel_.trace("setup " + std::to_string(revision));
   for (std::unique_ptr<Proxy> const& proxy : proxies_) {
     Proxy* const one = proxy.get();
-    kernel_.after(kernel_.between(least_update_delay, constants::confirmation_bound), [this, one, revision] {
+    kernel_.after(kernel_.between(min_update_delay, constants::confirmation_bound), [this, one, revision] {
       if (revision > one->revision) {
         one->revision = revision;
-        renew(*one);
+        update_plan(*one);
       }
     });
   }
-  kernel_.after(constants::acknowledge_wait, [this, revision] { acknowledged_ = std::max(acknowledged_, revision); });
+  kernel_.after(constants::acknowledge_wait,
+                [this, revision] { acknowledged_revision_ = std::max(acknowledged_revision_, revision); });
 }
 
 schema::Setup World::changed_setup(schema::Setup setup) {
@@ -71,21 +73,21 @@
   } else if (change == Change::home) {
     move_home(rule);
   } else {
-    empty_or_refill(setup);
+    toggle_drained_zone(setup);
   }
   return setup;
 }
 
 void World::move_home(schema::Rule& rule) {
   rule.home = schema::Home{};
-  if (kernel_.chance(fixed_homes)) {
+  if (kernel_.chance(fixed_home_chance)) {
     rule.home->region = options_.deployment.regions[kernel_.below(2)];
   } else {
     rule.home->header = home_header;
   }
 }
 
-void World::empty_or_refill(schema::Setup& setup) {
+void World::toggle_drained_zone(schema::Setup& setup) {
   bool any = false;
   for (std::pair<std::string const, schema::Hall>& hall : setup.halls) {
     any = any || hall.second.evacuated;
--- a/source/simulator/query_path/workers.cpp
+++ b/source/simulator/query_path/workers.cpp
@@ -1,4 +1,4 @@
-// Workers: prefill one by one, decode of all that runs, crashes.
+// Workers: prefill of one job at a time, decode of all running jobs, crashes.
 
 #include <algorithm>
 
@@ -23,15 +23,15 @@
   return nullptr;
 }
 
-/// A worker prefills what waits, one by one; else it decodes all that runs by one iteration.
+/// Waiting jobs are prefilled first, one at a time; if none waits, all running jobs decode one iteration.
 void World::step(Worker& worker) {
-  if (worker.busy || !worker.up || worker.dark) {
+  if (worker.busy || !worker.up || worker.unreachable) {
     return;
   }
-  while (!worker.waiting.empty() && worker.waiting.front()->gone) {
+  while (!worker.waiting.empty() && worker.waiting.front()->cancelled) {
     worker.waiting.pop_front();
   }
-  worker.running.remove_if([](JobPointer const& job) { return job->gone; });
+  worker.running.remove_if([](JobPointer const& job) { return job->cancelled; });
   if (!worker.waiting.empty()) {
     prefill(worker);
   } else if (!worker.running.empty()) {
@@ -42,18 +42,18 @@
 void World::prefill(Worker& worker) {
   JobPointer const job = worker.waiting.front();
   worker.waiting.pop_front();
-  double const seconds = job->decode_leg ? 0 : prefill_seconds(worker, *job);
+  double const seconds = job->decode_phase ? 0 : prefill_seconds(worker, *job);
   worker.running.push_back(job);
   worker.busy = true;
-  kernel_.after(static_cast<Span>(seconds * 1e6), [this, &worker, job, life = worker.life] {
-    if (worker.life != life) {
+  kernel_.after(static_cast<Span>(seconds * 1e6), [this, &worker, job, incarnation = worker.incarnation] {
+    if (worker.incarnation != incarnation) {
       return;
     }
     worker.busy = false;
-    if (job->prefill_leg) {
+    if (job->prefill_phase) {
       worker.running.remove(job);
     }
-    deliver(job, false);
+    emit_event(job, false);
     step(worker);
   });
 }
@@ -77,8 +77,8 @@
             true_decode[2] * batch) /
       worker.speed;
   worker.busy = true;
-  kernel_.after(static_cast<Span>(seconds * 1e6), [this, &worker, life = worker.life] {
-    if (worker.life == life) {
+  kernel_.after(static_cast<Span>(seconds * 1e6), [this, &worker, incarnation = worker.incarnation] {
+    if (worker.incarnation == incarnation) {
       finish_iteration(worker);
     }
   });
@@ -88,14 +88,14 @@
   worker.busy = false;
   std::vector<JobPointer> const batch(worker.running.begin(), worker.running.end());
   for (JobPointer const& job : batch) {
-    if (job->gone) {
+    if (job->cancelled) {
       continue;
     }
     bool const last = job->produced + 1 >= job->outputs;
     if (last) {
       worker.running.remove(job);
     }
-    deliver(job, last);
+    emit_event(job, last);
   }
   step(worker);
 }
@@ -106,33 +106,34 @@
 
 void World::crash(Worker& worker) {
   kernel_.trace("crash " + worker.id);
-  if (options_.hear_closing) {
-    for (std::unique_ptr<Proxy> const& proxy : proxies_) {  // kept connections close
+  if (options_.notice_closed_connections) {
+    for (std::unique_ptr<Proxy> const& proxy : proxies_) {  // idle connections close
       Proxy* const one = proxy.get();
-      kernel_.after(hop_within_region(),
-                    [this, one, id = worker.id] { obey(one->placement.connection_lost(id, kernel_.now())); });
+      kernel_.after(hop_within_region(), [this, one, id = worker.id] {
+        apply_placement(one->placement.connection_lost(id, kernel_.now()));
+      });
     }
   }
   worker.up = false;
   for (JobPointer const& job : take_jobs(worker)) {
-    lose_job(job, "crash");
+    fail_job(job, "crash");
   }
 }
 
-/// Ends what the worker does; it has no job after this.
+/// Removes and returns all jobs of the worker and invalidates its pending events.
 std::vector<JobPointer> World::take_jobs(Worker& worker) {
   std::vector<JobPointer> jobs(worker.waiting.begin(), worker.waiting.end());
   jobs.insert(jobs.end(), worker.running.begin(), worker.running.end());
   worker.waiting.clear();
   worker.running.clear();
   worker.busy = false;
-  ++worker.life;
+  ++worker.incarnation;
   return jobs;
 }
 
-void World::lose_job(JobPointer const& job, std::string const& reason) {
-  if (!job->gone && !job->query->state_machine->settled() && job->query->dispatch == job->dispatch) {
-    job->gone = true;
+void World::fail_job(JobPointer const& job, std::string const& reason) {
+  if (!job->cancelled && !job->query->state_machine->settled() && job->query->dispatch == job->dispatch) {
+    job->cancelled = true;
     end_dispatch(job->query, scheduling::Ending::failure, scheduling::WorkerFailure{reason});
   }
 }
--- a/source/simulator/query_path/world.cpp
+++ b/source/simulator/query_path/world.cpp
@@ -1,4 +1,4 @@
-// Construction of the query path, and the course of a run.
+// Construction of the query path, and the sequence of a run.
 
 #include "simulator/query_path/world.hpp"
 
@@ -28,11 +28,11 @@
     add_zone(hall);
   }
   if (options_.control.has_value()) {
-    newest_ = acknowledged_ = 0;
+    newest_revision_ = acknowledged_revision_ = 0;
     for (std::unique_ptr<Proxy> const& proxy : proxies_) {
       proxy->revision = 0;
     }
-    join_control();
+    attach_control_plane();
     control_.begin();
     control_.end_run(options_.length + calm_before_end);
   }
@@ -61,7 +61,7 @@
     proxy->hall = hall.name;
     proxy->region = hall.region;
     proxy->placement = scheduling::Placement(options_.placement);
-    names_.push_back(proxy->name);
+    proxy_names_.push_back(proxy->name);
     proxies_.push_back(std::move(proxy));
   }
 }
@@ -71,16 +71,16 @@
     for (std::unique_ptr<Worker> const& worker : workers_) {
       proxy->listed[worker->id] = true;
     }
-    refresh(*proxy);
-    look(*proxy);
+    refresh_loop(*proxy);
+    probe_loop(*proxy);
     report_loop(*proxy);
   }
   for (std::size_t region = 0; region < regions_.size(); ++region) {
-    scale(region);
+    scale_loop(region);
   }
   kernel_.after(first_arrival_at, [this] {
     for (std::size_t mix = 0; mix < options_.deployment.mixes.size(); ++mix) {
-      arrivals(mix);
+      schedule_arrivals(mix);
     }
   });
   kernel_.after(first_fault_at, [this] { schedule_faults(); });
--- a/source/tests/simulator/query_path_test.cpp
+++ b/source/tests/simulator/query_path_test.cpp
@@ -25,8 +25,8 @@
   options.deployment = *simulator::query_path_deployment(FINCHLINK_SOURCE_FOLDER "/deployments/corrib");
   options.aims.manner = "paired";
 }
-std::string first_break(std::string const& scenario, std::uint64_t seeds,
-                        std::function<void(simulator::QueryPathOptions&)> const& off) {
+std::string first_violation(std::string const& scenario, std::uint64_t seeds,
+                            std::function<void(simulator::QueryPathOptions&)> const& off) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     simulator::QueryPathReport const report = run(scenario, seed, off);
     if (!report.violations.empty()) {
@@ -36,12 +36,12 @@
   return "";
 }
 
-TEST(Field, HoldsUnderEveryMixOfFaultsInBothDeployments) {
+TEST(QueryPath, HoldsUnderEveryMixOfFaultsInBothDeployments) {
   for (std::string const& scenario : simulator::query_path_scenarios()) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       simulator::QueryPathReport const first = run(scenario, seed);
       EXPECT_TRUE(first.violations.empty()) << scenario << " seed " << seed << ": " << first.violations.front();
-      EXPECT_GT(first.good, first.sent / 3) << scenario;  // field-setups is beyond capacity for most of its time
+      EXPECT_GT(first.good, first.sent / 3) << scenario;  // field-setups exceeds the capacity most of the time
       simulator::QueryPathReport const second = run(scenario, seed, corrib);
       EXPECT_TRUE(second.violations.empty())
           << scenario << " corrib seed " << seed << ": " << second.violations.front();
@@ -49,113 +49,115 @@
   }
 }
 
-TEST(Field, SameSeedSameTrace) {
+TEST(QueryPath, SameSeedSameTrace) {
   simulator::QueryPathReport const first = run("field-storm", 5);
   simulator::QueryPathReport const again = run("field-storm", 5);
   EXPECT_EQ(first.trace_hash, again.trace_hash);
   EXPECT_EQ(first.events, again.events);
 }
 
-TEST(Field, ScalerSettlesAndThenHolds) {
+TEST(QueryPath, ScalerSettlesAndThenHolds) {
   simulator::QueryPathReport const report = run("field-calm", 1);
   ASSERT_EQ(report.prefill_workers.size(), 2u);
   EXPECT_GE(report.prefill_workers[0], 1u);
   EXPECT_LE(report.prefill_workers[0], 9u);
-  EXPECT_GE(report.switches, 2u);  // the first split of each region
-  EXPECT_LE(report.switches, 10u);
+  EXPECT_GE(report.split_changes, 2u);  // the first split of each region
+  EXPECT_LE(report.split_changes, 10u);
   EXPECT_LT(report.fit_error.at("prefill"), 0.1);
 }
 
-TEST(Field, OneDispatchForWhatMayNotBeRepeated) {
-  EXPECT_NE(first_break("field-cuts", 6,
-                        [](simulator::QueryPathOptions& options) {
-                          corrib(options);
-                          options.dispatch_once = false;
-                        })
+TEST(QueryPath, OneDispatchForWhatMayNotBeRepeated) {
+  EXPECT_NE(first_violation("field-cuts", 6,
+                            [](simulator::QueryPathOptions& options) {
+                              corrib(options);
+                              options.dispatch_once = false;
+                            })
                 .find("ran twice"),
             std::string::npos);
 }
-TEST(Field, NoRefusalOnceItMayHaveRun) {
-  EXPECT_NE(first_break("field-cuts", 6,
-                        [](simulator::QueryPathOptions& options) {
-                          corrib(options);
-                          options.honest_refusal = false;
-                        })
+TEST(QueryPath, NoRefusalOnceItMayHaveRun) {
+  EXPECT_NE(first_violation("field-cuts", 6,
+                            [](simulator::QueryPathOptions& options) {
+                              corrib(options);
+                              options.no_rejection_after_run = false;
+                            })
                 .find("refused though it ran"),
             std::string::npos);
 }
-TEST(Field, RetriesNeedARight) {
-  EXPECT_EQ(first_break("field-cuts", 3, [](simulator::QueryPathOptions& options) { options.faults.cut = 0.35; }), "");
-  EXPECT_NE(first_break("field-cuts", 8,
-                        [](simulator::QueryPathOptions& options) {
-                          options.faults.cut = 0.35;
-                          options.budget = false;
-                        })
+TEST(QueryPath, RetriesNeedARetryToken) {
+  EXPECT_EQ(
+      first_violation("field-cuts", 3, [](simulator::QueryPathOptions& options) { options.faults.cut_chance = 0.35; }),
+      "");
+  EXPECT_NE(first_violation("field-cuts", 8,
+                            [](simulator::QueryPathOptions& options) {
+                              options.faults.cut_chance = 0.35;
+                              options.retry_budget = false;
+                            })
                 .find("retries were"),
             std::string::npos);
 }
-TEST(Field, ColdWorkersAreTendedByOne) {
-  EXPECT_NE(first_break("field-crashes", 4,
-                        [](simulator::QueryPathOptions& options) {
-                          options.scale = 2.5;
-                          options.tend_cold = false;
-                        })
+TEST(QueryPath, OneProxyRampsAColdWorker) {
+  EXPECT_NE(first_violation("field-crashes", 4,
+                            [](simulator::QueryPathOptions& options) {
+                              options.scale = 2.5;
+                              options.ramp_cold_workers = false;
+                            })
                 .find("was flooded"),
             std::string::npos);
 }
-TEST(Field, QueriesGoByTheSetupInForce) {
+TEST(QueryPath, QueriesUseTheSetupInForce) {
   std::function<void(simulator::QueryPathOptions&)> const off = [](simulator::QueryPathOptions& options) {
-    options.decide_anew = false;
+    options.reevaluate_queries = false;
   };
-  EXPECT_NE(first_break("field-setups", 3, off), "");
+  EXPECT_NE(first_violation("field-setups", 3, off), "");
   simulator::QueryPathReport const report = run("field-setups", 1);
   EXPECT_TRUE(report.violations.empty()) << report.violations.front();
   EXPECT_GT(report.faults, 5u);
-  EXPECT_GT(report.decided_anew, 20u);
-}
-TEST(Field, WorkersThatMissedALookAreTakenForCold) {
-  EXPECT_NE(first_break("field-blinks", 10,
-                        [](simulator::QueryPathOptions& options) {
-                          options.scale = 2;
-                          options.placement.distrust_after_missed_probe = false;
-                        })
+  EXPECT_GT(report.reevaluated, 20u);
+}
+TEST(QueryPath, WorkersThatMissedAProbeAreTreatedAsCold) {
+  EXPECT_NE(first_violation("field-blinks", 10,
+                            [](simulator::QueryPathOptions& options) {
+                              options.scale = 2;
+                              options.placement.distrust_after_missed_probe = false;
+                            })
                 .find("was flooded"),
             std::string::npos);
 }
-TEST(Field, BeyondCapacityWorkGoesOnAndRefusalsAreImmediate) {
-  // Fifteen times the rate is about three times what the workers bear; refused
-  // callers come back when they were told to.
+TEST(QueryPath, BeyondCapacityWorkContinuesAndRejectionsAreImmediate) {
+  // Fifteen times the rate is about three times the capacity of the workers; rejected callers retry after the
+  // Retry-After that they got.
   std::vector<simulator::QueryPathReport> reports;
   for (bool const guard : {true, false}) {
     reports.push_back(run("field-overload", 1, [guard](simulator::QueryPathOptions& options) {
       corrib(options);
-      options.faults.crowd = 15;
-      options.faults.crowd_at = common::seconds(10);
-      options.faults.crowd_span = common::seconds(10);
+      options.faults.burst_factor = 15;
+      options.faults.burst_at = common::seconds(10);
+      options.faults.burst_span = common::seconds(10);
       options.length = common::seconds(35);
       options.placement.finish_begun = guard;
     }));
   }
   simulator::QueryPathReport const& held = reports[0];
   EXPECT_TRUE(held.violations.empty());
-  EXPECT_GT(held.refused, 10000u);  // the crowd really was too much
-  EXPECT_GT(held.crowd_good, 600);  // of about 1000 a second that they bear
-  EXPECT_LT(held.worst_refusal, 0.5);
-  EXPECT_LE(held.after_crowd, 10);  // no state that feeds itself
+  EXPECT_GT(held.refused, 10000u);     // the burst really exceeded the capacity
+  EXPECT_GT(held.burst_goodput, 600);  // of a capacity of about 1000 per second
+  EXPECT_LT(held.worst_rejection_seconds, 0.5);
+  EXPECT_LE(held.recovery_seconds, 10);  // overload does not sustain itself after the burst
   EXPECT_LT(held.apologies, 50u);
-  EXPECT_GT(reports[1].apologies, 500u);  // half-run work thrown away
+  EXPECT_GT(reports[1].apologies, 500u);  // work that had begun was discarded
 }
-TEST(Field, ACrowdOnOneServiceLeavesTheOthersAlone) {
+TEST(QueryPath, BurstOnOneServiceDoesNotAffectTheOthers) {
   simulator::QueryPathReport const report = run("field-overload", 1, [](simulator::QueryPathOptions& options) {
-    options.faults.crowd = 15;
-    options.faults.crowd_on_first = true;
-    options.faults.crowd_at = common::seconds(10);
-    options.faults.crowd_span = common::seconds(10);
+    options.faults.burst_factor = 15;
+    options.faults.burst_on_first = true;
+    options.faults.burst_at = common::seconds(10);
+    options.faults.burst_span = common::seconds(10);
   });
   EXPECT_GT(report.refused, 5000u);
-  EXPECT_GT(report.others_good, 0.97);
+  EXPECT_GT(report.others_success_share, 0.97);
 }
-TEST(Whole, ControlAndQueriesInOneWorldHoldUnderFaults) {
+TEST(Whole, ControlPlaneAndQueryPathTogetherHoldUnderFaults) {
   for (std::string const scenario : {"whole-storm", "whole-herds", "whole-kills"}) {
     simulator::QueryPathReport const report = run("field-calm", 1, [&scenario](simulator::QueryPathOptions& options) {
       ASSERT_TRUE(simulator::apply_whole(scenario, options));
@@ -166,7 +168,7 @@
     EXPECT_TRUE(report.violations.empty()) << scenario << ": " << report.violations.front();
     EXPECT_GT(report.good, report.sent / 3) << scenario;
     EXPECT_GT(report.control.acknowledged, 10u) << scenario;
-    EXPECT_GT(report.unconfirmed, 0u) << scenario;  // the control plane really was away at times
+    EXPECT_GT(report.unconfirmed, 0u) << scenario;  // the control plane really was unavailable at times
   }
 }
 TEST(Whole, QueriesNeedTheControlPlanesGuards) {
@@ -174,19 +176,20 @@
       {"stop_unvouched", [](simulator::ControlOptions& control) { control.freshness_guards.stop_unvouched = false; }},
       {"acknowledge_waits", [](simulator::ControlOptions& control) { control.acknowledge_waits = false; }}};
   for (std::pair<std::string const, std::function<void(simulator::ControlOptions&)>> const& guard : guards) {
-    EXPECT_NE(first_break("field-calm", 3,
-                          [&guard](simulator::QueryPathOptions& options) {
-                            ASSERT_TRUE(simulator::apply_whole("whole-storm", options));
-                            guard.second(*options.control);
-                          }),
+    EXPECT_NE(first_violation("field-calm", 3,
+                              [&guard](simulator::QueryPathOptions& options) {
+                                ASSERT_TRUE(simulator::apply_whole("whole-storm", options));
+                                guard.second(*options.control);
+                              }),
               "")
         << guard.first;
   }
 }
-TEST(Field, DrainingWorkersGetNothingNew) {
-  EXPECT_NE(first_break("field-drains", 2, [](simulator::QueryPathOptions& options) { options.drop_drained = false; })
-                .find("shown draining"),
-            std::string::npos);
+TEST(QueryPath, DrainingWorkersGetNothingNew) {
+  EXPECT_NE(
+      first_violation("field-drains", 2, [](simulator::QueryPathOptions& options) { options.skip_draining = false; })
+          .find("shown draining"),
+      std::string::npos);
 }
 
 }  // namespace
