--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -277,7 +277,7 @@
             if (update == nullptr) {
               return false;
             }
-            apply_updates(contents_.completed(*update, calls[index].first), asked);
+            apply_updates(contents_.with_fetched_contents(*update, calls[index].first), asked);
             if (!update->confirmed) {
               add_controllers(update->peers);
               return false;
@@ -292,7 +292,7 @@
       absl::StatusOr<schema::Message> const answer = caller_.call(address, query, timeout, yield);
       schema::NewsAnswer const* const update = answer.ok() ? std::get_if<schema::NewsAnswer>(&*answer) : nullptr;
       if (update != nullptr) {
-        apply_updates(contents_.completed(*update, address), asked);
+        apply_updates(contents_.with_fetched_contents(*update, address), asked);
       }
       if (update != nullptr && update->confirmed) {
         from = address;
--- a/source/hollow_nodes/hollow_nodes.cpp
+++ b/source/hollow_nodes/hollow_nodes.cpp
@@ -125,7 +125,7 @@
       while (!reports.empty() && reports.front().slice <= updates->reports_taken) {
         reports.pop_front();
       }
-      apply_response(content_fetcher_.completed(*updates, controllers[controller]), request_sent);
+      apply_response(content_fetcher_.with_fetched_contents(*updates, controllers[controller]), request_sent);
     }
     if (updates == nullptr || !updates->confirmed) {
       ++(updates == nullptr ? counts_.unanswered : counts_.unconfirmed);
--- a/source/tests/membership/withheld_updates_test.cpp
+++ b/source/tests/membership/withheld_updates_test.cpp
@@ -49,7 +49,7 @@
     EXPECT_EQ(lease.held().at("charter"), guard ? 3u : 4u);
     EXPECT_EQ(lease.confirmed(later), !guard);
     // Once the content is fetched, it is applied and confirmed.
-    data_plane::put_in(answer, "charter", 4, "fourth");
+    data_plane::insert_content(answer, "charter", 4, "fourth");
     EXPECT_EQ(lease.take(answer, later, later).size(), guard ? 1u : 0u);
     EXPECT_TRUE(lease.confirmed(later));
   }
@@ -60,7 +60,7 @@
   schema::NewsAnswer answer;
   answer.confirmed = true;
   answer.updates = {schema::NamedValue{"charter", 5, "", 500000}};
-  data_plane::put_in(answer, "charter", 4, "fourth");
+  data_plane::insert_content(answer, "charter", 4, "fourth");
   std::vector<schema::NamedValue> const applied = lease.take(answer, 1000, 2000);
   ASSERT_EQ(applied.size(), 1u);
   EXPECT_EQ(applied[0].revision, 4u);
@@ -127,7 +127,7 @@
   }
   void take(schema::NewsAnswer reply, common::Moment sent_at) {
     for (std::pair<std::string const, schema::NamedValue> const& entry : fetched) {
-      data_plane::put_in(reply, entry.first, entry.second.revision, entry.second.content);
+      data_plane::insert_content(reply, entry.first, entry.second.revision, entry.second.content);
     }
     fetched.clear();
     for (schema::NamedValue const& updates : lease.take(reply, sent_at, kernel.now())) {
