--- a/source/data_plane/main.cpp
+++ b/source/data_plane/main.cpp
@@ -1,3 +1,5 @@
+/// The proxy program `furrow`: an HTTP relay if a platform or the settings ask for one, else a proxy for workers with
+/// finchlink's own contract.
 #include <memory>
 
 #include "common/constants.hpp"
@@ -15,7 +17,7 @@
 int main(int count, char** values) {
   using namespace finchlink;
   std::unique_ptr<common::Caller> caller;
-  std::unique_ptr<data_plane::ProxyState> field;
+  std::unique_ptr<data_plane::ProxyState> proxy;
   std::unique_ptr<data_plane::RelayServer> relay_server;
   common::Daemon daemon;
   daemon.program = "furrow";
@@ -41,25 +43,25 @@
       return relay_server->begin();
     }
     caller = std::make_unique<common::Caller>(context);
-    field = std::make_unique<data_plane::ProxyState>(context, settings, common::random_identity());
+    proxy = std::make_unique<data_plane::ProxyState>(context, settings, common::random_identity());
     absl::Status const status = common::listen(
         context, settings.http_address, settings.connections,
-        [&field](common::Stream& stream, common::Yield yield) { data_plane::serve_caller(*field, stream, yield); });
+        [&proxy](common::Stream& stream, common::Yield yield) { data_plane::serve_caller(*proxy, stream, yield); });
     if (!status.ok()) {
       return status;
     }
-    data_plane::begin_updates(context, *caller, *field, settings.seeds);
-    data_plane::begin_watch(context, *field);
+    data_plane::start_updates(context, *caller, *proxy, settings.seeds);
+    data_plane::start_load_probes(context, *proxy);
     return absl::OkStatus();
   };
   daemon.drain = [&](common::Moment) {
     if (relay_server != nullptr) {
       relay_server->drain();
     } else {
-      field->drain();
+      proxy->drain();
     }
   };
-  daemon.busy = [&] { return relay_server != nullptr ? relay_server->busy() : field->busy(); };
+  daemon.busy = [&] { return relay_server != nullptr ? relay_server->busy() : proxy->busy(); };
   daemon.changed = [&](schema::Settings const& settings) {
     if (relay_server != nullptr) {
       relay_server->update_settings(settings);
--- a/source/data_plane/metrics/metrics.cpp
+++ b/source/data_plane/metrics/metrics.cpp
@@ -13,7 +13,7 @@
   std::lock_guard<std::mutex> const guard(lock_);
   Histogram& histogram = histograms_[name][labels];
   for (std::size_t index = 0; index < bounds.size(); ++index) {
-    histogram.below[index] += seconds <= bounds[index] ? 1 : 0;
+    histogram.bucket_counts[index] += seconds <= bounds[index] ? 1 : 0;
   }
   ++histogram.count;
   histogram.sum += seconds;
@@ -31,12 +31,12 @@
   for (std::pair<std::string const, std::map<std::string, Histogram>> const& family : histograms_) {
     text << "# TYPE " << family.first << " histogram\n";
     for (std::pair<std::string const, Histogram> const& entry : family.second) {
-      std::string const lead = entry.first.empty() ? "" : entry.first + ",";
+      std::string const label_prefix = entry.first.empty() ? "" : entry.first + ",";
       for (std::size_t index = 0; index < bounds.size(); ++index) {
-        text << family.first << "_bucket{" << lead << "le=\"" << bounds[index] << "\"} " << entry.second.below[index]
-             << "\n";
+        text << family.first << "_bucket{" << label_prefix << "le=\"" << bounds[index] << "\"} "
+             << entry.second.bucket_counts[index] << "\n";
       }
-      text << family.first << "_bucket{" << lead << "le=\"+Inf\"} " << entry.second.count << "\n";
+      text << family.first << "_bucket{" << label_prefix << "le=\"+Inf\"} " << entry.second.count << "\n";
       text << family.first << "_sum{" << entry.first << "} " << entry.second.sum << "\n";
       text << family.first << "_count{" << entry.first << "} " << entry.second.count << "\n";
     }
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -21,19 +21,20 @@
   return plan_;
 }
 
-void ProxyState::take(schema::NewsAnswer const& answer, common::Moment asked) {
+void ProxyState::apply_updates(schema::NewsAnswer const& response, common::Moment requested_at) {
   bool changed = false;
   {
     std::lock_guard<std::mutex> const guard(plan_lock_);
     std::shared_ptr<Plan> const next = std::make_shared<Plan>(*plan_);
-    for (schema::NamedValue const& update : freshness_.take(answer, asked, common::boot_now())) {
+    for (schema::NamedValue const& update : freshness_.take(response, requested_at, common::boot_now())) {
       if (update.name == consensus::setup_register) {
         config::ParsedSetup const reading = config::read_setup(update.content);
         common::check(common::Invariant::chosen_content_readable, update.content.empty() || reading.good(), [&] {
           return "setup revision " + std::to_string(update.revision) + ": " + common::describe(reading.faults);
         });
         next->setup = reading.setup;
-        next->has_setup = !update.content.empty();  // an id given up before the first setup leaves none
+        // The content is empty if a change id was given up before the first setup was chosen.
+        next->has_setup = !update.content.empty();
         next->setup_revision = update.revision;
         common::note(common::Event::RevisionAdopted, "setup revision " + std::to_string(update.revision));
       } else if (update.name.rfind("split/", 0) == 0) {
@@ -48,21 +49,21 @@
       }
     }
     next->held = freshness_.held();
-    if (answer.confirmed) {
-      next->members = answer.members;
+    if (response.confirmed) {
+      next->members = response.members;
     }
     if (freshness_.has_newer_list()) {
-      next->list = answer.list;
+      next->list = response.list;
     }
     scheduling::derive(*next, settings_.name, settings_.hall);
     changed = next->setup_revision != plan_->setup_revision || next->allowed != plan_->allowed;
     plan_ = next;
   }
   reconcile();
-  if (changed) {  // whoever waits decides anew (section 9.7)
-    std::lock_guard<std::mutex> const guard(seats_lock_);
-    for (std::pair<std::uint64_t const, std::shared_ptr<Seat>> const& entry : seats_) {
-      boost::asio::post(entry.second->timer.get_executor(), [seat = entry.second] { seat->timer.cancel(); });
+  if (changed) {  // waiting queries decide again (section 9.7)
+    std::lock_guard<std::mutex> const guard(wait_slots_lock_);
+    for (std::pair<std::uint64_t const, std::shared_ptr<WaitSlot>> const& entry : wait_slots_) {
+      boost::asio::post(entry.second->timer.get_executor(), [slot = entry.second] { slot->timer.cancel(); });
     }
   }
 }
@@ -87,15 +88,15 @@
 
 void ProxyState::reconcile() {
   common::Moment const now = common::boot_now();
-  bool const good = confirmed(now);
-  bool const fresh = list_fresh(now);
-  if (good != was_confirmed_) {
-    was_confirmed_ = good;
-    common::note(good ? common::Event::VouchRegained : common::Event::VouchLost, "");
+  bool const is_confirmed = confirmed(now);
+  bool const is_list_fresh = list_fresh(now);
+  if (is_confirmed != was_confirmed_) {
+    was_confirmed_ = is_confirmed;
+    common::note(is_confirmed ? common::Event::VouchRegained : common::Event::VouchLost, "");
   }
-  if (fresh != was_fresh_) {
-    was_fresh_ = fresh;
-    if (!fresh) {
+  if (is_list_fresh != was_fresh_) {
+    was_fresh_ = is_list_fresh;
+    if (!is_list_fresh) {
       common::note(common::Event::ListStale, "");
     }
   }
@@ -108,9 +109,9 @@
       desired_workers = found->second;
     }
     for (scheduling::DesiredWorker& desired : desired_workers) {
-      desired.usable = desired.usable && good && fresh;
+      desired.usable = desired.usable && is_confirmed && is_list_fresh;
     }
-    with(pool, [&](scheduling::Placement& placement) {
+    with_placement(pool, [&](scheduling::Placement& placement) {
       std::vector<scheduling::PlacementAction> actions =
           placement.update(desired_workers, current->setup.workers, current->setup.scaler, current->proxies_here, now);
       std::vector<scheduling::PlacementAction> const more = placement.tick(now);
@@ -124,55 +125,56 @@
   return pool == "model" ? model_ : plain_;
 }
 
-void ProxyState::with(std::string const& pool,
-                      std::function<std::vector<scheduling::PlacementAction>(scheduling::Placement&)> const& step) {
-  Shard& part = shard(pool);
+void ProxyState::with_placement(
+    std::string const& pool,
+    std::function<std::vector<scheduling::PlacementAction>(scheduling::Placement&)> const& step) {
+  Shard& pool_shard = shard(pool);
   std::vector<scheduling::PlacementAction> actions;
   {
-    std::lock_guard<std::mutex> const guard(part.lock);
-    actions = step(part.placement);
+    std::lock_guard<std::mutex> const guard(pool_shard.lock);
+    actions = step(pool_shard.placement);
   }
   for (scheduling::PlacementAction const& action : actions) {
     std::uint64_t const ticket = std::visit([](auto const& entry) { return entry.ticket; }, action);
-    std::shared_ptr<Seat> waiting;
+    std::shared_ptr<WaitSlot> slot;
     {
-      std::lock_guard<std::mutex> const guard(seats_lock_);
-      std::map<std::uint64_t, std::shared_ptr<Seat>>::const_iterator const found = seats_.find(ticket);
-      if (found != seats_.end()) {
-        waiting = found->second;
+      std::lock_guard<std::mutex> const guard(wait_slots_lock_);
+      std::map<std::uint64_t, std::shared_ptr<WaitSlot>>::const_iterator const found = wait_slots_.find(ticket);
+      if (found != wait_slots_.end()) {
+        slot = found->second;
       }
     }
-    if (waiting != nullptr) {
-      boost::asio::post(waiting->timer.get_executor(), [waiting, action] {
-        waiting->action = action;
-        waiting->timer.cancel();
+    if (slot != nullptr) {
+      boost::asio::post(slot->timer.get_executor(), [slot, action] {
+        slot->action = action;
+        slot->timer.cancel();
       });
     }
   }
 }
 
-std::uint64_t ProxyState::seat(std::shared_ptr<Seat> const& seat) {
-  std::lock_guard<std::mutex> const guard(seats_lock_);
-  seats_[next_ticket_] = seat;
+std::uint64_t ProxyState::add_wait_slot(std::shared_ptr<WaitSlot> const& slot) {
+  std::lock_guard<std::mutex> const guard(wait_slots_lock_);
+  wait_slots_[next_ticket_] = slot;
   return next_ticket_++;
 }
 
-void ProxyState::leave(std::uint64_t ticket) {
-  std::lock_guard<std::mutex> const guard(seats_lock_);
-  seats_.erase(ticket);
+void ProxyState::remove_wait_slot(std::uint64_t ticket) {
+  std::lock_guard<std::mutex> const guard(wait_slots_lock_);
+  wait_slots_.erase(ticket);
 }
 
-bool ProxyState::retry(std::string const& rule, common::Moment now) {
+bool ProxyState::take_retry_token(std::string const& rule, common::Moment now) {
   std::vector<std::string> proxies;
   for (schema::Member const& member : plan()->members) {
     proxies.push_back(member.name);
   }
-  bool const keeps = scheduling::holds_reserve_token(rule, settings_.name, proxies);
+  bool const has_reserve_token = scheduling::holds_reserve_token(rule, settings_.name, proxies);
   std::lock_guard<std::mutex> const guard(services_lock_);
-  return services_[rule].budget.take(now, keeps);
+  return services_[rule].budget.take(now, has_reserve_token);
 }
 
-void ProxyState::arrived(std::string const& rule, common::Moment now) {
+void ProxyState::query_arrived(std::string const& rule, common::Moment now) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   services_[rule].budget.arrived(now);
 }
@@ -194,12 +196,12 @@
   --open_;
 }
 
-double ProxyState::outputs(std::string const& rule) {
+double ProxyState::expected_outputs(std::string const& rule) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   return services_[rule].outputs;
 }
 
-void ProxyState::learn_outputs(std::string const& rule, double outputs) {
+void ProxyState::record_outputs(std::string const& rule, double outputs) {
   std::lock_guard<std::mutex> const guard(services_lock_);
   Service& service = services_[rule];
   service.outputs += 0.05 * (outputs - service.outputs);
@@ -229,11 +231,11 @@
   sum.running_sum += more.running_sum;
 }
 
-schema::FurrowReport ProxyState::take_report(std::uint64_t slice, double span) {
+schema::FurrowReport ProxyState::take_report(std::uint64_t interval, double seconds) {
   std::lock_guard<std::mutex> const guard(report_lock_);
   schema::FurrowReport report;
-  report.slice = slice;
-  report.span = span;
+  report.slice = interval;
+  report.span = seconds;
   for (std::pair<std::string const, schema::WorkerFigures> const& entry : figures_) {
     report.figures.push_back(entry.second);
   }
@@ -243,13 +245,13 @@
   return report;
 }
 
-std::string ProxyState::pass_word() const {
+std::string ProxyState::forwarding_token() const {
   return settings_.name + " " + std::to_string(identity_);
 }
 
-bool ProxyState::knows_pass(std::string const& word) {
+bool ProxyState::is_forwarding_token(std::string const& token) {
   for (schema::Member const& member : plan()->members) {
-    if (member.name != settings_.name && word == member.name + " " + std::to_string(member.incarnation)) {
+    if (member.name != settings_.name && token == member.name + " " + std::to_string(member.incarnation)) {
       return true;
     }
   }
@@ -263,12 +265,12 @@
   member.hall = settings_.hall;
   member.address = settings_.http_address;
   member.held = plan()->held;
-  for (Shard* const part : {&model_, &plain_}) {
-    std::lock_guard<std::mutex> const guard(part->lock);
-    std::vector<std::string> const warm = part->placement.warm();
+  for (Shard* const pool_shard : {&model_, &plain_}) {
+    std::lock_guard<std::mutex> const guard(pool_shard->lock);
+    std::vector<std::string> const warm = pool_shard->placement.warm();
     member.warm.insert(member.warm.end(), warm.begin(), warm.end());
-    if (!draining_ && part->placement.has_capacity(common::boot_now())) {
-      member.rooms.push_back(part == &model_ ? "model" : "plain");
+    if (!draining_ && pool_shard->placement.has_capacity(common::boot_now())) {
+      member.rooms.push_back(pool_shard == &model_ ? "model" : "plain");
     }
   }
   return member;
--- a/source/data_plane/query/reply.hpp
+++ b/source/data_plane/query/reply.hpp
@@ -7,18 +7,20 @@
 
 namespace finchlink::data_plane {
 
-/// A no that is certain: nothing ran. Always says when to come back (9.3).
-[[nodiscard]] common::Answer refusal(std::string const& query, std::string const& reason, double expected_seconds = 0);
-/// A failed query that may have run; it too says when to come back.
-[[nodiscard]] common::Answer apology(std::string const& query, int status, std::string const& reason,
-                                     bool may_have_run);
-[[nodiscard]] common::Answer elsewhere(std::string const& location);
-/// 307 to a furrow of the query's home, or a refusal when none is known.
-[[nodiscard]] common::Answer send_home(scheduling::Plan const& plan, std::string const& region,
-                                       std::string const& query, std::string const& target);
+/// A rejection (503): nothing ran. Always has Retry-After (9.3), from the expected wait.
+[[nodiscard]] common::Answer rejection_response(std::string const& query, std::string const& reason,
+                                                double expected_seconds = 0);
+/// The response to a failed query that may have run; it has Retry-After, too.
+[[nodiscard]] common::Answer failure_response(std::string const& query, int status, std::string const& reason,
+                                              bool may_have_run);
+/// 307 to `location`.
+[[nodiscard]] common::Answer redirect_response(std::string const& location);
+/// 307 to a proxy of the query's home region, or a rejection if none is known.
+[[nodiscard]] common::Answer redirect_home(scheduling::Plan const& plan, std::string const& region,
+                                           std::string const& query, std::string const& target);
 
-/// Ends the connection after an answer to a query whose body was not read:
-/// nothing of it is read on, and the caller gets time to take the answer.
-void part_unread(common::Stream& stream, boost::asio::io_context& context, common::Yield yield);
+/// Closes the connection after a response to a query whose body wasn't read: the rest of the body stays unread, and the
+/// caller gets time to read the response.
+void close_unread(common::Stream& stream, boost::asio::io_context& context, common::Yield yield);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/query/session.hpp
+++ b/source/data_plane/query/session.hpp
@@ -5,7 +5,7 @@
 
 namespace finchlink::data_plane {
 
-/// Serves the queries of one caller's connection, one after the other (section 9).
-void serve_caller(ProxyState& field, common::Stream& stream, common::Yield yield);
+/// Serves the queries of one caller's connection, one after the other, until it ends (section 9).
+void serve_caller(ProxyState& proxy, common::Stream& stream, common::Yield yield);
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/worker/contract.cpp
+++ b/source/data_plane/worker/contract.cpp
@@ -12,13 +12,13 @@
 namespace http = common::http;
 using boost::system::error_code;
 
-std::optional<WorkerLoad> ask_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
-                                   std::string const& address, common::Yield yield) {
+std::optional<WorkerLoad> fetch_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
+                                     std::string const& address, common::Yield yield) {
   error_code error;
-  common::Ask ask{http::verb::get, "/load", 11};
-  ask.set(http::field::host, address);
+  common::Ask request{http::verb::get, "/load", 11};
+  request.set(http::field::host, address);
   stream.expires_after(common::duration(constants::load_pause));
-  http::async_write(stream, ask, yield[error]);
+  http::async_write(stream, request, yield[error]);
   if (error) {
     return std::nullopt;
   }
@@ -35,38 +35,39 @@
   WorkerLoad load;
   cJSON const* const running = cJSON_GetObjectItemCaseSensitive(tree->get(), "running");
   cJSON const* const waiting = cJSON_GetObjectItemCaseSensitive(tree->get(), "waiting");
-  cJSON const* const boot = cJSON_GetObjectItemCaseSensitive(tree->get(), "boot");
+  cJSON const* const start_id = cJSON_GetObjectItemCaseSensitive(tree->get(), "boot");
   load.running = cJSON_IsNumber(running) != 0 ? running->valuedouble : 0;
   load.waiting = cJSON_IsNumber(waiting) != 0 ? waiting->valuedouble : 0;
-  load.boot = cJSON_IsString(boot) != 0 ? boot->valuestring : "";
+  load.start_id = cJSON_IsString(start_id) != 0 ? start_id->valuestring : "";
   return load;
 }
 
-common::Ask worker_ask(LegCall const& call, std::string const& address) {
-  common::Ask ask{call.method, call.target, 11};
-  ask.set(http::field::host, address);
-  ask.set(query_header, call.query);
-  ask.set("Finchlink-Rule", call.rule);
-  ask.set("Finchlink-Dispatch", std::to_string(call.dispatch));
-  ask.set("Finchlink-Leg", call.leg == Leg::whole ? "whole" : (call.leg == Leg::prefill ? "prefill" : "decode"));
+common::Ask make_worker_request(WorkerCall const& call, std::string const& address) {
+  common::Ask request{call.method, call.target, 11};
+  request.set(http::field::host, address);
+  request.set(query_header, call.query);
+  request.set("Finchlink-Rule", call.rule);
+  request.set("Finchlink-Dispatch", std::to_string(call.dispatch));
+  request.set("Finchlink-Leg",
+              call.phase == QueryPhase::whole ? "whole" : (call.phase == QueryPhase::prefill ? "prefill" : "decode"));
   if (!call.kv.empty()) {
-    ask.set(kv_header, call.kv);
+    request.set(kv_header, call.kv);
   }
   if (call.last_event > 0) {
-    ask.set("Last-Event-ID", std::to_string(call.last_event));
+    request.set("Last-Event-ID", std::to_string(call.last_event));
   }
   if (!call.content_type.empty()) {
-    ask.set(http::field::content_type, call.content_type);
+    request.set(http::field::content_type, call.content_type);
   }
   if (call.body != nullptr) {
-    ask.body() = *call.body;
+    request.body() = *call.body;
   }
-  ask.keep_alive(false);
-  ask.prepare_payload();
-  return ask;
+  request.keep_alive(false);
+  request.prepare_payload();
+  return request;
 }
 
-bool says_not_run(unsigned int status) {
+bool guarantees_not_run(unsigned int status) {
   return status == 429 || status == 503;
 }
 
--- a/source/data_plane/worker/contract.hpp
+++ b/source/data_plane/worker/contract.hpp
@@ -1,5 +1,8 @@
 #pragma once
 
+/// The contract between proxies and workers: the requests that workers get and how their responses are read. Real
+/// workers that differ need changes in this module alone (docs/operating/workers.md).
+
 #include <boost/beast/core/flat_buffer.hpp>
 #include <optional>
 #include <string>
@@ -9,53 +12,56 @@
 
 namespace finchlink::data_plane {
 
-/// What we ask of workers and how their answers are read: the one module that
-/// changes for real workers that differ (docs/operating/workers.md).
+/// Load that a worker reports, in numbers of queries.
 struct WorkerLoad {
   double running = 0;
   double waiting = 0;
-  std::string boot;  ///< changes when the worker starts anew; may be empty
+  std::string start_id;  ///< worker start id: changes when the worker restarts; may be empty
 };
-[[nodiscard]] std::optional<WorkerLoad> ask_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
-                                                 std::string const& address, common::Yield yield);
+/// Requests the worker's load on an open connection; nothing if it fails or the response is malformed.
+[[nodiscard]] std::optional<WorkerLoad> fetch_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
+                                                   std::string const& address, common::Yield yield);
 
-enum class Leg { whole, prefill, decode };
+/// Part of a query that one dispatch runs: all of it, or one of the two phases of a paired query.
+enum class QueryPhase { whole, prefill, decode };
 
-struct LegCall {
-  std::string query;  ///< identity of the query, echoed by the worker
+/// What a proxy sends to a worker in one dispatch.
+struct WorkerCall {
+  std::string query;  ///< id of the query, echoed by the worker
   std::string rule;
-  int dispatch = 1;
-  Leg leg = Leg::whole;
-  std::string kv;  ///< what the prefill leg gave for the decode leg
-  std::uint64_t last_event = 0;
+  int dispatch = 1;  ///< number of this dispatch of the query, from 1
+  QueryPhase phase = QueryPhase::whole;
+  std::string kv;                ///< handle of the KV cache, returned by the prefill phase for the decode phase
+  std::uint64_t last_event = 0;  ///< the worker continues after this event; 0: from the start
   common::http::verb method = common::http::verb::post;
   std::string target;
   std::string content_type;
-  std::string const* body = nullptr;
+  std::string const* body = nullptr;  ///< not owned
 };
-[[nodiscard]] common::Ask worker_ask(LegCall const& call, std::string const& address);
+/// Builds the HTTP request of a dispatch to the worker at `address`.
+[[nodiscard]] common::Ask make_worker_request(WorkerCall const& call, std::string const& address);
 
-/// A status that says for certain that nothing ran.
-[[nodiscard]] bool says_not_run(unsigned int status);
+/// True for a status by which the worker guarantees that nothing ran.
+[[nodiscard]] bool guarantees_not_run(unsigned int status);
 inline constexpr char const* query_header = "Finchlink-Query";
 inline constexpr char const* kv_header = "Finchlink-Kv";
-inline constexpr char const* pass_header = "Finchlink-Pass";
-inline constexpr char const* ran_header = "Finchlink-May-Have-Run";
+inline constexpr char const* forwarding_token_header = "Finchlink-Pass";
+inline constexpr char const* may_have_run_header = "Finchlink-May-Have-Run";
 
 /// One event of a worker's stream.
 struct StreamEvent {
   std::uint64_t number = 0;
   bool last = false;
-  std::string query;  ///< the last one names the query once more
+  std::string query;  ///< id of the query; set in the last event
   std::string text;
-  double tokens = 0;
-  std::string raw;  ///< the data line as it came
+  double tokens = 0;  ///< estimated from the text's length
+  std::string raw;    ///< the data line as received
 };
-/// Reads events out of the bytes of a stream as they come.
+/// Parses server-sent events from the bytes of a worker's stream, incrementally.
 class EventReader {
  public:
   explicit EventReader(double bytes_per_token) : bytes_per_token_(bytes_per_token) {}
-  /// False: the stream is malformed or an event is too large.
+  /// Appends the events that `bytes` complete. False if the stream is malformed or an event is too large.
   [[nodiscard]] bool feed(std::string_view bytes, std::vector<StreamEvent>& events);
 
  private:
