--- a/source/common/constants.hpp
+++ b/source/common/constants.hpp
@@ -87,7 +87,7 @@
 
 // --- register (section 5) ---
 /// One exchange with one holder; a slow disk counts as silence after this.
-inline constexpr Span holder_deadline = milliseconds(800);
+inline constexpr Span acceptor_deadline = milliseconds(800);
 /// A change is tried for this long; then its outcome is "not known".
 inline constexpr Span change_deadline = milliseconds(4000);
 /// A half-done change is settled by a reader after this: several rounds of a
@@ -119,7 +119,7 @@
 /// a dozen reads, below the vouch bound and a quarter of what an operator's read waits.
 inline constexpr Span reads_lost_after = milliseconds(1000);
 /// While reads stay lost, the newest one is told again after this.
-inline constexpr Span reads_lost_again = milliseconds(3000);
+inline constexpr Span reads_lost_log_interval = milliseconds(3000);
 /// Largest setup document in bytes; three copies and the ring stay small.
 inline constexpr std::size_t setup_limit = 256u << 10u;
 /// Largest charter in bytes: some five thousand lanes of 350 bytes.
@@ -163,7 +163,7 @@
 // --- transfers in pieces (section 5.9) ---
 /// Bytes of values in one answer of a holder; what is beyond is fetched in
 /// pieces. Answers of five holders at once over a link of 5 Mbit/s and 110 ms
-/// there and back take 0.64 s of holder_deadline.
+/// there and back take 0.64 s of acceptor_deadline.
 inline constexpr std::size_t inline_register_bytes = 64u << 10u;
 /// Bytes of contents in one answer to a furrow. A furrow that is lost asks three
 /// at once: over such a link that is 0.74 s of its 0.9 s.
@@ -181,7 +181,7 @@
 inline constexpr Span piece_pause = milliseconds(50);
 /// A transfer that got no piece for this long is given up; what names it is
 /// asked for anew, and what has arrived is kept where that names it again.
-inline constexpr Span transfer_patience = seconds(10);
+inline constexpr Span transfer_stall_timeout = seconds(10);
 /// What is sent in pieces is kept this long after the last one asked for, since
 /// a change may have replaced it meanwhile; longer than an asker's patience.
 inline constexpr Span transfer_kept_span = seconds(12);
--- a/source/common/delta/delta.cpp
+++ b/source/common/delta/delta.cpp
@@ -135,7 +135,7 @@
   return delta;
 }
 
-bool DeltaCopy::apply(Delta const& delta) {
+bool DeltaReplica::apply(Delta const& delta) {
   if (delta.whole) {
     entries_.clear();
   }
--- a/source/common/delta/delta.hpp
+++ b/source/common/delta/delta.hpp
@@ -69,7 +69,7 @@
 
 /// The side that asks: a copy that checks itself. A delta that does not lead
 /// to the digest it names is thrown away with the copy, and all is asked anew.
-class DeltaCopy {
+class DeltaReplica {
  public:
   /// True when the copy now is what the teller has.
   bool apply(Delta const& delta);
--- a/source/common/http/http.cpp
+++ b/source/common/http/http.cpp
@@ -39,10 +39,10 @@
 void let_read(Stream& stream, Yield yield) {
   error_code error;
   stream.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send, error);
-  stream.expires_after(duration(constants::parting_span));
+  stream.expires_after(duration(constants::lingering_close_timeout));
   std::array<char, 8192> thrown_away;
   std::size_t total = 0;
-  while (!error && total < constants::parting_bytes) {
+  while (!error && total < constants::lingering_close_bytes) {
     total += stream.async_read_some(boost::asio::buffer(thrown_away), yield[error]);
   }
 }
--- a/source/common/process/process.cpp
+++ b/source/common/process/process.cpp
@@ -13,7 +13,7 @@
 #include "common/log/log.hpp"
 #include "common/net/net.hpp"
 #include "common/net/traffic.hpp"
-#include "common/process/followed.hpp"
+#include "common/process/settings_watcher.hpp"
 #include "common/relay_constants.hpp"
 
 namespace finchlink::common {
--- a/source/common/process/followed.cpp
+++ b/source/common/process/settings_watcher.cpp
@@ -1,4 +1,4 @@
-#include "common/process/followed.hpp"
+#include "common/process/settings_watcher.hpp"
 
 #include <sys/stat.h>
 
--- a/source/common/prompt_isolation_constants.hpp
+++ b/source/common/prompt_isolation_constants.hpp
@@ -26,10 +26,10 @@
 /// let those who ask no more keep theirs from those who do.
 inline constexpr double isolation_shares_most = 2;
 /// Tenants whose reuse is told one by one; what others do is summed up.
-inline constexpr std::size_t isolation_tenants_told = 16384;
+inline constexpr std::size_t max_reported_tenants = 16384;
 /// A refused caller's body is thrown away for this long before the connection
 /// is closed, so that the answer is read.
-inline constexpr Span refused_linger = milliseconds(500);
+inline constexpr Span refused_close_linger = milliseconds(500);
 /// Pause between two looks at the secrets file's stamp.
 inline constexpr Span secrets_pause = seconds(1);
 
--- a/source/common/wire/frame.cpp
+++ b/source/common/wire/frame.cpp
@@ -56,11 +56,11 @@
 
 std::string frame(schema::Message const& message) {
   std::string payload = pack(message);
-  std::uint32_t mark = constants::frame_mark;
-  if (payload.size() >= constants::frame_compress_least && payload.size() <= constants::frame_limit) {
+  std::uint32_t mark = constants::frame_magic;
+  if (payload.size() >= constants::min_compressed_frame && payload.size() <= constants::frame_limit) {
     std::string smaller = compress(payload);
     if (!smaller.empty()) {
-      mark = constants::frame_mark_compressed;
+      mark = constants::frame_magic_compressed;
       payload = std::move(smaller);
     }
   }
@@ -71,7 +71,7 @@
 
 absl::StatusOr<std::size_t> frame_length(std::string_view header) {
   if (header.size() != frame_header ||
-      (word(header, 0) != constants::frame_mark && word(header, 0) != constants::frame_mark_compressed)) {
+      (word(header, 0) != constants::frame_magic && word(header, 0) != constants::frame_magic_compressed)) {
     return make_error(absl::StatusCode::kDataLoss, "frame", "the mark is wrong");
   }
   std::size_t const length = word(header, 4);
@@ -90,7 +90,7 @@
     return make_error(absl::StatusCode::kDataLoss, "frame", "the check is wrong");
   }
   std::string expanded;
-  if (word(header, 0) == constants::frame_mark_compressed) {
+  if (word(header, 0) == constants::frame_magic_compressed) {
     absl::StatusOr<std::string> whole = expand(payload);
     if (!whole.ok()) {
       return whole.status();
--- a/source/consensus/majority_reader/majority_reader.cpp
+++ b/source/consensus/majority_reader/majority_reader.cpp
@@ -21,7 +21,7 @@
 /// overtake the one that they are replicating.
 common::Span replication_allowance(std::size_t bytes) {
   return accept_allowance(bytes) + constants::settle_after +
-         static_cast<common::Span>(bytes) * constants::holder_byte_span;
+         static_cast<common::Span>(bytes) * constants::acceptor_byte_time;
 }
 /// Checks that a newer ballot does not bring an older value, and that a revision has only one content.
 void check_newer(std::string const& name, schema::Value const& held, schema::Value const& newer) {
--- a/source/consensus/transfer/transfer_client.cpp
+++ b/source/consensus/transfer/transfer_client.cpp
@@ -6,12 +6,12 @@
 
 namespace constants = common::constants;
 
-std::optional<std::string> run_transfer(boost::asio::io_context& context, common::Caller& caller,
+std::optional<std::string> run_transfer(boost::asio::io_context& context, common::FrameClient& caller,
                                         ValueReceiver& receiver, std::function<bool()> const& should_continue,
                                         common::Yield yield) {
   common::Moment progressed = common::boot_now();
   while (!receiver.source().empty() && should_continue() &&
-         common::boot_now() - progressed < constants::transfer_patience) {
+         common::boot_now() - progressed < constants::transfer_stall_timeout) {
     std::size_t const before = receiver.received();
     absl::StatusOr<schema::Message> const answer =
         caller.call(receiver.source(), receiver.request(), constants::piece_deadline, yield);
--- a/source/consensus/transfer/value_receiver.cpp
+++ b/source/consensus/transfer/value_receiver.cpp
@@ -42,7 +42,7 @@
 TransferState ValueReceiver::record_timeout() {
   ++timeouts_;
   next_source();
-  bool const given_up = timeouts_ >= common::constants::transfer_silences_most || superseded_;
+  bool const given_up = timeouts_ >= common::constants::max_unanswered_piece_requests || superseded_;
   return given_up && guards_.gives_up ? TransferState::unavailable : TransferState::in_progress;
 }
 
--- a/source/consensus/write_ahead_log/write_ahead_log.cpp
+++ b/source/consensus/write_ahead_log/write_ahead_log.cpp
@@ -101,7 +101,7 @@
   for (std::size_t index = 0; index < files_; ++index) {
     absl::StatusOr<std::string> file = device_.read(index);
     if (!file.ok()) {
-      return common::turned(absl::StatusCode::kUnavailable, "ring", "a log file can't be read", file.status());
+      return common::wrap_error(absl::StatusCode::kUnavailable, "ring", "a log file can't be read", file.status());
     }
     ParsedRecord snapshot;
     ParsedRecord seal;
@@ -143,8 +143,9 @@
     if (!entries.ok()) {
       // The checksum is correct, so nothing is lost: a newer program version wrote the record, and the disk must not be
       // taken for a blank one.
-      return common::turned(absl::StatusCode::kFailedPrecondition, "ring",
-                            "a record has an unknown format, a newer version may have written it", entries.status());
+      return common::wrap_error(absl::StatusCode::kFailedPrecondition, "ring",
+                                "a record has an unknown format, a newer version may have written it",
+                                entries.status());
     }
     records.insert(records.end(), entries->begin(), entries->end());
     offset = found.end;
@@ -181,7 +182,7 @@
     status = device_.sync(file);
   }
   if (!status.ok()) {
-    return common::turned(absl::StatusCode::kUnavailable, "ring", "a new log file can't be started", status);
+    return common::wrap_error(absl::StatusCode::kUnavailable, "ring", "a new log file can't be started", status);
   }
   generation_ = generation;
   sequence_ = seal_sequence + 1;
@@ -210,7 +211,7 @@
     status = device_.sync(file);
   }
   if (!status.ok()) {
-    return common::turned(absl::StatusCode::kUnavailable, "ring", "a record can't be written to the log", status);
+    return common::wrap_error(absl::StatusCode::kUnavailable, "ring", "a record can't be written to the log", status);
   }
   offset_ += bytes.size();
   ++sequence_;
--- a/source/control_plane/acceptor/acceptor_service.cpp
+++ b/source/control_plane/acceptor/acceptor_service.cpp
@@ -27,7 +27,7 @@
 }
 }  // namespace
 
-AcceptorService::AcceptorService(boost::asio::io_context& context, common::Caller& caller, std::string folder,
+AcceptorService::AcceptorService(boost::asio::io_context& context, common::FrameClient& caller, std::string folder,
                                  std::string address, std::vector<std::string> bootstrap_addresses)
     : context_(context),
       caller_(caller),
@@ -62,7 +62,7 @@
   if (!records.ok() && absl::IsDataLoss(records.status())) {
     // The remaining records may lack acknowledged ones: the disk counts as lost and this acceptor as a new one
     // (section 5.5).
-    common::note(common::Event::DiskCorrupt, std::string(records.status().message()));
+    common::log_event(common::Event::DiskCorrupt, std::string(records.status().message()));
     std::string const blank(constants::ring_file_bytes, '\0');
     for (std::size_t index = 0; index < constants::ring_files; ++index) {
       if (!device->write(index, 0, blank).ok() || !device->sync(index).ok()) {
@@ -82,7 +82,7 @@
   log_ = std::move(log);
   if (records->empty()) {
     acceptor_.emplace(common::random_identity(), address_, bootstrap_addresses_, now);
-    common::note(common::Event::HolderBlank, "incarnation " + std::to_string(acceptor_->incarnation()));
+    common::log_event(common::Event::HolderBlank, "incarnation " + std::to_string(acceptor_->incarnation()));
     std::vector<schema::Record> const snapshot = acceptor_->snapshot_records();
     if (!log_->append(snapshot, [&snapshot] { return snapshot; }).ok()) {
       acceptor_.reset();
@@ -98,9 +98,9 @@
       failure_ = std::string(renewed.message());
       return false;
     }
-    common::note(common::Event::HolderRecovered, "incarnation " + std::to_string(acceptor_->incarnation()) + " epoch " +
-                                                     std::to_string(acceptor_->set().epoch) +
-                                                     (acceptor_->voting() ? " voting" : " without a vote"));
+    common::log_event(common::Event::HolderRecovered, "incarnation " + std::to_string(acceptor_->incarnation()) +
+                                                          " epoch " + std::to_string(acceptor_->set().epoch) +
+                                                          (acceptor_->voting() ? " voting" : " without a vote"));
   }
   changes_.mark_recovered();
   silent_ = false;
@@ -120,7 +120,7 @@
       std::unique_lock<std::mutex> guard(lock_);
       if (!stopping_ && logged_failure != failure_) {
         logged_failure = failure_;
-        common::note(common::Event::HolderSilent, failure_);
+        common::log_event(common::Event::HolderSilent, failure_);
       }
       if (wake_.wait_for(guard, common::duration(constants::disk_reopen_pause), [this] { return stopping_; })) {
         return;
@@ -195,8 +195,8 @@
     std::uint64_t const epoch = acceptor_->set().epoch;
     outcome = step(*acceptor_);
     if (acceptor_->set().epoch != epoch) {
-      common::note(common::Event::HolderAdopted, "epoch " + std::to_string(acceptor_->set().epoch) +
-                                                     (acceptor_->voting() ? " voting" : " without a vote"));
+      common::log_event(common::Event::HolderAdopted, "epoch " + std::to_string(acceptor_->set().epoch) +
+                                                          (acceptor_->voting() ? " voting" : " without a vote"));
     }
     // Even a reply without records waits for the jobs in progress: it may reveal state that is not synced yet.
     change = changes_.count_step(!outcome.records.empty());
@@ -206,8 +206,8 @@
     }
     std::size_t const bytes = value_bytes(outcome.records);
     // Writing a large value takes longer on a slow disk, as sending it does on a slow link.
-    completion->timer.expires_after(
-        common::duration(constants::holder_deadline + static_cast<common::Span>(bytes) * constants::holder_byte_span));
+    completion->timer.expires_after(common::duration(constants::acceptor_deadline +
+                                                     static_cast<common::Span>(bytes) * constants::acceptor_byte_time));
     jobs_.push_back(Job{outcome.records, bytes, change, completion});
     ++open_jobs_;
     open_bytes_ += bytes;
@@ -273,7 +273,7 @@
                                 common::Yield yield) {
   std::vector<schema::FoundingAnswer> answers;
   common::Gather::run(
-      context_, caller_, calls, constants::holder_deadline,
+      context_, caller_, calls, constants::acceptor_deadline,
       [&answers](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
           if (schema::FoundingAnswer const* const given = std::get_if<schema::FoundingAnswer>(&*answer)) {
@@ -286,7 +286,7 @@
   std::optional<consensus::Outcome> const outcome = apply(
       [&answers](consensus::Acceptor& acceptor) { return acceptor.bootstrap(answers, common::boot_now()); }, yield);
   if (outcome.has_value() && !outcome->records.empty() && this->set().epoch > 0) {
-    common::note(common::Event::HolderFounded, "epoch 1");
+    common::log_event(common::Event::HolderFounded, "epoch 1");
   }
 }
 
@@ -304,7 +304,7 @@
   }
   snapshots_.clear();
   common::Gather::run(
-      context_, caller_, calls, constants::holder_deadline,
+      context_, caller_, calls, constants::acceptor_deadline,
       [this](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
           if (schema::Image const* const snapshot = std::get_if<schema::Image>(&*answer)) {
@@ -342,7 +342,8 @@
       apply([this](consensus::Acceptor& acceptor) { return acceptor.join(snapshots_, common::boot_now()); }, yield);
   snapshots_.clear();
   if (outcome.has_value() && !outcome->records.empty() && voting()) {
-    common::note(common::Event::HolderEnrolled, "joined with the snapshots of " + std::to_string(count) + " acceptors");
+    common::log_event(common::Event::HolderEnrolled,
+                      "joined with the snapshots of " + std::to_string(count) + " acceptors");
   }
 }
 
--- a/source/control_plane/acceptor/acceptor_service.hpp
+++ b/source/control_plane/acceptor/acceptor_service.hpp
@@ -26,8 +26,8 @@
  public:
   /// Keeps its data in `folder` and serves at `address`; `bootstrap_addresses` are the addresses of the first voters.
   /// `context` and `caller` must outlive it.
-  AcceptorService(boost::asio::io_context& context, common::Caller& caller, std::string folder, std::string address,
-                  std::vector<std::string> bootstrap_addresses);
+  AcceptorService(boost::asio::io_context& context, common::FrameClient& caller, std::string folder,
+                  std::string address, std::vector<std::string> bootstrap_addresses);
   ~AcceptorService();
   AcceptorService(AcceptorService const&) = delete;
   AcceptorService& operator=(AcceptorService const&) = delete;
@@ -91,7 +91,7 @@
       std::function<consensus::Outcome(consensus::Acceptor&)> const& step, common::Yield yield);
 
   boost::asio::io_context& context_;
-  common::Caller& caller_;
+  common::FrameClient& caller_;
   std::string folder_;
   std::string address_;
   std::vector<std::string> bootstrap_addresses_;
--- a/source/control_plane/command/command.cpp
+++ b/source/control_plane/command/command.cpp
@@ -166,7 +166,7 @@
     std::cerr << usage_text;
     return parsed_flags.count("help") > 0 ? 0 : common::exit_usage;
   }
-  common::Ask request{command.verb, command.target, 11};
+  common::Request request{command.verb, command.target, 11};
   if (!command.file.empty()) {
     std::stringstream content;
     if (command.file == "-") {
@@ -201,7 +201,7 @@
     double violations = 0;
     bool is_complete = true;
     while (command.sum && std::getline(addresses, address, ',')) {
-      absl::StatusOr<common::Answer> const answer = common::ask_once(
+      absl::StatusOr<common::Response> const answer = common::send_request(
           context, address, request, common::constants::change_deadline * 3, common::constants::list_limit, yield);
       if (!answer.ok() || !add_tenants(answer->body(), sums, violations)) {
         std::cerr << "trellis: " << address << " returned no tenant statistics; is this a relay's ready address?\n";
@@ -215,9 +215,9 @@
     }
     while (std::getline(addresses, address, ',')) {
       if (should_generate_id && revision.empty()) {  // an id ends in the revision that its creator knew (section 5.7)
-        absl::StatusOr<common::Answer> const setup =
-            common::ask_once(context, address, common::Ask{http::verb::get, "/setup", 11},
-                             common::constants::change_deadline * 3, common::constants::list_limit, yield);
+        absl::StatusOr<common::Response> const setup =
+            common::send_request(context, address, common::Request{http::verb::get, "/setup", 11},
+                                 common::constants::change_deadline * 3, common::constants::list_limit, yield);
         if (!setup.ok() || setup->result_int() >= 500) {
           std::cerr << "trellis: " << address << " did not return the setup\n";
           continue;
@@ -227,7 +227,7 @@
         request.set("Change-Id",
                     "command-" + std::to_string(common::boot_now()) + "-" + std::to_string(getpid()) + "." + revision);
       }
-      absl::StatusOr<common::Answer> const answer = common::ask_once(
+      absl::StatusOr<common::Response> const answer = common::send_request(
           context, address, request, common::constants::change_deadline * 3, common::constants::list_limit, yield);
       if (!answer.ok()) {
         std::cerr << "trellis: " << answer.status().message() << "\n";
--- a/source/control_plane/departure/departure_service.cpp
+++ b/source/control_plane/departure/departure_service.cpp
@@ -28,7 +28,7 @@
   membership::DepartureStep const step = departure_->decide(newest_set(), updates_.peers(), common::boot_now());
   if (step_ != step) {
     step_ = step;
-    common::note(common::Event::VoterLeaving, membership::name_of(step));
+    common::log_event(common::Event::VoterLeaving, membership::name_of(step));
   }
   return membership::stays(step) || leased_tasks_.releasing();
 }
--- a/source/control_plane/leased_tasks/leased_tasks.cpp
+++ b/source/control_plane/leased_tasks/leased_tasks.cpp
@@ -16,7 +16,7 @@
 
 namespace constants = common::constants;
 
-LeasedTasks::LeasedTasks(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+LeasedTasks::LeasedTasks(boost::asio::io_context& context, common::FrameClient& caller, RegisterClient& register_client,
                          UpdateService& updates, AcceptorService* acceptor, std::uint64_t identity,
                          schema::Settings const& settings, config::RoutingConfigFormat notation)
     : context_(context),
@@ -94,7 +94,7 @@
         for (schema::Voter const& entry : set.holders) {
           is_voter_missing = is_voter_missing || entry.address == address_;
         }
-        updates_.departure_bell().wait(seen, is_voter_missing ? constants::founding_pause : constants::join_pause,
+        updates_.departure_bell().wait(seen, is_voter_missing ? constants::founding_pause : constants::probe_pause,
                                        yield);
       }
     });
@@ -120,13 +120,13 @@
           if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
             calls.emplace_back(send->to.address, send->request);
           } else if (std::holds_alternative<lease::Lost>(action)) {
-            common::note(common::Event::LeaseLost, name);
+            common::log_event(common::Event::LeaseLost, name);
           }
         }
       }
       if (!calls.empty()) {
         common::Gather::run(
-            context_, caller_, calls, constants::holder_deadline,
+            context_, caller_, calls, constants::acceptor_deadline,
             [lease_holder, lease_lock, name](std::size_t, absl::StatusOr<schema::Message> const& answer) {
               schema::LeaseAnswer const* const reply =
                   answer.ok() ? std::get_if<schema::LeaseAnswer>(&*answer) : nullptr;
@@ -134,7 +134,7 @@
                 std::lock_guard<std::mutex> const guard(*lease_lock);
                 for (lease::LeaseHolderAction const& action : lease_holder->receive(*reply, common::boot_now())) {
                   if (std::holds_alternative<lease::Gained>(action)) {
-                    common::note(common::Event::LeaseTaken, name);
+                    common::log_event(common::Event::LeaseTaken, name);
                   }
                 }
               }
@@ -159,7 +159,7 @@
       if (is_held_now) {
         step(is_held, yield);
       }
-      common::pause(context_, constants::duty_pause, yield);
+      common::pause(context_, constants::lease_check_pause, yield);
     }
   });
 }
@@ -323,7 +323,7 @@
   RegisterClient::Result const result = register_.change(
       consensus::split_register(name), consensus::replace_at(revision, text), constants::change_deadline, yield);
   bool const chosen = std::holds_alternative<consensus::Chosen>(result);
-  common::note(chosen ? common::Event::SplitWritten : common::Event::SplitDefect, name + ": " + split.reason);
+  common::log_event(chosen ? common::Event::SplitWritten : common::Event::SplitDefect, name + ": " + split.reason);
   std::lock_guard<std::mutex> const guard(lock_);
   reasons_["scaler/" + name.substr(0, name.find('/'))] = split.reason;
 }
@@ -368,7 +368,7 @@
   }
   std::size_t install_count = 0;
   common::Gather::run(
-      context_, caller_, calls, constants::holder_deadline,
+      context_, caller_, calls, constants::acceptor_deadline,
       [&install_count, &next](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         schema::Adopted const* const reply = answer.ok() ? std::get_if<schema::Adopted>(&*answer) : nullptr;
         install_count += reply != nullptr && reply->epoch >= next.epoch ? 1 : 0;
@@ -408,7 +408,7 @@
     }
   }
   common::Gather::run(
-      context_, caller_, calls, constants::join_look,
+      context_, caller_, calls, constants::probe_deadline,
       [this, &probed](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         schema::Adopted const* const reply = answer.ok() ? std::get_if<schema::Adopted>(&*answer) : nullptr;
         if (reply != nullptr) {
@@ -422,13 +422,13 @@
   if (!next.has_value()) {
     return;
   }
-  common::note(common::Event::RepairProposed, "epoch " + std::to_string(next->epoch));
+  common::log_event(common::Event::RepairProposed, "epoch " + std::to_string(next->epoch));
   // No lease is needed: the expected register content lets only one of all joining members succeed (section 5.5).
   RegisterClient::Result const result =
       register_.change(consensus::voter_set_register, membership::reconfiguration_proposal(set, *next),
                        constants::change_deadline, yield);
   if (!std::holds_alternative<consensus::Chosen>(result)) {
-    common::note(common::Event::RepairDefect, "epoch " + std::to_string(next->epoch) + " was not chosen");
+    common::log_event(common::Event::RepairDefect, "epoch " + std::to_string(next->epoch) + " was not chosen");
   }
   spread_voter_set(yield);
 }
@@ -454,7 +454,7 @@
   releasing_ = true;
   common::start(context_, [this, calls](common::Yield yield) {
     common::Gather::run(
-        context_, caller_, calls, constants::lease_release_patience,
+        context_, caller_, calls, constants::lease_release_timeout,
         [](std::size_t, absl::StatusOr<schema::Message> const&) { return false; }, yield);
     releasing_ = false;
   });
--- a/source/control_plane/leased_tasks/leased_tasks.hpp
+++ b/source/control_plane/leased_tasks/leased_tasks.hpp
@@ -24,7 +24,7 @@
  public:
   /// The references must outlive this object. `acceptor` is null where this process has no disk. `identity` is this
   /// process's identity towards the lease granters.
-  LeasedTasks(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+  LeasedTasks(boost::asio::io_context& context, common::FrameClient& caller, RegisterClient& register_client,
               UpdateService& updates, AcceptorService* acceptor, std::uint64_t identity,
               schema::Settings const& settings, config::RoutingConfigFormat notation);
   /// Starts the loops; called once.
@@ -70,7 +70,7 @@
   [[nodiscard]] schema::Settings settings();
 
   boost::asio::io_context& context_;
-  common::Caller& caller_;
+  common::FrameClient& caller_;
   RegisterClient& register_;
   UpdateService& updates_;
   AcceptorService* acceptor_;  ///< null where this process has no disk
--- a/source/control_plane/main.cpp
+++ b/source/control_plane/main.cpp
@@ -19,7 +19,7 @@
 
 /// The daemon's services, in order of construction. `acceptor` is null where the process has no disk.
 struct Program {
-  std::unique_ptr<common::Caller> caller;
+  std::unique_ptr<common::FrameClient> caller;
   std::unique_ptr<control_plane::AcceptorService> acceptor;
   std::unique_ptr<control_plane::RegisterClient> register_client;
   std::unique_ptr<control_plane::UpdateService> updates;
@@ -46,7 +46,7 @@
     std::uint64_t const identity = common::random_identity();
     bool const has_platform = platform::settings_path().has_value();
     schema::TimeBounds const& bounds = settings.bounds;
-    program.caller = std::make_unique<common::Caller>(context);
+    program.caller = std::make_unique<common::FrameClient>(context);
     if (!settings.data_folder.empty()) {
       program.acceptor = std::make_unique<control_plane::AcceptorService>(
           context, *program.caller, settings.data_folder, settings.colleague_address,
@@ -97,9 +97,9 @@
     if (!status.ok()) {
       return status;
     }
-    status = common::serve_asks(
+    status = common::serve_requests(
         context, settings.http_address, settings.connections, constants::routing_config_limit,
-        [&program](common::Ask const& request, common::CallerConnection const& caller, common::Yield yield) {
+        [&program](common::Request const& request, common::CallerConnection const& caller, common::Yield yield) {
           return program.operator_service->answer(request, caller, yield);
         });
     if (!status.ok()) {
--- a/source/control_plane/operator/health.cpp
+++ b/source/control_plane/operator/health.cpp
@@ -60,11 +60,11 @@
   return view;
 }
 
-common::Answer HealthPages::voters() {
-  return common::answer_text(http::status::ok, common::print_tree(voters_tree(view()).get(), true));
+common::Response HealthPages::voters() {
+  return common::text_response(http::status::ok, common::print_tree(voters_tree(view()).get(), true));
 }
 
-common::Answer HealthPages::check() {
+common::Response HealthPages::check() {
   membership::HealthView const seen = view();
   std::vector<membership::HealthProblem> const problems = membership::find_problems(seen);
   common::Tree object(cJSON_CreateObject());
@@ -80,8 +80,8 @@
                           static_cast<double>(membership::losses_to_spare(seen.set, seen.voters)));
   cJSON_AddNumberToObject(object.get(), "majority_age_ms", whole_milliseconds(seen.majority_age));
   cJSON_AddItemToObject(object.get(), "voters", voters_tree(seen).release());
-  return common::answer_text(problems.empty() ? http::status::ok : http::status::service_unavailable,
-                             common::print_tree(object.get(), true));
+  return common::text_response(problems.empty() ? http::status::ok : http::status::service_unavailable,
+                               common::print_tree(object.get(), true));
 }
 
 std::string HealthPages::metrics() {
--- a/source/control_plane/operator/health.hpp
+++ b/source/control_plane/operator/health.hpp
@@ -18,9 +18,9 @@
       : register_(register_client), updates_(updates), acceptor_(acceptor) {}
 
   /// GET /holders: the voter set, with each voter's vote, epoch, last contact and whether it is leaving.
-  [[nodiscard]] common::Answer voters();
+  [[nodiscard]] common::Response voters();
   /// GET /check: 200 when healthy, else 503; `problems` lists what is wrong.
-  [[nodiscard]] common::Answer check();
+  [[nodiscard]] common::Response check();
   /// Lines for the metrics page.
   [[nodiscard]] std::string metrics();
 
--- a/source/control_plane/operator/operator.cpp
+++ b/source/control_plane/operator/operator.cpp
@@ -17,7 +17,7 @@
 namespace http = common::http;
 
 namespace {
-common::Answer validation_errors_answer(std::vector<common::Fault> const& faults) {
+common::Response validation_errors_answer(std::vector<common::Fault> const& faults) {
   common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "error", "invalid");
   cJSON_AddStringToObject(object.get(), "outcome", "rejected");
@@ -28,11 +28,11 @@
     cJSON_AddStringToObject(entry, "reason", fault.reason.c_str());
     cJSON_AddItemToArray(list, entry);
   }
-  return common::answer_text(http::status::unprocessable_entity, common::print_tree(object.get()));
+  return common::text_response(http::status::unprocessable_entity, common::print_tree(object.get()));
 }
 
-common::Answer outcome_answer(http::status status, std::string const& outcome, std::string const& id,
-                              std::uint64_t revision, std::string const& message = "") {
+common::Response outcome_answer(http::status status, std::string const& outcome, std::string const& id,
+                                std::uint64_t revision, std::string const& message = "") {
   common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "outcome", outcome.c_str());
   cJSON_AddStringToObject(object.get(), "id", id.c_str());
@@ -42,7 +42,7 @@
   if (!message.empty()) {
     cJSON_AddStringToObject(object.get(), "message", message.c_str());
   }
-  common::Answer answer = common::answer_text(status, common::print_tree(object.get()));
+  common::Response answer = common::text_response(status, common::print_tree(object.get()));
   answer.set("Change-Id", id);
   if (revision > 0) {
     answer.set(http::field::etag, "\"" + std::to_string(revision) + "\"");
@@ -104,12 +104,13 @@
 }
 }  // namespace
 
-common::Answer OperatorService::answer(common::Ask const& request, common::CallerConnection const& caller,
-                                       common::Yield yield) {
+common::Response OperatorService::answer(common::Request const& request, common::CallerConnection const& caller,
+                                         common::Yield yield) {
   ++open_calls_;
   common::Moment const arrival = common::boot_now();
   std::string const target(request.target().substr(0, request.target().find('?')));
-  common::Answer answer = common::answer_error(http::status::not_found, "unknown_path", "see docs/operating/setup.md");
+  common::Response answer =
+      common::error_response(http::status::not_found, "unknown_path", "see docs/operating/setup.md");
   http::verb const verb = request.method();
   // Where the platform has its own paths, the default paths work as well, because the command-line client uses them.
   static OperatorPaths const default_paths;
@@ -129,20 +130,20 @@
     } else if (verb == http::verb::put || verb == http::verb::patch) {
       answer = change_setup(request, verb == http::verb::patch, yield);
     } else {
-      answer = common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
+      answer = common::error_response(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
     }
   } else if (target.rfind("/changes/", 0) == 0 && verb == http::verb::get) {
     answer = get_change_outcome(target.substr(9), yield);
   } else if (target.rfind("/halls/", 0) == 0 && verb == http::verb::post) {
     answer = change_zone(target.substr(7), yield);
   } else if (target == "/members" && verb == http::verb::get) {
-    answer = common::answer_text(http::status::ok, print_list(updates_.members()));
+    answer = common::text_response(http::status::ok, print_list(updates_.members()));
   } else if (target == "/trellises" && verb == http::verb::get) {
-    answer = common::answer_text(http::status::ok, print_list(updates_.controllers()));
+    answer = common::text_response(http::status::ok, print_list(updates_.controllers()));
   } else if (target == "/workers" && verb == http::verb::get) {
     common::Tree list(schema::write(updates_.list()));
     cJSON_AddNumberToObject(list.get(), "age_ms", static_cast<double>(updates_.list_age()) / 1000);
-    answer = common::answer_text(http::status::ok, common::print_tree(list.get(), true));
+    answer = common::text_response(http::status::ok, common::print_tree(list.get(), true));
   } else if (target == "/holders" && verb == http::verb::get) {
     answer = health_.voters();
   } else if (target == "/check" && verb == http::verb::get) {
@@ -158,16 +159,16 @@
         }
       }
     }
-    answer = common::answer_text(http::status::ok, common::print_tree(object.get(), true));
+    answer = common::text_response(http::status::ok, common::print_tree(object.get(), true));
   } else if (target == "/duties" && verb == http::verb::get) {
-    answer = common::answer_text(http::status::ok, describe_tasks_());
+    answer = common::text_response(http::status::ok, describe_tasks_());
   } else if (target == "/alive") {
-    answer = common::answer_text(http::status::ok, "{\"alive\":true}");
+    answer = common::text_response(http::status::ok, "{\"alive\":true}");
   } else if (target == "/ready") {
     bool const ready = common::boot_now() - register_.confirmed_from() < constants::confirmation_bound;
-    answer = ready ? common::answer_text(http::status::ok, "{\"ready\":true}")
-                   : common::answer_error(http::status::service_unavailable, "no_majority",
-                                          "no majority of holders answered of late");
+    answer = ready ? common::text_response(http::status::ok, "{\"ready\":true}")
+                   : common::error_response(http::status::service_unavailable, "no_majority",
+                                            "no majority of holders answered of late");
   } else if (target == "/metrics") {
     answer = metrics();
   }
@@ -184,10 +185,10 @@
   common::Moment const last = register_.confirmed_from();
   read_latency_.record(now - arrival);
   if (!is_confirmed) {
-    common::note(common::Event::ReadRefused,
-                 path + " waited " + std::to_string((now - arrival) / common::milliseconds(1)) +
-                     " ms, last confirmation " +
-                     (last == 0 ? "never" : std::to_string((now - last) / common::milliseconds(1)) + " ms old"));
+    common::log_event(common::Event::ReadRefused,
+                      path + " waited " + std::to_string((now - arrival) / common::milliseconds(1)) +
+                          " ms, last confirmation " +
+                          (last == 0 ? "never" : std::to_string((now - last) / common::milliseconds(1)) + " ms old"));
     return std::nullopt;
   }
   schema::Value const value = register_.value(name);
@@ -218,7 +219,7 @@
   common::pause(context_, acknowledge_wait_, yield);
 }
 
-common::Answer OperatorService::answer_routing_config(common::Ask const& request, common::Yield yield) {
+common::Response OperatorService::answer_routing_config(common::Request const& request, common::Yield yield) {
   http::verb const verb = request.method();
   if (verb == http::verb::get) {
     return get_routing_config(yield);
@@ -226,30 +227,31 @@
   if (verb == http::verb::put || verb == http::verb::patch) {
     return change_routing_config(request, verb == http::verb::patch, yield);
   }
-  return common::answer_error(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
+  return common::error_response(http::status::method_not_allowed, "method", "GET, PUT or PATCH");
 }
 
-common::Answer OperatorService::get_routing_config(common::Yield yield) {
+common::Response OperatorService::get_routing_config(common::Yield yield) {
   std::optional<schema::Value> const value =
       read_confirmed(paths_.routing_config, config::routing_config_register, yield);
   if (!value.has_value()) {
-    return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
+    return common::error_response(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
   if (value->revision == 0) {
-    return common::answer_error(http::status::not_found, "no_charter", "no charter was put yet");
+    return common::error_response(http::status::not_found, "no_charter", "no charter was put yet");
   }
-  common::Answer answer = common::answer_text(http::status::ok, value->content);
+  common::Response answer = common::text_response(http::status::ok, value->content);
   answer.set(http::field::etag, "\"" + std::to_string(config::number_of(*value)) + "\"");
   return answer;
 }
 
-common::Answer OperatorService::change_routing_config(common::Ask const& request, bool patch, common::Yield yield) {
+common::Response OperatorService::change_routing_config(common::Request const& request, bool patch,
+                                                        common::Yield yield) {
   config::RoutingChangeRequest change{request.body(), patch, std::nullopt};
   std::string const match(request[http::field::if_match]);
   if (!match.empty() && match != "*") {
     change.expected = parse_revision_tag(match);
     if (!change.expected.has_value()) {
-      return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one number, or *");
+      return common::error_response(http::status::bad_request, "if_match", "If-Match takes one number, or *");
     }
   }
   std::shared_ptr<config::RoutingProposalReport> const report = std::make_shared<config::RoutingProposalReport>();
@@ -262,14 +264,14 @@
     report->end = config::RoutingProposalOutcome::done;
     answer_check_.acknowledged(config::routing_config_register, chosen->value, report->valid_digest);
     ++accepted_;
-    common::note(common::Event::CharterChosen, std::to_string(number));
+    common::log_event(common::Event::CharterChosen, std::to_string(number));
   } else if (std::holds_alternative<RegisterClient::Unknown>(result)) {
-    common::note(common::Event::CharterUnknown, config::change_id_of(change));
+    common::log_event(common::Event::CharterUnknown, config::change_id_of(change));
     return unknown_outcome("no majority of holders answered in time; send the same again");
   }
   if (report->end == config::RoutingProposalOutcome::forgotten) {
-    common::note(common::Event::CharterUnknown,
-                 config::change_id_of(change) + " is too old to be checked for duplicates");
+    common::log_event(common::Event::CharterUnknown,
+                      config::change_id_of(change) + " is too old to be checked for duplicates");
     return unknown_outcome("too old to tell whether it was taken before; nothing was done now");
   }
   std::string const tag = "\"" + std::to_string(number) + "\"";
@@ -278,37 +280,37 @@
       answer_check_.acknowledged_on(config::routing_config_register, *change.expected, config::change_id_of(change));
     }
     announce_and_wait(yield);
-    common::Answer answer = common::answer_text(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
+    common::Response answer = common::text_response(http::status::ok, "{\"number\":" + std::to_string(number) + "}");
     answer.set(http::field::etag, tag);
     return answer;
   }
   ++rejected_;
-  common::note(common::Event::CharterRejected, common::describe(report->faults));
+  common::log_event(common::Event::CharterRejected, common::describe(report->faults));
   if (report->end == config::RoutingProposalOutcome::invalid) {
-    common::Answer answer = validation_errors_answer(report->faults);
+    common::Response answer = validation_errors_answer(report->faults);
     answer.result(http::status::bad_request);
     return answer;
   }
   if (report->end == config::RoutingProposalOutcome::stale_number) {
-    return common::answer_error(http::status::bad_request, "number",
-                                "the number must be above the one in place, " + std::to_string(number));
+    return common::error_response(http::status::bad_request, "number",
+                                  "the number must be above the one in place, " + std::to_string(number));
   }
   if (report->end == config::RoutingProposalOutcome::too_large) {
-    return common::answer_error(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
+    return common::error_response(http::status::payload_too_large, "too_large", "the charter is larger than allowed");
   }
-  common::Answer answer = common::answer_error(http::status::precondition_failed, "another",
-                                               "charter " + std::to_string(number) + " is in place");
+  common::Response answer = common::error_response(http::status::precondition_failed, "another",
+                                                   "charter " + std::to_string(number) + " is in place");
   answer.set(http::field::etag, tag);
   return answer;
 }
 
-common::Answer OperatorService::unknown_outcome(std::string const& message) {
+common::Response OperatorService::unknown_outcome(std::string const& message) {
   ++unknown_;
-  return common::answer_error(http::status::gateway_timeout, "unknown", message);
+  return common::error_response(http::status::gateway_timeout, "unknown", message);
 }
 
-common::Answer OperatorService::set_zone_drained(std::string const& zone, bool drained,
-                                                 common::CallerConnection const& caller, common::Yield yield) {
+common::Response OperatorService::set_zone_drained(std::string const& zone, bool drained,
+                                                   common::CallerConnection const& caller, common::Yield yield) {
   // Read before anything else: a command that arrives later may be newer than this one (section 13.3).
   config::ZoneDrainCommand const command{zone, drained,
                                          config::newest_command(register_.value(config::drained_zones_register), zone)};
@@ -329,29 +331,29 @@
     answer_check_.acknowledged(config::drained_zones_register, chosen->value);
   }
   ++accepted_;
-  common::note(common::Event::EvacuationChosen, zone + (drained ? " is drained" : " is restored"));
+  common::log_event(common::Event::EvacuationChosen, zone + (drained ? " is drained" : " is restored"));
   announce_and_wait(yield);
-  return common::answer_text(http::status::ok, "{}");
+  return common::text_response(http::status::ok, "{}");
 }
 
-common::Answer OperatorService::get_drained_zones(common::Yield yield) {
+common::Response OperatorService::get_drained_zones(common::Yield yield) {
   std::optional<schema::Value> const value = read_confirmed("/evacuated", config::drained_zones_register, yield);
   if (!value.has_value()) {
-    return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
+    return common::error_response(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
   std::string const& content = value->content;
-  return common::answer_text(http::status::ok, content.empty() ? "[]" : content);
+  return common::text_response(http::status::ok, content.empty() ? "[]" : content);
 }
 
-common::Answer OperatorService::get_setup(common::Yield yield) {
+common::Response OperatorService::get_setup(common::Yield yield) {
   std::optional<schema::Value> const value = read_confirmed("/setup", consensus::setup_register, yield);
   if (!value.has_value()) {
-    return common::answer_error(http::status::service_unavailable, "no_majority", "no majority of holders answered");
+    return common::error_response(http::status::service_unavailable, "no_majority", "no majority of holders answered");
   }
   if (value->content.empty()) {
-    return common::answer_error(http::status::not_found, "no_setup", "no setup was put yet");
+    return common::error_response(http::status::not_found, "no_setup", "no setup was put yet");
   }
-  common::Answer answer = common::answer_text(http::status::ok, value->content);
+  common::Response answer = common::text_response(http::status::ok, value->content);
   answer.set(http::field::etag, "\"" + std::to_string(value->revision) + "\"");
   return answer;
 }
@@ -367,26 +369,27 @@
          std::to_string(register_.value(consensus::setup_register).revision);
 }
 
-common::Answer OperatorService::change_setup(common::Ask const& request, bool patch, common::Yield yield) {
+common::Response OperatorService::change_setup(common::Request const& request, bool patch, common::Yield yield) {
   config::SetupChangeRequest change;
   change.patch = patch;
   change.id = std::string(request["Change-Id"]);
   if (change.id.empty()) {
     change.id = generate_id("change", yield);
   } else if (!is_valid_id(change.id)) {
-    return common::answer_error(http::status::bad_request, "change_id",
-                                "Change-Id takes up to 64 letters, digits, '-', '_' and '.'");
+    return common::error_response(http::status::bad_request, "change_id",
+                                  "Change-Id takes up to 64 letters, digits, '-', '_' and '.'");
   }
   std::string const match(request[http::field::if_match]);
   if (!match.empty() && match != "*") {
     change.expected = parse_revision_tag(match);
     if (!change.expected.has_value()) {
-      return common::answer_error(http::status::bad_request, "if_match", "If-Match takes one revision in quotes, or *");
+      return common::error_response(http::status::bad_request, "if_match",
+                                    "If-Match takes one revision in quotes, or *");
     }
   }
   absl::StatusOr<std::string> const content = config::canonical_json(request.body());
   if (!content.ok()) {
-    return common::answer_error(http::status::bad_request, "malformed", std::string(content.status().message()));
+    return common::error_response(http::status::bad_request, "malformed", std::string(content.status().message()));
   }
   change.content = *content;
   if (!patch) {
@@ -398,7 +401,7 @@
   return apply(change, yield);
 }
 
-common::Answer OperatorService::apply(config::SetupChangeRequest const& change, common::Yield yield) {
+common::Response OperatorService::apply(config::SetupChangeRequest const& change, common::Yield yield) {
   std::shared_ptr<config::SetupProposalReport> const report = std::make_shared<config::SetupProposalReport>();
   RegisterClient::Result const result = register_.change(
       consensus::setup_register, config::setup_proposal(change, report), constants::change_deadline, yield);
@@ -421,7 +424,7 @@
                             "revision that you know: NAME.REVISION");
     }
     ++rejected_;
-    common::note(common::Event::SetupRejected, change.id + " " + rejected->reason);
+    common::log_event(common::Event::SetupRejected, change.id + " " + rejected->reason);
     if (status.state == config::ChangeState::rejected) {
       return outcome_answer(http::status::conflict, "rejected", change.id, rejected->current.revision,
                             "this id was given up before");
@@ -437,26 +440,26 @@
       return outcome_answer(http::status::payload_too_large, "rejected", change.id, rejected->current.revision,
                             rejected->reason);
     }
-    common::Answer answer = outcome_answer(http::status::precondition_failed, "rejected", change.id,
-                                           rejected->current.revision, rejected->reason);
+    common::Response answer = outcome_answer(http::status::precondition_failed, "rejected", change.id,
+                                             rejected->current.revision, rejected->reason);
     answer.set(http::field::etag, "\"" + std::to_string(rejected->current.revision) + "\"");
     return answer;
   }
   ++unknown_;
-  common::note(common::Event::SetupUnknown, change.id);
+  common::log_event(common::Event::SetupUnknown, change.id);
   return outcome_answer(http::status::gateway_timeout, "unknown", change.id, 0, "ask GET /changes/" + change.id);
 }
 
-common::Answer OperatorService::acknowledge(std::string const& id, std::uint64_t revision, common::Yield yield) {
+common::Response OperatorService::acknowledge(std::string const& id, std::uint64_t revision, common::Yield yield) {
   ++accepted_;
-  common::note(common::Event::SetupChosen, "revision " + std::to_string(revision) + " " + id);
+  common::log_event(common::Event::SetupChosen, "revision " + std::to_string(revision) + " " + id);
   announce_and_wait(yield);
   return outcome_answer(http::status::ok, "accepted", id, revision);
 }
 
-common::Answer OperatorService::get_change_outcome(std::string const& id, common::Yield yield) {
+common::Response OperatorService::get_change_outcome(std::string const& id, common::Yield yield) {
   if (!is_valid_id(id)) {
-    return common::answer_error(http::status::bad_request, "change_id", "not an id of a change");
+    return common::error_response(http::status::bad_request, "change_id", "not an id of a change");
   }
   // The change may still be in progress. After its deadline, a cancellation under the same id makes "rejected" final
   // (section 5.7).
@@ -468,10 +471,10 @@
     }
     common::pause(context_, constants::confirm_pause, yield);
   }
-  if (++open_outcome_queries_ > constants::outcomes_most) {
+  if (++open_outcome_queries_ > constants::max_outcome_lookups) {
     --open_outcome_queries_;
-    common::Answer answer =
-        common::answer_error(http::status::service_unavailable, "busy", "too many outcomes are looked up at once");
+    common::Response answer =
+        common::error_response(http::status::service_unavailable, "busy", "too many outcomes are looked up at once");
     answer.set(http::field::retry_after, std::to_string(constants::retry_after_seconds));
     return answer;
   }
@@ -484,8 +487,8 @@
   return outcome_answer(http::status::gateway_timeout, "unknown", id, 0, "no majority of holders answered");
 }
 
-common::Answer OperatorService::answer_status(config::ChangeStatus const& status, std::string const& id,
-                                              common::Yield yield) {
+common::Response OperatorService::answer_status(config::ChangeStatus const& status, std::string const& id,
+                                                common::Yield yield) {
   switch (status.state) {
     case config::ChangeState::accepted:
       // "Accepted" promises the same here as after a PUT (section 4.1). When the change was chosen is not known, so the
@@ -501,13 +504,13 @@
   }
 }
 
-common::Answer OperatorService::change_zone(std::string const& target, common::Yield yield) {
+common::Response OperatorService::change_zone(std::string const& target, common::Yield yield) {
   std::size_t const slash = target.rfind('/');
   std::string const name = target.substr(0, slash);
   std::string const command = slash == std::string::npos ? "" : target.substr(slash + 1);
   if (name.empty() || (command != "drain" && command != "restore")) {
-    return common::answer_error(http::status::not_found, "unknown_path",
-                                "POST /halls/NAME/drain or /halls/NAME/restore");
+    return common::error_response(http::status::not_found, "unknown_path",
+                                  "POST /halls/NAME/drain or /halls/NAME/restore");
   }
   common::Tree patch(cJSON_CreateObject());
   cJSON* const entry = cJSON_AddObjectToObject(cJSON_AddObjectToObject(patch.get(), "halls"), name.c_str());
@@ -519,7 +522,7 @@
   return apply(change, yield);
 }
 
-common::Answer OperatorService::metrics() {
+common::Response OperatorService::metrics() {
   std::string text;
   text += "# TYPE trellis_changes_total counter\n";
   text += "trellis_changes_total{outcome=\"accepted\"} " + std::to_string(accepted_) + "\n";
@@ -538,7 +541,7 @@
   text += "# TYPE trellis_holder_voting gauge\ntrellis_holder_voting " +
           std::to_string(acceptor_ != nullptr && acceptor_->voting() ? 1 : 0) + "\n";
   text += health_.metrics();
-  return common::answer_text(http::status::ok, text, "text/plain; version=0.0.4");
+  return common::text_response(http::status::ok, text, "text/plain; version=0.0.4");
 }
 
 }  // namespace finchlink::control_plane
--- a/source/control_plane/operator/operator.hpp
+++ b/source/control_plane/operator/operator.hpp
@@ -39,21 +39,21 @@
   /// Applies changed settings.
   void follow(common::Span acknowledge_wait) { acknowledge_wait_ = acknowledge_wait; }
   /// Handles one HTTP request; may wait for a majority read, a change or its acknowledgement.
-  [[nodiscard]] common::Answer answer(common::Ask const& request, common::CallerConnection const& caller,
-                                      common::Yield yield);
+  [[nodiscard]] common::Response answer(common::Request const& request, common::CallerConnection const& caller,
+                                        common::Yield yield);
   /// Whether calls are in progress.
   [[nodiscard]] bool busy() const { return open_calls_ > 0; }
 
  private:
-  [[nodiscard]] common::Answer answer_routing_config(common::Ask const& request, common::Yield yield);
-  [[nodiscard]] common::Answer get_routing_config(common::Yield yield);
-  [[nodiscard]] common::Answer change_routing_config(common::Ask const& request, bool patch, common::Yield yield);
-  [[nodiscard]] common::Answer get_drained_zones(common::Yield yield);
+  [[nodiscard]] common::Response answer_routing_config(common::Request const& request, common::Yield yield);
+  [[nodiscard]] common::Response get_routing_config(common::Yield yield);
+  [[nodiscard]] common::Response change_routing_config(common::Request const& request, bool patch, common::Yield yield);
+  [[nodiscard]] common::Response get_drained_zones(common::Yield yield);
   /// Drains the zone or restores it.
-  [[nodiscard]] common::Answer set_zone_drained(std::string const& zone, bool drained,
-                                                common::CallerConnection const& caller, common::Yield yield);
+  [[nodiscard]] common::Response set_zone_drained(std::string const& zone, bool drained,
+                                                  common::CallerConnection const& caller, common::Yield yield);
   /// The answer where a command's outcome is not known: its status promises neither success nor failure.
-  [[nodiscard]] common::Answer unknown_outcome(std::string const& message);
+  [[nodiscard]] common::Response unknown_outcome(std::string const& message);
   /// Waits until a majority has confirmed the register's value since the call, and returns it; nothing where none did
   /// in time, which is logged with the requested path.
   [[nodiscard]] std::optional<schema::Value> read_confirmed(std::string const& path, std::string const& name,
@@ -62,22 +62,22 @@
   [[nodiscard]] bool await_confirmation(common::Moment arrival, common::Yield yield);
   /// Announces a chosen change to all proxies, then waits until it may be acknowledged.
   void announce_and_wait(common::Yield yield);
-  [[nodiscard]] common::Answer get_setup(common::Yield yield);
-  [[nodiscard]] common::Answer change_setup(common::Ask const& request, bool patch, common::Yield yield);
+  [[nodiscard]] common::Response get_setup(common::Yield yield);
+  [[nodiscard]] common::Response change_setup(common::Request const& request, bool patch, common::Yield yield);
   /// Proposes a change of the setup and answers with its outcome.
-  [[nodiscard]] common::Answer apply(config::SetupChangeRequest const& change, common::Yield yield);
+  [[nodiscard]] common::Response apply(config::SetupChangeRequest const& change, common::Yield yield);
   /// Answers with the outcome of the change `id`. If that is still pending after its deadline, cancels the change.
-  [[nodiscard]] common::Answer get_change_outcome(std::string const& id, common::Yield yield);
+  [[nodiscard]] common::Response get_change_outcome(std::string const& id, common::Yield yield);
   /// The answer for a change whose status is settled.
-  [[nodiscard]] common::Answer answer_status(config::ChangeStatus const& status, std::string const& id,
-                                             common::Yield yield);
+  [[nodiscard]] common::Response answer_status(config::ChangeStatus const& status, std::string const& id,
+                                               common::Yield yield);
   /// Generates an id that begins with `name` and ends in the setup's known revision.
   [[nodiscard]] std::string generate_id(std::string const& name, common::Yield yield);
   /// Drains or restores a zone in the setup; `target` is the path after `/halls/`.
-  [[nodiscard]] common::Answer change_zone(std::string const& target, common::Yield yield);
+  [[nodiscard]] common::Response change_zone(std::string const& target, common::Yield yield);
   /// Announces a chosen change of the setup, and acknowledges it.
-  [[nodiscard]] common::Answer acknowledge(std::string const& id, std::uint64_t revision, common::Yield yield);
-  [[nodiscard]] common::Answer metrics();
+  [[nodiscard]] common::Response acknowledge(std::string const& id, std::uint64_t revision, common::Yield yield);
+  [[nodiscard]] common::Response metrics();
 
   boost::asio::io_context& context_;
   RegisterClient& register_;
--- a/source/control_plane/register_client/read_outcomes.cpp
+++ b/source/control_plane/register_client/read_outcomes.cpp
@@ -32,13 +32,14 @@
 
 struct LogReadsEvent {
   void operator()(ReadsLost const& lost) const {
-    common::note(common::Event::ReadsLost, "no read confirmed for " + milliseconds(lost.unconfirmed) + ", rounds " +
-                                               std::to_string(lost.rounds) + ", pause before this round " +
-                                               milliseconds(lost.pause_before) + ", " + describe(lost.round));
+    common::log_event(common::Event::ReadsLost, "no read confirmed for " + milliseconds(lost.unconfirmed) +
+                                                    ", rounds " + std::to_string(lost.rounds) +
+                                                    ", pause before this round " + milliseconds(lost.pause_before) +
+                                                    ", " + describe(lost.round));
   }
   void operator()(ReadsRegained const& regained) const {
-    common::note(common::Event::ReadsRegained,
-                 "after " + milliseconds(regained.unconfirmed) + " and " + std::to_string(regained.rounds) + " rounds");
+    common::log_event(common::Event::ReadsRegained, "after " + milliseconds(regained.unconfirmed) + " and " +
+                                                        std::to_string(regained.rounds) + " rounds");
   }
 };
 }  // namespace
@@ -91,7 +92,7 @@
   }
   ++unconfirmed_rounds_;
   common::Span const unconfirmed = round.ended - *since_;
-  bool const logged_recently = last_logged_ != 0 && round.ended - last_logged_ < constants::reads_lost_again;
+  bool const logged_recently = last_logged_ != 0 && round.ended - last_logged_ < constants::reads_lost_log_interval;
   if (unconfirmed <= constants::reads_lost_after || logged_recently) {
     return std::nullopt;
   }
--- a/source/control_plane/register_client/read_outcomes.hpp
+++ b/source/control_plane/register_client/read_outcomes.hpp
@@ -62,7 +62,7 @@
 /// Describes the round in one log line.
 [[nodiscard]] std::string describe(ReadRound const& round);
 
-/// No read was confirmed for longer than `reads_lost_after`; reported again every `reads_lost_again`.
+/// No read was confirmed for longer than `reads_lost_after`; reported again every `reads_lost_log_interval`.
 struct ReadsLost {
   common::Span unconfirmed = 0;   ///< since the start of the last confirmed read, or else of the first read
   std::uint64_t rounds = 0;       ///< unconfirmed rounds since then
--- a/source/control_plane/register_client/register_client.cpp
+++ b/source/control_plane/register_client/register_client.cpp
@@ -25,7 +25,7 @@
 }
 }  // namespace
 
-RegisterClient::RegisterClient(boost::asio::io_context& context, common::Caller& caller, std::uint64_t identity,
+RegisterClient::RegisterClient(boost::asio::io_context& context, common::FrameClient& caller, std::uint64_t identity,
                                std::vector<std::string> seeds, common::Span confirm_pause)
     : context_(context),
       caller_(caller),
@@ -42,8 +42,8 @@
     std::lock_guard<std::mutex> const guard(lock_);
     reader_.learn(name, *chosen, *value);
   }
-  bell_.ring();
-  read_trigger_.ring();  // the next read tells the voters that the value is known, and confirms it
+  bell_.notify_all();
+  read_trigger_.notify_all();  // the next read tells the voters that the value is known, and confirms it
 }
 
 void RegisterClient::follow(std::vector<std::string> const& seeds, common::Span confirm_pause) {
@@ -125,7 +125,7 @@
     }
   }
   common::Gather::run(
-      context_, caller_, calls, constants::holder_deadline,
+      context_, caller_, calls, constants::acceptor_deadline,
       [this](std::size_t, absl::StatusOr<schema::Message> const& answer) {
         if (answer.ok()) {
           if (schema::Refused const* const refused = std::get_if<schema::Refused>(&*answer)) {
@@ -213,7 +213,7 @@
   }
   ReadResult result;
   common::Gather::run(
-      context_, caller_, calls, constants::holder_deadline,
+      context_, caller_, calls, constants::acceptor_deadline,
       [this, &round, &result](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
         round.voters[index].reaction = answer.ok() ? reaction_of(*answer) : VoterReaction(VoterFailed{});
         return answer.ok() && handle_answer(*answer, round, result);
@@ -236,12 +236,12 @@
   // (section 5.6), and the next round then finds it accepted by a majority. All controllers see this at the same time
   // and would preempt each other's ballots, so each settles only with a probability of 1 in `settle_lots` and
   // otherwise reads again.
-  if (common::random_number() % constants::settle_lots == 0) {
+  if (common::random_number() % constants::settle_odds == 0) {
     for (std::string const& name : result.unsettled) {
       settle(name);
     }
   }
-  bell_.ring();
+  bell_.notify_all();
   return result.confirmed;
 }
 
@@ -265,7 +265,7 @@
   std::optional<schema::Value> value = partial.value;
   if (!value.has_value()) {
     value = fetch(partial.name, consensus::NeededValue{partial.accepted, partial.digest, partial.sources}, set(),
-                  common::boot_now() + constants::transfer_patience, yield);
+                  common::boot_now() + constants::transfer_stall_timeout, yield);
   }
   if (!value.has_value()) {
     return;
@@ -275,7 +275,7 @@
     reader_.cache_value(partial.name, partial.accepted, *value);
   }
   local_voter_->take_accepted(partial.name, partial.accepted, *value, yield);
-  read_trigger_.ring();
+  read_trigger_.notify_all();
 }
 
 void RegisterClient::settle(std::string const& name) {
@@ -323,7 +323,7 @@
                                               std::function<bool()> const& cancelled) {
   common::Moment const deadline_at = common::boot_now() + deadline;
   consensus::Proposer proposer(name, common::random_identity(), std::move(propose));
-  common::Span range = constants::ballot_pause_most - constants::ballot_pause_least;
+  common::Span range = constants::max_ballot_pause - constants::min_ballot_pause;
   common::Span longest_ballot_span = 0;
   bool fetched = false;  // the next ballot builds on a value that was fetched for it
   while (common::boot_now() < deadline_at && !(cancelled && cancelled())) {
@@ -363,7 +363,7 @@
       }
       actions.clear();
       common::Span const timeout =
-          std::min(constants::holder_deadline + static_cast<common::Span>(bytes) * constants::holder_byte_span,
+          std::min(constants::acceptor_deadline + static_cast<common::Span>(bytes) * constants::acceptor_byte_time,
                    std::max<common::Span>(deadline_at - common::boot_now(), 1000));
       common::Gather::run(
           context_, caller_, calls, timeout,
@@ -399,7 +399,7 @@
           yield);
     }
     if (result.has_value()) {
-      bell_.ring();
+      bell_.notify_all();
       return *result;
     }
     std::optional<consensus::NeededValue> const needed = proposer.needed();
@@ -413,12 +413,12 @@
     }
     longest_ballot_span = std::max(longest_ballot_span, common::boot_now() - begun);
     common::pause(context_,
-                  constants::ballot_pause_least +
+                  constants::min_ballot_pause +
                       static_cast<common::Span>(common::random_number() % static_cast<std::uint64_t>(range)),
                   yield);
     // Two proposers that race over high latency preempt each other's ballots until one of them waits for longer than
     // the other's two rounds take.
-    range = std::min(range * 2, std::max(constants::ballot_pause_longest, longest_ballot_span * 2));
+    range = std::min(range * 2, std::max(constants::max_ballot_backoff, longest_ballot_span * 2));
   }
   return Unknown{"no majority of voters answered in time"};
 }
--- a/source/control_plane/register_client/register_client.hpp
+++ b/source/control_plane/register_client/register_client.hpp
@@ -30,7 +30,7 @@
 
   /// `seeds` are addresses from which the voter set is requested; `confirm_pause` is the pause between confirmed reads
   /// in microseconds. `context` and `caller` must outlive the client.
-  RegisterClient(boost::asio::io_context& context, common::Caller& caller, std::uint64_t identity,
+  RegisterClient(boost::asio::io_context& context, common::FrameClient& caller, std::uint64_t identity,
                  std::vector<std::string> seeds, common::Span confirm_pause = common::constants::confirm_pause);
   /// The voter in this process, which accepts values that only some voters have accepted (section 5.10).
   struct LocalVoter {
@@ -45,7 +45,7 @@
   /// Applies changed settings.
   void follow(std::vector<std::string> const& seeds, common::Span confirm_pause);
   /// Starts the next majority read at once instead of after the pause between reads.
-  void hurry() { read_trigger_.ring(); }
+  void hurry() { read_trigger_.notify_all(); }
 
   /// Proposes a change of the register `name`, with ever new ballots until one is chosen or `propose` rejects the
   /// change, until the deadline, or until `cancelled` returns true.
@@ -67,7 +67,7 @@
   /// When the last confirmed read began: everything chosen before is in values(). 0: no read was confirmed yet.
   [[nodiscard]] common::Moment confirmed_from();
   /// Rings after each read and when a value was learnt.
-  [[nodiscard]] common::Bell& bell() { return bell_; }
+  [[nodiscard]] common::Notifier& bell() { return bell_; }
   /// How majority reads ended so far.
   [[nodiscard]] ReadOutcomes read_outcomes();
   /// Bytes that transfers in progress have still to receive (section 5.9).
@@ -111,7 +111,7 @@
                                                    common::Yield yield);
 
   boost::asio::io_context& context_;
-  common::Caller& caller_;
+  common::FrameClient& caller_;
   std::uint64_t identity_;
   std::vector<std::string> seeds_;
   std::vector<std::string> peers_;
@@ -120,8 +120,8 @@
   consensus::MajorityReader reader_;
   ReadOutcomes read_outcomes_;
   common::Span confirm_pause_;
-  common::Bell bell_;
-  common::Bell read_trigger_;
+  common::Notifier bell_;
+  common::Notifier read_trigger_;
   RegisterTransfers transfers_;
   std::optional<LocalVoter> local_voter_;
   std::set<std::string> settling_;
--- a/source/control_plane/register_client/register_transfers.cpp
+++ b/source/control_plane/register_client/register_transfers.cpp
@@ -13,7 +13,7 @@
 constexpr std::ptrdiff_t max_transfers_per_register = 2;
 }  // namespace
 
-RegisterTransfers::RegisterTransfers(boost::asio::io_context& context, common::Caller& caller, EndCallback on_end)
+RegisterTransfers::RegisterTransfers(boost::asio::io_context& context, common::FrameClient& caller, EndCallback on_end)
     : context_(context), caller_(caller), on_end_(std::move(on_end)) {}
 
 void RegisterTransfers::request(std::string const& name, std::string const& digest,
@@ -73,8 +73,8 @@
     }
   }
   if (value.ok()) {
-    common::note(common::Event::ValueFetched, transfer->key.name + " revision " + std::to_string(value->revision) +
-                                                  ", " + std::to_string(bytes->size()) + " bytes");
+    common::log_event(common::Event::ValueFetched, transfer->key.name + " revision " + std::to_string(value->revision) +
+                                                       ", " + std::to_string(bytes->size()) + " bytes");
   }
   on_end_(transfer->key.name, value.ok() ? std::optional<schema::Value>(*value) : std::nullopt, chosen);
 }
--- a/source/control_plane/register_client/register_transfers.hpp
+++ b/source/control_plane/register_client/register_transfers.hpp
@@ -22,7 +22,7 @@
   using EndCallback = std::function<void(std::string const& name, std::optional<schema::Value> const& value,
                                          std::optional<schema::Ballot> const& chosen)>;
 
-  RegisterTransfers(boost::asio::io_context& context, common::Caller& caller, EndCallback on_end);
+  RegisterTransfers(boost::asio::io_context& context, common::FrameClient& caller, EndCallback on_end);
 
   /// Starts to fetch the value, or adds sources to the transfer in progress. `chosen` is the ballot under which a
   /// majority accepted it, where one did: the value may then be learnt as soon as it has arrived.
@@ -54,7 +54,7 @@
   void finish(std::shared_ptr<Transfer> const& transfer, std::optional<std::string> const& bytes);
 
   boost::asio::io_context& context_;
-  common::Caller& caller_;
+  common::FrameClient& caller_;
   EndCallback on_end_;
   std::mutex lock_;
   std::vector<std::shared_ptr<Transfer>> in_progress_;
--- a/source/control_plane/updates/updates.cpp
+++ b/source/control_plane/updates/updates.cpp
@@ -15,9 +15,9 @@
 
 namespace constants = common::constants;
 
-UpdateService::UpdateService(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
-                             AcceptorService* acceptor, schema::Settings const& settings, std::uint64_t identity,
-                             ListReader list_reader)
+UpdateService::UpdateService(boost::asio::io_context& context, common::FrameClient& caller,
+                             RegisterClient& register_client, AcceptorService* acceptor,
+                             schema::Settings const& settings, std::uint64_t identity, ListReader list_reader)
     : context_(context),
       caller_(caller),
       register_(register_client),
@@ -88,7 +88,7 @@
     changed = listing_.store(list, as_of, common::boot_now()) && listing_.digest() != before;
   }
   if (changed) {
-    register_.bell().ring();
+    register_.bell().notify_all();
   }
 }
 
@@ -111,9 +111,9 @@
 }
 
 absl::StatusOr<schema::PlatformList> UpdateService::fetch_native_list(std::string const& address, common::Yield yield) {
-  common::Ask request{common::http::verb::get, "/workers", 11};
-  absl::StatusOr<common::Answer> const response =
-      common::ask_once(context_, address, request, constants::list_deadline, constants::list_limit, yield);
+  common::Request request{common::http::verb::get, "/workers", 11};
+  absl::StatusOr<common::Response> const response =
+      common::send_request(context_, address, request, constants::list_deadline, constants::list_limit, yield);
   if (!response.ok()) {
     return response.status();
   }
@@ -152,12 +152,12 @@
     if (list_reader_ && list_digest() != before) {
       announce(false);
     }
-    return list_reader_ ? constants::bell_pause
+    return list_reader_ ? constants::update_batch_delay
                         : pause;  // with a list reader, time_until_list_read() decides when to read
   }
-  common::note(common::Event::ListDefect, std::string(list.status().message()));
+  common::log_event(common::Event::ListDefect, std::string(list.status().message()));
   list_pause_after_failure_ = absl::IsResourceExhausted(list.status())
-                                  ? std::min(std::max(pause, list_pause_after_failure_ * 2), constants::list_rest_most)
+                                  ? std::min(std::max(pause, list_pause_after_failure_ * 2), constants::max_list_pause)
                                   : pause;
   return list_pause_after_failure_;
 }
@@ -191,7 +191,7 @@
 void UpdateService::notify_member_changes() {
   if (sessions_.digest() != members_digest_) {
     members_digest_ = sessions_.digest();
-    register_.bell().ring();
+    register_.bell().notify_all();
   }
 }
 
@@ -235,7 +235,7 @@
     common::Moment const now = common::boot_now();
     sessions_.set_self(self_entry());
     for (std::string const& ended : sessions_.expire(now)) {
-      common::note(common::Event::SessionEnded, ended);
+      common::log_event(common::Event::SessionEnded, ended);
     }
     notify_member_changes();
     timeout = common::milliseconds(static_cast<std::int64_t>(settings_.bounds.tell_pause_ms)) * 2;
@@ -287,10 +287,10 @@
               known_digests_[calls[index].first] = reply->sessions_digest;
             }
             if (changed) {
-              register_.bell().ring();
+              register_.bell().notify_all();
             }
             if (has_new_leaver) {
-              departure_bell_.ring();
+              departure_bell_.notify_all();
             }
           }
         }
@@ -329,7 +329,7 @@
     reply.list_gone = std::move(updates.gone);
   }
   if (has_new_leaver) {
-    departure_bell_.ring();
+    departure_bell_.notify_all();
   }
   if (message.confirm) {
     register_.hurry();
@@ -357,7 +357,7 @@
   {
     std::lock_guard<std::mutex> const guard(lock_);
     if (sessions_.record_request(request.member, arrival)) {
-      common::note(common::Event::SessionOpened, request.member.name + " in zone " + request.member.hall);
+      common::log_event(common::Event::SessionOpened, request.member.name + " in zone " + request.member.hall);
     }
     notify_member_changes();
     store_reports(request.member, request.reports, arrival);
@@ -376,7 +376,7 @@
       std::lock_guard<std::mutex> const guard(lock_);
       other_updates = listing_.digest() != list_before || (members_before != 0 && members_digest_ != members_before);
     }
-    bool const batch_elapsed = now - arrival >= constants::bell_pause;
+    bool const batch_elapsed = now - arrival >= constants::update_batch_delay;
     membership::UpdateDecision decision;
     register_.visit_values([&](std::map<std::string, schema::Value> const& values, common::Moment confirmed_from) {
       decision = membership::decide_answer(request, arrival, confirmed_from, values, other_updates && batch_elapsed,
@@ -392,7 +392,7 @@
     }
     register_.bell().wait(seen,
                           other_updates && !batch_elapsed
-                              ? std::min(decision.wait, constants::bell_pause - (now - arrival))
+                              ? std::min(decision.wait, constants::update_batch_delay - (now - arrival))
                               : decision.wait,
                           yield);
   }
--- a/source/control_plane/updates/updates.hpp
+++ b/source/control_plane/updates/updates.hpp
@@ -25,7 +25,7 @@
  public:
   /// The references must outlive this object. `acceptor` is null where this process has no disk. Without `list_reader`
   /// the list is read over HTTP in finchlink's own format.
-  UpdateService(boost::asio::io_context& context, common::Caller& caller, RegisterClient& register_client,
+  UpdateService(boost::asio::io_context& context, common::FrameClient& caller, RegisterClient& register_client,
                 AcceptorService* acceptor, schema::Settings const& settings, std::uint64_t identity,
                 ListReader list_reader = {});
   /// Starts the loops; called once.
@@ -51,7 +51,7 @@
   void set_leaving() { leaving_ = true; }
   [[nodiscard]] bool leaving() const { return leaving_; }
   /// Rings when a voter is first reported as leaving.
-  [[nodiscard]] common::Bell& departure_bell() { return departure_bell_; }
+  [[nodiscard]] common::Notifier& departure_bell() { return departure_bell_; }
   /// Returns the platform list in force; empty if it was never read.
   [[nodiscard]] schema::PlatformList list();
   /// Returns the digest of the list in force (membership/listing/listing.hpp).
@@ -88,7 +88,7 @@
   [[nodiscard]] schema::TrellisEntry self_entry();
 
   boost::asio::io_context& context_;
-  common::Caller& caller_;
+  common::FrameClient& caller_;
   RegisterClient& register_;
   AcceptorService* acceptor_;  ///< null where this process has no disk
   schema::Settings settings_;
@@ -110,7 +110,7 @@
   std::uint64_t members_digest_ = 0;
   std::atomic<bool> leaving_ = false;
   std::set<std::uint64_t> leaving_voters_;
-  common::Bell departure_bell_;
+  common::Notifier departure_bell_;
   std::map<std::string, std::uint64_t>
       known_digests_;              ///< by peer address: digest of this process's sessions that the peer knows
   bool is_fetching_list_ = false;  ///< a newer list is being fetched from a peer
--- a/source/data_plane/contents/content_fetcher.hpp
+++ b/source/data_plane/contents/content_fetcher.hpp
@@ -17,7 +17,7 @@
 /// configuration. Thread-safe.
 class ContentFetcher {
  public:
-  ContentFetcher(boost::asio::io_context& context, common::Caller& caller) : context_(context), caller_(caller) {}
+  ContentFetcher(boost::asio::io_context& context, common::FrameClient& caller) : context_(context), caller_(caller) {}
 
   /// Returns the response of the controller at `from` with the contents fetched so far inserted. Starts to fetch what
   /// it still withholds: one transfer per register, which isn't aborted for a newer revision.
@@ -40,7 +40,7 @@
   void run(std::shared_ptr<Transfer> const& transfer, common::Yield yield);
 
   boost::asio::io_context& context_;
-  common::Caller& caller_;
+  common::FrameClient& caller_;
   std::mutex lock_;
   std::map<std::string, std::shared_ptr<Transfer>> transfers_;  ///< in progress, by register
   std::map<std::string, FetchedContent> fetched_;               ///< by register; not inserted into a response yet
--- a/source/data_plane/main.cpp
+++ b/source/data_plane/main.cpp
@@ -16,7 +16,7 @@
 
 int main(int count, char** values) {
   using namespace finchlink;
-  std::unique_ptr<common::Caller> caller;
+  std::unique_ptr<common::FrameClient> caller;
   std::unique_ptr<data_plane::ProxyState> proxy;
   std::unique_ptr<data_plane::RelayServer> relay_server;
   common::Daemon daemon;
@@ -42,7 +42,7 @@
                                                                common::random_identity());
       return relay_server->begin();
     }
-    caller = std::make_unique<common::Caller>(context);
+    caller = std::make_unique<common::FrameClient>(context);
     proxy = std::make_unique<data_plane::ProxyState>(context, settings, common::random_identity());
     absl::Status const status = common::listen(
         context, settings.http_address, settings.connections,
--- a/source/data_plane/proxy_state/proxy_state.cpp
+++ b/source/data_plane/proxy_state/proxy_state.cpp
@@ -36,7 +36,7 @@
         // The content is empty if a change id was given up before the first setup was chosen.
         next->has_setup = !update.content.empty();
         next->setup_revision = update.revision;
-        common::note(common::Event::RevisionAdopted, "setup revision " + std::to_string(update.revision));
+        common::log_event(common::Event::RevisionAdopted, "setup revision " + std::to_string(update.revision));
       } else if (update.name.rfind("split/", 0) == 0) {
         absl::StatusOr<common::Tree> const tree = common::read_tree(update.content);
         std::vector<common::Fault> faults;
@@ -45,7 +45,7 @@
           schema::read(tree->get(), "", split, faults);
           next->splits[update.name.substr(6)] = split;
         }
-        common::note(common::Event::RevisionAdopted, update.name + " revision " + std::to_string(update.revision));
+        common::log_event(common::Event::RevisionAdopted, update.name + " revision " + std::to_string(update.revision));
       }
     }
     next->held = freshness_.held();
@@ -92,12 +92,12 @@
   bool const is_list_fresh = list_fresh(now);
   if (is_confirmed != was_confirmed_) {
     was_confirmed_ = is_confirmed;
-    common::note(is_confirmed ? common::Event::VouchRegained : common::Event::VouchLost, "");
+    common::log_event(is_confirmed ? common::Event::VouchRegained : common::Event::VouchLost, "");
   }
   if (is_list_fresh != was_fresh_) {
     was_fresh_ = is_list_fresh;
     if (!is_list_fresh) {
-      common::note(common::Event::ListStale, "");
+      common::log_event(common::Event::ListStale, "");
     }
   }
   std::shared_ptr<Plan const> const current = plan();
@@ -209,7 +209,7 @@
 
 void ProxyState::add_sample(schema::Sample const& sample) {
   std::lock_guard<std::mutex> const guard(report_lock_);
-  if (samples_.size() < constants::samples_most) {
+  if (samples_.size() < constants::max_report_samples) {
     samples_.push_back(sample);
   }
 }
--- a/source/data_plane/query/query.cpp
+++ b/source/data_plane/query/query.cpp
@@ -135,7 +135,7 @@
     terms.resumable = rule_.resumable;
     terms.stream = rule_.stream;
     terms.may_forward = !request_.forwarded;
-    terms.max_dispatches = constants::dispatches_most;
+    terms.max_dispatches = constants::max_dispatches;
     return terms;
   }
 
@@ -173,21 +173,21 @@
   }
   void perform_action(scheduling::ForwardToRegion const&) { forward_next_ = true; }
   void perform_action(scheduling::RedirectHome const&) {
-    common::Answer response = redirect_home(*plan_, home_, request_.id, request_.target);
+    common::Response response = redirect_home(*plan_, home_, request_.id, request_.target);
     write_response(response);
   }
   void perform_action(scheduling::SendEvent const&) { write_event(); }
   void perform_action(scheduling::SendResponse const&) { write_response(response_); }
   void perform_action(scheduling::RejectQuery const& rejection) {
-    common::Answer response = rejection_response(request_.id, rejection.reason, expected_seconds_);
+    common::Response response = rejection_response(request_.id, rejection.reason, expected_seconds_);
     write_response(response);
   }
   void perform_action(scheduling::FailUncertain const& failure) {
-    common::Answer response = failure_response(request_.id, failure.status, failure.reason, failure.may_have_run);
+    common::Response response = failure_response(request_.id, failure.status, failure.reason, failure.may_have_run);
     write_response(response);
   }
   void perform_action(scheduling::EndWithError const& ended) {
-    common::note(common::Event::QueryCut, request_.id + " " + ended.reason);
+    common::log_event(common::Event::QueryCut, request_.id + " " + ended.reason);
     common::Tree object(cJSON_CreateObject());
     cJSON_AddStringToObject(object.get(), "error", ended.reason.c_str());
     cJSON_AddStringToObject(object.get(), "query", request_.id.c_str());
@@ -199,7 +199,7 @@
   }
   void perform_action(scheduling::CancelDispatch const&) { keep_connection_ = false; }
 
-  void write_response(common::Answer& response) {
+  void write_response(common::Response& response) {
     error_code error;
     response.set(query_header, request_.id);
     response.keep_alive(request_.keep_connection);
@@ -382,7 +382,7 @@
       next_message_.reset();
       if (!interrupt_->active()) {
         if (scheduling::WorkerFailure const* const failure = std::get_if<scheduling::WorkerFailure>(&message)) {
-          common::note(common::Event::WorkerDefect, target_.worker + " " + failure->what + " " + request_.id);
+          common::log_event(common::Event::WorkerDefect, target_.worker + " " + failure->what + " " + request_.id);
         }
         (void)reevaluate_config();  // the rule in force decides whether it may run again
         feed(message);
@@ -403,7 +403,7 @@
     call.target = request_.target;
     call.content_type = request_.content_type;
     call.body = &request_.body;
-    common::Ask http_request = make_worker_request(call, target_.address);
+    common::Request http_request = make_worker_request(call, target_.address);
     error_code error;
     worker.expires_after(common::duration(constants::write_deadline));
     http::async_write(worker, http_request, yield_[error]);
@@ -446,7 +446,7 @@
     parser.get().body().data = piece;
     parser.get().body().size = sizeof(piece);
     worker.expires_after(common::duration(
-        std::max<common::Span>(1000, std::min(constants::stream_silence, deadline_ - common::boot_now()))));
+        std::max<common::Span>(1000, std::min(constants::stream_stall_timeout, deadline_ - common::boot_now()))));
     error_code error;
     http::async_read_some(worker, buffer, parser, yield_[error]);
     if (error && error != http::error::need_buffer) {
@@ -490,8 +490,8 @@
       next_message_ = scheduling::WorkerFailure{"no_stream"};
       return scheduling::Ending::failure;
     }
-    response_ = common::answer_text(static_cast<http::status>(status), std::move(body),
-                                    std::string(parser.get()[http::field::content_type]));
+    response_ = common::text_response(static_cast<http::status>(status), std::move(body),
+                                      std::string(parser.get()[http::field::content_type]));
     next_message_ = scheduling::WholeResponse{};
     return scheduling::Ending::success;
   }
@@ -578,7 +578,7 @@
     cJSON_AddStringToObject(object.get(), "text", text.c_str());
     cJSON_AddNumberToObject(object.get(), "events", static_cast<double>(events));
     cJSON_AddBoolToObject(object.get(), "complete", 1);
-    response_ = common::answer_text(http::status::ok, common::print_tree(object.get()));
+    response_ = common::text_response(http::status::ok, common::print_tree(object.get()));
     next_message_ = scheduling::WholeResponse{};
   }
 
@@ -672,7 +672,7 @@
 
   /// Sends the forwarded query and relays the response; leaves the message for the state machine in `next_message_`.
   void exchange_forwarded(common::Stream& stream) {
-    common::Ask http_request{request_.method, request_.target, 11};
+    common::Request http_request{request_.method, request_.target, 11};
     http_request.set(http::field::host, target_.address);
     http_request.set(query_header, request_.id);
     http_request.set(forwarding_token_header, proxy_.forwarding_token());
@@ -739,8 +739,8 @@
       next_message_ = scheduling::WorkerErrorResponse{static_cast<int>(status)};
       return false;
     }
-    response_ = common::answer_text(static_cast<http::status>(status), std::move(body),
-                                    std::string(parser.get()[http::field::content_type]));
+    response_ = common::text_response(static_cast<http::status>(status), std::move(body),
+                                      std::string(parser.get()[http::field::content_type]));
     next_message_ = scheduling::WholeResponse{};
     return true;
   }
@@ -770,7 +770,7 @@
   common::Moment sent_at_ = 0;
   double running_at_start_ = 0;
   double expected_seconds_ = 0;  ///< expected wait, when it was denied for that; for Retry-After
-  common::Answer response_;
+  common::Response response_;
   StreamEvent event_;
   std::optional<scheduling::QueryMessage> next_message_;  ///< outcome of the dispatch, for the state machine
 };
--- a/source/data_plane/query/reply.cpp
+++ b/source/data_plane/query/reply.cpp
@@ -11,44 +11,44 @@
 namespace http = common::http;
 
 namespace {
-common::Answer error_response(http::status status, std::string const& query, std::string const& error,
-                              bool may_have_run) {
+common::Response error_response(http::status status, std::string const& query, std::string const& error,
+                                bool may_have_run) {
   common::Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "error", error.c_str());
   cJSON_AddStringToObject(object.get(), "query", query.c_str());
   cJSON_AddBoolToObject(object.get(), "may_have_run", may_have_run ? 1 : 0);
-  common::Answer response = common::answer_text(status, common::print_tree(object.get()));
+  common::Response response = common::text_response(status, common::print_tree(object.get()));
   response.set(query_header, query);
   response.set(may_have_run_header, may_have_run ? "yes" : "no");
   return response;
 }
-void set_retry_after(common::Answer& response, double expected_seconds) {
+void set_retry_after(common::Response& response, double expected_seconds) {
   double const jitter = static_cast<double>(common::random_number() % 1000000) / 1e6;
   response.set(http::field::retry_after, std::to_string(scheduling::retry_after_with_jitter(expected_seconds, jitter)));
 }
 }  // namespace
 
-common::Answer rejection_response(std::string const& query, std::string const& reason, double expected_seconds) {
-  common::Answer response = error_response(http::status::service_unavailable, query, reason, false);
+common::Response rejection_response(std::string const& query, std::string const& reason, double expected_seconds) {
+  common::Response response = error_response(http::status::service_unavailable, query, reason, false);
   set_retry_after(response, expected_seconds);
   return response;
 }
 
-common::Answer failure_response(std::string const& query, int status, std::string const& reason, bool may_have_run) {
-  common::Answer response = error_response(static_cast<http::status>(status), query, reason, may_have_run);
+common::Response failure_response(std::string const& query, int status, std::string const& reason, bool may_have_run) {
+  common::Response response = error_response(static_cast<http::status>(status), query, reason, may_have_run);
   set_retry_after(response, 0);
   return response;
 }
 
-common::Answer redirect_response(std::string const& location) {
-  common::Answer response =
-      common::answer_error(http::status::temporary_redirect, "elsewhere", "this query's home is another region");
+common::Response redirect_response(std::string const& location) {
+  common::Response response =
+      common::error_response(http::status::temporary_redirect, "elsewhere", "this query's home is another region");
   response.set(http::field::location, location);
   return response;
 }
 
-common::Answer redirect_home(scheduling::Plan const& plan, std::string const& region, std::string const& query,
-                             std::string const& target) {
+common::Response redirect_home(scheduling::Plan const& plan, std::string const& region, std::string const& query,
+                               std::string const& target) {
   std::vector<std::string> addresses;
   for (schema::Member const& member : plan.members) {
     if (config::region_of(plan.setup, member.hall) == region) {
@@ -63,7 +63,7 @@
 void close_unread(common::Stream& stream, boost::asio::io_context& context, common::Yield yield) {
   boost::system::error_code error;
   stream.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send, error);
-  common::pause(context, common::constants::parting_span, yield);
+  common::pause(context, common::constants::lingering_close_timeout, yield);
 }
 
 }  // namespace finchlink::data_plane
--- a/source/data_plane/query/session.cpp
+++ b/source/data_plane/query/session.cpp
@@ -23,23 +23,23 @@
 
 namespace {
 /// The response to one of the proxy's own status paths.
-common::Answer status_response(ProxyState& proxy, std::string const& target) {
+common::Response status_response(ProxyState& proxy, std::string const& target) {
   common::Moment const now = common::boot_now();
   if (target == "/-/alive") {
-    return common::answer_text(http::status::ok, "{\"alive\":true}");
+    return common::text_response(http::status::ok, "{\"alive\":true}");
   }
   if (target == "/-/metrics") {
-    return common::answer_text(http::status::ok, proxy.metrics().print() + common::invariant_metrics(),
-                               "text/plain; version=0.0.4");
+    return common::text_response(http::status::ok, proxy.metrics().print() + common::invariant_metrics(),
+                                 "text/plain; version=0.0.4");
   }
   std::shared_ptr<Plan const> const plan = proxy.plan();
   if (target == "/-/ready") {
     std::map<std::string, schema::Hall>::const_iterator const hall = plan->setup.halls.find(proxy.self().hall);
     bool const evacuated = hall != plan->setup.halls.end() && hall->second.evacuated;
     bool const ready = proxy.confirmed(now) && proxy.list_fresh(now) && !proxy.draining() && !evacuated;
-    return ready ? common::answer_text(http::status::ok, "{\"ready\":true}")
-                 : common::answer_error(http::status::service_unavailable, "not_ready",
-                                        evacuated ? "hall evacuated" : "not vouched for, or draining");
+    return ready ? common::text_response(http::status::ok, "{\"ready\":true}")
+                 : common::error_response(http::status::service_unavailable, "not_ready",
+                                          evacuated ? "hall evacuated" : "not vouched for, or draining");
   }
   if (target == "/-/state") {
     schema::Member member = proxy.self();
@@ -58,13 +58,13 @@
         return std::vector<scheduling::PlacementAction>{};
       });
     }
-    return common::answer_text(http::status::ok, common::print_tree(object.get(), true));
+    return common::text_response(http::status::ok, common::print_tree(object.get(), true));
   }
-  return common::answer_error(http::status::not_found, "unknown_path", "alive, ready, metrics or state");
+  return common::error_response(http::status::not_found, "unknown_path", "alive, ready, metrics or state");
 }
 
 /// Writes a final response; false if the connection can't be used again.
-bool send_response(common::Stream& stream, common::Answer& response, bool keep_connection, common::Yield yield) {
+bool send_response(common::Stream& stream, common::Response& response, bool keep_connection, common::Yield yield) {
   error_code error;
   response.keep_alive(keep_connection);
   stream.expires_after(common::duration(constants::write_deadline));
@@ -74,7 +74,7 @@
 
 /// What the header alone decides: a final response, or none if the body is to be read (section 9.2).
 struct HeaderDecision {
-  std::optional<common::Answer> response;
+  std::optional<common::Response> response;
   config::Serve serve;
 };
 
@@ -98,7 +98,7 @@
   } else {
     config::RejectRequest const& rejection = std::get<config::RejectRequest>(disposition);
     decision.response =
-        common::answer_error(static_cast<http::status>(rejection.status), rejection.error, rejection.message);
+        common::error_response(static_cast<http::status>(rejection.status), rejection.error, rejection.message);
   }
   return decision;
 }
@@ -128,9 +128,9 @@
     }
     if (error) {
       bool const is_too_large = error == http::error::header_limit;
-      common::Answer response =
-          common::answer_error(is_too_large ? http::status::request_header_fields_too_large : http::status::bad_request,
-                               is_too_large ? "too_large" : "malformed", error.message());
+      common::Response response = common::error_response(
+          is_too_large ? http::status::request_header_fields_too_large : http::status::bad_request,
+          is_too_large ? "too_large" : "malformed", error.message());
       (void)send_response(stream, response, false, yield);
       close_unread(stream, proxy.context(), yield);
       return;
@@ -142,7 +142,7 @@
       if (parser.content_length().value_or(0) > 0 || parser.chunked()) {
         return;
       }
-      common::Answer response = status_response(proxy, target);
+      common::Response response = status_response(proxy, target);
       if (!send_response(stream, response, keep_connection, yield)) {
         return;
       }
@@ -190,9 +190,9 @@
       if (error == http::error::body_limit || error == http::error::bad_chunk ||
           error == http::error::bad_chunk_extension) {
         bool const is_too_large = error == http::error::body_limit;
-        common::Answer response =
-            common::answer_error(is_too_large ? http::status::payload_too_large : http::status::bad_request,
-                                 is_too_large ? "too_large" : "malformed", error.message());
+        common::Response response =
+            common::error_response(is_too_large ? http::status::payload_too_large : http::status::bad_request,
+                                   is_too_large ? "too_large" : "malformed", error.message());
         (void)send_response(stream, response, false, yield);
         close_unread(stream, proxy.context(), yield);
       } else if (error == boost::beast::error::timeout) {
--- a/source/data_plane/relay/attempt.cpp
+++ b/source/data_plane/relay/attempt.cpp
@@ -132,7 +132,7 @@
     next_message_.reset();
     if (scheduling::WorkerFailure const* const failure = std::get_if<scheduling::WorkerFailure>(&message)) {
       if (!caller_gone_) {
-        common::note(common::Event::WorkerDefect, assignment_.worker + " " + failure->what + " " + id_);
+        common::log_event(common::Event::WorkerDefect, assignment_.worker + " " + failure->what + " " + id_);
       }
       if (common::boot_now() >= deadline_ && response_head_.empty()) {
         feed(scheduling::DeadlinePassed{});
--- a/source/data_plane/relay/caller_answer.cpp
+++ b/source/data_plane/relay/caller_answer.cpp
@@ -32,7 +32,7 @@
 }
 
 void Relay::act(scheduling::EndWithError const& broken) {
-  common::note(common::Event::QueryCut, id_ + " " + broken.reason);
+  common::log_event(common::Event::QueryCut, id_ + " " + broken.reason);
   keep_caller_ = false;  // without the last chunk no caller can take the stream for complete
 }
 
--- a/source/data_plane/relay/caller_session.cpp
+++ b/source/data_plane/relay/caller_session.cpp
@@ -38,11 +38,11 @@
 
 /// Writes a final response before the whole query was read, and closes the connection. Closing with unread bytes would
 /// reset it, and the caller might never read the response: so what still arrives is discarded first, for at most
-/// refused_linger and max_discarded_bytes (section 13.8).
+/// refused_close_linger and max_discarded_bytes (section 13.8).
 void reject_unread(Socket& socket, Alarm& alarm, ReadTimeout& timeout, std::string const& status,
                    std::string const& extra_lines, std::string const& reason, bool bare, common::Yield yield) {
   timeout.closes_socket = true;
-  alarm.set(common::boot_now() + constants::refused_linger);
+  alarm.set(common::boot_now() + constants::refused_close_linger);
   (void)write_error(socket, status, extra_lines, reason, false, bare, yield);
   error_code error;
   socket.shutdown(Socket::shutdown_send, error);
--- a/source/data_plane/relay/prompt_isolation.cpp
+++ b/source/data_plane/relay/prompt_isolation.cpp
@@ -70,10 +70,10 @@
       seen = stamp;
       absl::StatusOr<scheduling::Secrets> secrets = load_secrets(settings_.secrets_file);
       if (secrets.ok()) {
-        common::note(common::Event::SecretsRead, std::to_string(secrets->moved) + " of 100");
+        common::log_event(common::Event::SecretsRead, std::to_string(secrets->moved) + " of 100");
         isolation_.set_secrets(std::move(*secrets));
       } else {
-        common::note(common::Event::SecretsBroken, std::string(secrets.status().message()));
+        common::log_event(common::Event::SecretsBroken, std::string(secrets.status().message()));
       }
     }
     common::pause(context_, common::constants::secrets_pause, yield);
--- a/source/data_plane/relay/relay.cpp
+++ b/source/data_plane/relay/relay.cpp
@@ -99,10 +99,10 @@
   if (route_.set_point_ms <= 0 || static_cast<double>(first) / 1000 < route_.set_point_ms) {
     return;
   }
-  common::note(common::Event::QueryLate,
-               id_ + " " + route_.name + " " + how + " first " + std::to_string(first / 1000) + " ms of " +
-                   std::to_string((common::boot_now() - query_.arrived) / 1000) + " tokens " +
-                   std::to_string(static_cast<std::uint64_t>(placement_request_.tokens)) + placement_log_);
+  common::log_event(common::Event::QueryLate,
+                    id_ + " " + route_.name + " " + how + " first " + std::to_string(first / 1000) + " ms of " +
+                        std::to_string((common::boot_now() - query_.arrived) / 1000) + " tokens " +
+                        std::to_string(static_cast<std::uint64_t>(placement_request_.tokens)) + placement_log_);
 }
 
 void Relay::perform(std::vector<scheduling::QueryAction> const& actions) {
--- a/source/data_plane/relay/relay_server.cpp
+++ b/source/data_plane/relay/relay_server.cpp
@@ -390,12 +390,12 @@
     changed = true;
     if (update.name == config::routing_config_register) {
       apply_routing_config(update);
-      common::note(common::Event::RevisionAdopted, "charter revision " + std::to_string(update.revision));
+      common::log_event(common::Event::RevisionAdopted, "charter revision " + std::to_string(update.revision));
     } else if (update.name == config::drained_zones_register) {
       check_evacuations(update);
       std::vector<std::string> const zones = config::parse_drained_zones(update.content);
       drained_zones_ = decltype(drained_zones_)(zones.begin(), zones.end());
-      common::note(common::Event::RevisionAdopted, "evacuated " + update.content);
+      common::log_event(common::Event::RevisionAdopted, "evacuated " + update.content);
     } else if (update.name.rfind(consensus::split_prefix, 0) == 0) {
       apply_split(update);
     }
@@ -440,7 +440,7 @@
     }
   }
   observer_.freeze(std::move(frozen));
-  common::note(common::Event::RevisionAdopted, update.name + " revision " + std::to_string(update.revision));
+  common::log_event(common::Event::RevisionAdopted, update.name + " revision " + std::to_string(update.revision));
 }
 
 std::string RelayServer::phase_of(schema::WorkerEntry const& entry, std::string const& region) const {
--- a/source/data_plane/relay/relay_server.hpp
+++ b/source/data_plane/relay/relay_server.hpp
@@ -169,7 +169,7 @@
   config::RoutingConfigFormat notation_;
   ListReader list_reader_;
   std::uint64_t identity_;
-  common::Caller caller_;
+  common::FrameClient caller_;
   ContentFetcher contents_;
   membership::FreshnessLease freshness_;
   std::shared_ptr<scheduling::RouteTable const> route_table_;
--- a/source/data_plane/relay/tenant_prompt.cpp
+++ b/source/data_plane/relay/tenant_prompt.cpp
@@ -45,10 +45,11 @@
       server_.balancer().mark_evicted(gave_up->worker, placement_request_.parts, gave_up->tokens);
     } else if (scheduling::IsolationViolated const* const crossed =
                    std::get_if<scheduling::IsolationViolated>(&action)) {
-      common::note(common::Event::WallCrossed,
-                   crossed->worker + " " + std::to_string(static_cast<std::uint64_t>(crossed->tokens)) + " " + id_);
+      common::log_event(
+          common::Event::WallCrossed,
+          crossed->worker + " " + std::to_string(static_cast<std::uint64_t>(crossed->tokens)) + " " + id_);
     } else if (scheduling::RanOtherWeights const* const other = std::get_if<scheduling::RanOtherWeights>(&action)) {
-      common::note(common::Event::OtherWeightsRan, other->worker + " for " + other->expected + " " + id_);
+      common::log_event(common::Event::OtherWeightsRan, other->worker + " for " + other->expected + " " + id_);
       server_.balancer().forget_isolated(other->worker);
     }
   }
--- a/source/data_plane/updates/updates.cpp
+++ b/source/data_plane/updates/updates.cpp
@@ -11,7 +11,7 @@
 
 namespace constants = common::constants;
 
-void start_updates(boost::asio::io_context& context, common::Caller& caller, ProxyState& proxy,
+void start_updates(boost::asio::io_context& context, common::FrameClient& caller, ProxyState& proxy,
                    std::vector<std::string> seeds) {
   common::start(context, [&context, &caller, &proxy, seeds](common::Yield yield) {
     std::vector<std::string> controllers = seeds;
@@ -22,7 +22,7 @@
     common::Moment reported_at = common::boot_now();
     while (true) {
       common::Moment const now = common::boot_now();
-      if (now - reported_at >= constants::report_span) {
+      if (now - reported_at >= constants::report_interval) {
         reports.push_back(proxy.take_report(++interval, static_cast<double>(now - reported_at) / 1e6));
         reported_at = now;
         if (reports.size() > 8) {
--- a/source/data_plane/worker/contract.cpp
+++ b/source/data_plane/worker/contract.cpp
@@ -15,7 +15,7 @@
 std::optional<WorkerLoad> fetch_load(common::Stream& stream, boost::beast::flat_buffer& buffer,
                                      std::string const& address, common::Yield yield) {
   error_code error;
-  common::Ask request{http::verb::get, "/load", 11};
+  common::Request request{http::verb::get, "/load", 11};
   request.set(http::field::host, address);
   stream.expires_after(common::duration(constants::load_pause));
   http::async_write(stream, request, yield[error]);
@@ -42,8 +42,8 @@
   return load;
 }
 
-common::Ask make_worker_request(WorkerCall const& call, std::string const& address) {
-  common::Ask request{call.method, call.target, 11};
+common::Request make_worker_request(WorkerCall const& call, std::string const& address) {
+  common::Request request{call.method, call.target, 11};
   request.set(http::field::host, address);
   request.set(query_header, call.query);
   request.set("Finchlink-Rule", call.rule);
--- a/source/data_plane/worker/contract.hpp
+++ b/source/data_plane/worker/contract.hpp
@@ -39,7 +39,7 @@
   std::string const* body = nullptr;  ///< not owned
 };
 /// Builds the HTTP request of a dispatch to the worker at `address`.
-[[nodiscard]] common::Ask make_worker_request(WorkerCall const& call, std::string const& address);
+[[nodiscard]] common::Request make_worker_request(WorkerCall const& call, std::string const& address);
 
 /// True for a status by which the worker guarantees that nothing ran.
 [[nodiscard]] bool guarantees_not_run(unsigned int status);
--- a/source/fake_network/main.cpp
+++ b/source/fake_network/main.cpp
@@ -149,7 +149,7 @@
 /// POST /cut/FROM/TO, /lose/FROM/TO, /heal/FROM/TO: change one direction between machines; FROM and TO are a machine, a
 /// zone, a region or "all". "lose" drops responses on connections that TO opened and then closes the connection.
 /// GET /counts returns what was forwarded, held back and dropped.
-common::Answer control(Network& network, common::Ask const& ask) {
+common::Response control(Network& network, common::Request const& ask) {
   std::string const target(ask.target());
   std::stringstream segments(target);
   std::string segment;
@@ -161,11 +161,11 @@
     std::string counts = "{\"passed\":" + std::to_string(network.forwarded_chunks);
     counts += ",\"held\":" + std::to_string(network.held_back);
     counts += ",\"lost\":" + std::to_string(network.dropped_responses) + "}";
-    return common::answer_text(http::status::ok, counts);
+    return common::text_response(http::status::ok, counts);
   }
   bool const known = parts.size() == 4 && (parts[1] == "cut" || parts[1] == "lose" || parts[1] == "heal");
   if (ask.method() != http::verb::post || !known) {
-    return common::answer_error(http::status::not_found, "unknown_path", target);
+    return common::error_response(http::status::not_found, "unknown_path", target);
   }
   std::lock_guard<std::mutex> const guard(network.lock);
   std::size_t pairs = 0;
@@ -185,8 +185,8 @@
       }
     }
   }
-  return common::answer_text(pairs > 0 ? http::status::ok : http::status::not_found,
-                             "{\"pairs\":" + std::to_string(pairs) + "}");
+  return common::text_response(pairs > 0 ? http::status::ok : http::status::not_found,
+                               "{\"pairs\":" + std::to_string(pairs) + "}");
 }
 }  // namespace
 
@@ -226,8 +226,8 @@
     }
   }
   absl::Status const status =
-      common::serve_asks(context, network.config.control, 64, 4096,
-                         [&network](common::Ask const& ask, common::Yield) { return control(network, ask); });
+      common::serve_requests(context, network.config.control, 64, 4096,
+                             [&network](common::Request const& ask, common::Yield) { return control(network, ask); });
   if (!status.ok()) {
     std::cerr << "stile: " << status.message() << "\n";
     return common::exit_listen;
--- a/source/fake_workers/main.cpp
+++ b/source/fake_workers/main.cpp
@@ -20,8 +20,8 @@
 namespace http = common::http;
 
 /// The worker list as the platform serves it.
-common::Answer answer_worker_list(std::vector<std::unique_ptr<fake_workers::Worker>> const& workers,
-                                  std::uint64_t revision) {
+common::Response answer_worker_list(std::vector<std::unique_ptr<fake_workers::Worker>> const& workers,
+                                    std::uint64_t revision) {
   schema::PlatformList list;
   list.revision = revision;
   for (std::unique_ptr<fake_workers::Worker> const& worker : workers) {
@@ -32,7 +32,7 @@
     }
   }
   common::Tree const tree(schema::write(list));
-  return common::answer_text(http::status::ok, common::print_tree(tree.get()));
+  return common::text_response(http::status::ok, common::print_tree(tree.get()));
 }
 
 /// POST /control/COMMAND/NAME: drain, restore, crash, revive, dark (unreachable), light (reachable again), unlist, list
@@ -125,20 +125,20 @@
     }
   }
   std::atomic<std::uint64_t> revision = 1;
-  absl::Status const status =
-      common::serve_asks(context, config.list_address, 4096, 1u << 20u, [&](common::Ask const& ask, common::Yield) {
+  absl::Status const status = common::serve_requests(
+      context, config.list_address, 4096, 1u << 20u, [&](common::Request const& ask, common::Yield) {
         std::string const target(ask.target());
         if (target == "/workers") {
           return answer_worker_list(workers, revision);
         }
         if (target == "/ledger") {
-          return common::answer_text(http::status::ok, ledger.to_json());
+          return common::text_response(http::status::ok, ledger.to_json());
         }
         if (target == "/ledger/walls") {
-          return common::answer_text(http::status::ok, ledger.isolation_to_json());
+          return common::text_response(http::status::ok, ledger.isolation_to_json());
         }
         if (target == "/ledger/ran") {
-          return common::answer_text(http::status::ok, ledger.ran_nonces(), "text/plain");
+          return common::text_response(http::status::ok, ledger.ran_nonces(), "text/plain");
         }
         if (ask.method() == http::verb::post && target.rfind("/control/", 0) == 0) {
           std::string const rest = target.substr(9);
@@ -146,10 +146,10 @@
           bool const done = slash != std::string::npos &&
                             apply_command(workers, ledger, rest.substr(0, slash), rest.substr(slash + 1));
           revision = done && rest == "recount/all" ? 1 : revision + 1;
-          return common::answer_text(done ? http::status::ok : http::status::not_found,
-                                     done ? "{\"done\":true}" : "{\"done\":false}");
+          return common::text_response(done ? http::status::ok : http::status::not_found,
+                                       done ? "{\"done\":true}" : "{\"done\":false}");
         }
-        return common::answer_error(http::status::not_found, "unknown_path", target);
+        return common::error_response(http::status::not_found, "unknown_path", target);
       });
   if (!status.ok()) {
     std::cerr << "seedbed: " << status.message() << "\n";
--- a/source/fake_workers/worker/worker.cpp
+++ b/source/fake_workers/worker/worker.cpp
@@ -80,7 +80,7 @@
   ++weights_;
 }
 
-bool Worker::rejects_mismatch(common::Stream& stream, common::Ask const& ask, common::Yield yield) {
+bool Worker::rejects_mismatch(common::Stream& stream, common::Request const& ask, common::Yield yield) {
   std::string weights;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -91,8 +91,8 @@
   if (!other_worker && !other_weights) {
     return false;
   }
-  common::Answer answer = common::answer_error(http::status::misdirected_request,
-                                               other_worker ? "other_worker" : "other_weights", "nothing ran");
+  common::Response answer = common::error_response(http::status::misdirected_request,
+                                                   other_worker ? "other_worker" : "other_weights", "nothing ran");
   answer.set("Finchlink-Query", ask["Finchlink-Query"]);
   answer.set("Finchlink-Refused", "1");
   if (!other_worker) {
@@ -104,7 +104,7 @@
   return true;
 }
 
-void Worker::read_prompt_parts(common::Ask const& ask, Job& job) {
+void Worker::read_prompt_parts(common::Request const& ask, Job& job) {
   job.relayed = true;
   job.tokens = std::max(1.0, std::atof(std::string(ask["Finchlink-Tokens"]).c_str()));
   job.tenant = std::string(ask["Finchlink-Standin-Tenant"]);
@@ -258,7 +258,7 @@
   if (crashed_) {
     return;
   }
-  common::Answer answer = common::answer_text(http::status::ok, "{\"for\":\"" + nonce + "\",\"good\":true}");
+  common::Response answer = common::text_response(http::status::ok, "{\"for\":\"" + nonce + "\",\"good\":true}");
   answer.set("Finchlink-Query", query);
   answer.keep_alive(false);
   error_code error;
@@ -279,7 +279,7 @@
       continue;
     }
     if (job->phase == "prefill") {
-      common::Answer answer = common::answer_text(http::status::ok, "{\"prefill\":\"done\"}");
+      common::Response answer = common::text_response(http::status::ok, "{\"prefill\":\"done\"}");
       answer.set("Finchlink-Query", job->query);
       answer.set("Finchlink-Kv", spec_.address + "/" + job->query);
       answer.keep_alive(false);
@@ -338,7 +338,7 @@
     while (unreachable_) {
       common::pause(context_, common::milliseconds(50), yield);
     }
-    common::Ask const ask = parser.release();
+    common::Request const ask = parser.release();
     if (ask.target() == "/load") {
       std::string body;
       {
@@ -346,7 +346,7 @@
         body = "{\"running\":" + std::to_string(running_.size() + plain_open_) +
                ",\"waiting\":" + std::to_string(waiting_.size()) + ",\"boot\":\"" + start_id_ + "\"}";
       }
-      common::Answer answer = common::answer_text(http::status::ok, body);
+      common::Response answer = common::text_response(http::status::ok, body);
       answer.keep_alive(true);
       http::async_write(stream, answer, yield[error]);
       if (error) {
@@ -409,7 +409,7 @@
     }
     ledger_.record_arrival(arrival, !rejected, overloads_cold_worker);
     if (rejected) {
-      common::Answer answer = common::answer_error(http::status::too_many_requests, "full", "nothing ran");
+      common::Response answer = common::error_response(http::status::too_many_requests, "full", "nothing ran");
       if (relayed) {
         answer.set("Finchlink-Refused", "1");
       }
@@ -422,7 +422,7 @@
       answer_plain(stream, query, arrival.nonce, yield);
       return;
     }
-    bell_.ring();
+    bell_.notify_all();
     answer_stream(stream, job, yield);
     return;
   }
--- a/source/fake_workers/worker/worker.hpp
+++ b/source/fake_workers/worker/worker.hpp
@@ -79,9 +79,9 @@
   void emit(JobPointer const& job, std::string const& text, bool last);
   /// A relay names the worker and the weights that it expects. On a mismatch it gets status 421 with what differs,
   /// nothing runs, and this returns true.
-  [[nodiscard]] bool rejects_mismatch(common::Stream& stream, common::Ask const& ask, common::Yield yield);
+  [[nodiscard]] bool rejects_mismatch(common::Stream& stream, common::Request const& ask, common::Yield yield);
   /// Fills the job from the headers of a relay. Requires `lock_`.
-  void read_prompt_parts(common::Ask const& ask, Job& job);
+  void read_prompt_parts(common::Request const& ask, Job& job);
   /// A time in seconds with noise, the slowdown and the worker's speed applied. Requires `lock_`.
   [[nodiscard]] double add_noise(double seconds);
   /// Whether another query exceeds the limit; `overloads_cold_worker` is set if it is the lower limit of a worker that
@@ -111,7 +111,7 @@
   std::atomic<bool> unreachable_ = false;
   std::atomic<double> slowdown_ = 1.0;
   std::atomic<std::uint64_t> restarts_ = 0;  ///< since the process started
-  common::Bell bell_;                        ///< rung when a query was added
+  common::Notifier bell_;                    ///< rung when a query was added
 };
 
 }  // namespace finchlink::fake_workers
--- a/source/hollow_nodes/hollow_nodes.cpp
+++ b/source/hollow_nodes/hollow_nodes.cpp
@@ -40,7 +40,7 @@
 schema::FurrowReport HollowProxy::make_report(std::uint64_t interval) const {
   schema::FurrowReport report;
   report.slice = interval;
-  report.span = static_cast<double>(constants::report_span) / 1e6;
+  report.span = static_cast<double>(constants::report_interval) / 1e6;
   for (std::uint64_t index = 0; index < config_.figures && !worker_list_.list().workers.empty(); ++index) {
     schema::WorkerFigures figures;
     figures.worker =
@@ -102,7 +102,7 @@
   common::Moment last_report = common::boot_now();
   while (true) {
     common::Moment const request_sent = common::boot_now();
-    if (request_sent - last_report >= constants::report_span) {
+    if (request_sent - last_report >= constants::report_interval) {
       reports.push_back(make_report(++interval));
       last_report = request_sent;
       if (reports.size() > 8) {
--- a/source/hollow_nodes/hollow_nodes.hpp
+++ b/source/hollow_nodes/hollow_nodes.hpp
@@ -45,7 +45,7 @@
   boost::asio::io_context& context_;
   schema::Gourd const& config_;
   SessionCounts& counts_;
-  common::Caller caller_;  ///< not shared, as every proxy has its own connections
+  common::FrameClient caller_;  ///< not shared, as every proxy has its own connections
   data_plane::ContentFetcher content_fetcher_;
   std::uint64_t number_;
   std::string region_;
--- a/source/lease/lease_holder.cpp
+++ b/source/lease/lease_holder.cpp
@@ -62,7 +62,7 @@
     return actions;
   }
   common::Moment const until = guards_.tenant_stops_early
-                                   ? requested_ + constants::lease_span - constants::lease_reserve
+                                   ? requested_ + constants::lease_span - constants::lease_safety_margin
                                    : now + constants::lease_span;
   if (until > until_ && now < until) {
     until_ = until;
--- a/source/load_generator/main.cpp
+++ b/source/load_generator/main.cpp
@@ -102,7 +102,7 @@
     return response;
   }
   common::Stream& stream = **connection;
-  common::Ask message{http::string_to_verb(request.mix.method), request.mix.path, 11};
+  common::Request message{http::string_to_verb(request.mix.method), request.mix.path, 11};
   message.set(http::field::host, request.mix.host.empty() ? address : request.mix.host);
   message.set(http::field::content_type, "application/json");
   if (!request.home.empty()) {
@@ -417,9 +417,9 @@
     }
     std::string ran_nonces;
     if (!config.ledger.empty()) {
-      common::Ask message{http::verb::get, "/ledger/ran", 11};
-      absl::StatusOr<common::Answer> const answer =
-          common::ask_once(context, config.ledger, message, common::seconds(10), 1u << 30u, yield);
+      common::Request message{http::verb::get, "/ledger/ran", 11};
+      absl::StatusOr<common::Response> const answer =
+          common::send_request(context, config.ledger, message, common::seconds(10), 1u << 30u, yield);
       if (!answer.ok()) {
         std::cerr << "gleaner: cannot read the ledger at " << config.ledger << ": " << answer.status().message()
                   << "\n";
--- a/source/membership/listing/listing.cpp
+++ b/source/membership/listing/listing.cpp
@@ -44,7 +44,7 @@
   }
   if (list.revision > 0 && list.revision < list_.revision) {
     back_since_ = back_since_ == 0 ? now : back_since_;
-    if (now - back_since_ < common::constants::list_back_span) {
+    if (now - back_since_ < common::constants::list_rollback_grace) {
       return false;
     }
   }
--- a/source/membership/reconfiguration/reconfiguration.cpp
+++ b/source/membership/reconfiguration/reconfiguration.cpp
@@ -35,7 +35,7 @@
     if (voter.address == self.address) {
       return &voter;
     }
-    if (missed_probes(view, voter, guards) >= common::constants::join_misses) {
+    if (missed_probes(view, voter, guards) >= common::constants::max_missed_voter_probes) {
       lost = &voter;
     }
   }
--- a/source/membership/reconfiguration/voter_probes.cpp
+++ b/source/membership/reconfiguration/voter_probes.cpp
@@ -21,11 +21,11 @@
     missing_.erase(answer.incarnation);
   } else if (answer.incarnation != expected) {
     // A process with a new disk runs at that address and takes over the place itself.
-    misses_[expected] = std::min(misses_[expected], common::constants::join_misses - 1);
+    misses_[expected] = std::min(misses_[expected], common::constants::max_missed_voter_probes - 1);
     missing_.erase(expected);
-  } else if (++catching_up_[expected] <= common::constants::catching_up_looks) {
+  } else if (++catching_up_[expected] <= common::constants::max_catching_up_probes) {
     // Replacing it would not help yet: its successor would have to catch up as well.
-    misses_[expected] = std::min(misses_[expected], common::constants::join_misses - 1);
+    misses_[expected] = std::min(misses_[expected], common::constants::max_missed_voter_probes - 1);
   }
 }
 
--- a/source/membership/session/sessions.cpp
+++ b/source/membership/session/sessions.cpp
@@ -134,7 +134,7 @@
     }
   }
   for (std::map<std::string, KnownController>::iterator entry = controllers_.begin(); entry != controllers_.end();) {
-    entry = now - entry->second.last_heard > constants::peer_bound ? controllers_.erase(entry) : std::next(entry);
+    entry = now - entry->second.last_heard > constants::peer_timeout ? controllers_.erase(entry) : std::next(entry);
   }
   std::erase_if(peer_sessions_, [this](std::pair<std::string const, PeerSessions> const& entry) {
     return controllers_.count(entry.first) == 0;
--- a/source/membership/session/sessions.hpp
+++ b/source/membership/session/sessions.hpp
@@ -75,7 +75,7 @@
   };
   /// Replica of the sessions that one peer has reported.
   struct PeerSessions {
-    common::DeltaCopy replica;
+    common::DeltaReplica replica;
     std::map<std::string, schema::Member> members;
   };
   void put_session(std::string const& name, SessionState state);
--- a/source/platform/listing.cpp
+++ b/source/platform/listing.cpp
@@ -78,10 +78,10 @@
     if (remaining <= 0) {
       return common::make_error(absl::StatusCode::kDeadlineExceeded, "list", "its pages take too long");
     }
-    common::Ask const request{common::http::verb::get,
-                              token.empty() ? "/workers" : "/workers?page_token=" + percent_encode(token), 11};
-    absl::StatusOr<common::Answer> const response =
-        common::ask_once(context, address, request, remaining, common::constants::list_limit, yield);
+    common::Request const request{common::http::verb::get,
+                                  token.empty() ? "/workers" : "/workers?page_token=" + percent_encode(token), 11};
+    absl::StatusOr<common::Response> const response =
+        common::send_request(context, address, request, remaining, common::constants::list_limit, yield);
     if (!response.ok()) {
       return response.status();
     }
--- a/source/scheduling/load_balancer/load_balancer.cpp
+++ b/source/scheduling/load_balancer/load_balancer.cpp
@@ -248,7 +248,8 @@
     // For an isolated prompt the owner is preferred, but only what this proxy saw counts as cached (section 14.3).
     bool const isolated = !request.parts.empty() && request.parts.front().holder != 0;
     estimate.uncached = std::max(0.0, request.tokens - (isolated ? known_cached : cached));
-    estimate.seconds += (estimate.uncached + worker.own_prefill_tokens) * constants::prefill_start[1] * worker.slowdown;
+    estimate.seconds +=
+        (estimate.uncached + worker.own_prefill_tokens) * constants::initial_prefill[1] * worker.slowdown;
     estimate.cost += running * (long_prompt ? constants::running_cost_long : constants::running_cost);
     // Long and short prompts go to different workers: reading a long prompt delays every stream on its worker
     // (section 13.6).
@@ -373,7 +374,7 @@
         Demand& demand = demand_[{worker.spec.service, worker.spec.region}];
         demand.decay(now);
         (request.tokens >= constants::min_owned_tokens ? demand.prefill : demand.decode) +=
-            candidate.uncached * constants::prefill_start[1] + constants::short_query_seconds;
+            candidate.uncached * constants::initial_prefill[1] + constants::short_query_seconds;
       }
       if (worker.spec.cold_rate > 0) {
         while (!worker.recent_sends.empty() &&
@@ -432,7 +433,7 @@
   worker.own_prefill_tokens = std::max(0.0, worker.own_prefill_tokens - assignment.uncached);
   worker.cache.remember(parts);
   if (assignment.uncached >= constants::min_owned_tokens) {
-    double const seen = seconds / (assignment.uncached * constants::prefill_start[1]);
+    double const seen = seconds / (assignment.uncached * constants::initial_prefill[1]);
     worker.slowdown += 0.1 * (std::clamp(seen, 0.5, 4.0) - worker.slowdown);
   }
 }
--- a/source/scheduling/model/model.hpp
+++ b/source/scheduling/model/model.hpp
@@ -31,8 +31,8 @@
   double decode[3];
 
   WorkerModel() {
-    std::copy(std::begin(common::constants::prefill_start), std::end(common::constants::prefill_start), prefill);
-    std::copy(std::begin(common::constants::decode_start), std::end(common::constants::decode_start), decode);
+    std::copy(std::begin(common::constants::initial_prefill), std::end(common::constants::initial_prefill), prefill);
+    std::copy(std::begin(common::constants::initial_decode), std::end(common::constants::initial_decode), decode);
   }
   /// Takes the fitted coefficients where their number is right (4 and 3), and the built-in ones otherwise.
   explicit WorkerModel(schema::Coefficients const& fitted) : WorkerModel() {
--- a/source/scheduling/outlier_detection/outlier_detector.cpp
+++ b/source/scheduling/outlier_detection/outlier_detector.cpp
@@ -91,14 +91,14 @@
       break;
     case Outcome::misdirected:
       // Another worker has its address now: this one won't return under its id.
-      record.paused_until = now + constants::worker_rest_most;
+      record.paused_until = now + constants::max_ejection_time;
       actions.push_back(CacheMayBeLost{});
       break;
     case Outcome::unreachable:
     case Outcome::failure:
       actions.push_back(CacheMayBeLost{});  // it may return without its prompt cache
-      record.ejection_time = std::clamp<common::Span>(record.ejection_time * 2, constants::worker_rest_least,
-                                                      constants::worker_rest_most / 2);
+      record.ejection_time = std::clamp<common::Span>(record.ejection_time * 2, constants::min_ejection_time,
+                                                      constants::max_ejection_time / 2);
       record.ejected_until = std::max(record.ejected_until, now + record.ejection_time);
       record.on_probation = true;
       if (ended.outcome == Outcome::unreachable) {
--- a/source/scheduling/placement/placement.cpp
+++ b/source/scheduling/placement/placement.cpp
@@ -24,7 +24,7 @@
 
 int retry_after_with_jitter(double expected_seconds, double draw) {
   double const least = std::clamp(std::ceil(expected_seconds), static_cast<double>(constants::retry_after_seconds),
-                                  constants::retry_after_most / 2.0);
+                                  constants::max_retry_after_seconds / 2.0);
   return static_cast<int>(least + std::floor(std::clamp(draw, 0.0, 0.999999) * (least + 1)));
 }
 
@@ -417,9 +417,9 @@
     update_warmth(worker, now);
   } else if (ending == Ending::refused || ending == Ending::failure) {
     worker.ejection_time =
-        std::min(std::max(worker.ejection_time * 2, constants::worker_rest_least), constants::worker_rest_most);
+        std::min(std::max(worker.ejection_time * 2, constants::min_ejection_time), constants::max_ejection_time);
     if (ending == Ending::refused) {
-      worker.ejection_time = constants::worker_rest_least / 4;  // the worker is full, not broken
+      worker.ejection_time = constants::min_ejection_time / 4;  // the worker is full, not broken
     }
     worker.ejected_until = now + worker.ejection_time;
     reassign_waiting(worker, true, now, actions);
--- a/source/scheduling/prompt_isolation/key.cpp
+++ b/source/scheduling/prompt_isolation/key.cpp
@@ -32,7 +32,7 @@
     if (name == "moved" && cJSON_IsNumber(item) != 0 && item->valuedouble >= 0 && item->valuedouble <= 100) {
       secrets.moved = static_cast<std::uint64_t>(item->valuedouble);
     } else if ((name == "current" || name == "previous") && cJSON_IsString(item) != 0 &&
-               std::strlen(item->valuestring) >= common::constants::secret_bytes_least) {
+               std::strlen(item->valuestring) >= common::constants::min_secret_bytes) {
       (name == "current" ? secrets.current : secrets.previous) = item->valuestring;
     } else {
       return common::make_error(
--- a/source/scheduling/prompt_isolation/prompt_isolation.cpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.cpp
@@ -51,15 +51,15 @@
     }
     entry = entry.substr(0, colon);
     entry.remove_prefix(std::min(entry.size(), entry.find_first_not_of(' ')));
-    double const part_tokens = std::min(static_cast<double>(tokens), common::constants::isolation_part_tokens_most);
+    double const part_tokens = std::min(static_cast<double>(tokens), common::constants::max_isolated_part_tokens);
     if (entry.empty()) {
       continue;
     }
-    if (parts.size() < common::constants::isolation_parts_most) {
+    if (parts.size() < common::constants::max_isolated_parts) {
       parts.push_back(NamedPart{std::string(entry), part_tokens});
     } else {  // unambiguous, as the id of a single part contains no comma
       parts.back().id.append(",").append(entry);
-      parts.back().tokens = std::min(parts.back().tokens + part_tokens, common::constants::isolation_part_tokens_most);
+      parts.back().tokens = std::min(parts.back().tokens + part_tokens, common::constants::max_isolated_part_tokens);
     }
   }
   return parts;
@@ -170,8 +170,7 @@
 }
 
 void PromptIsolation::count(Prompt const& prompt, IsolatedPrompt const& sent, std::optional<double> reused) {
-  bool const has_tally =
-      tallies_.size() < common::constants::isolation_tenants_told || tallies_.count(prompt.tenant) > 0;
+  bool const has_tally = tallies_.size() < common::constants::max_reported_tenants || tallies_.count(prompt.tenant) > 0;
   TenantTally& tally = has_tally ? tallies_[prompt.tenant] : others_;
   ++tally.queries;
   tally.cold += sent.cold ? 1 : 0;
--- a/source/scheduling/prompt_isolation/prompt_isolation.hpp
+++ b/source/scheduling/prompt_isolation/prompt_isolation.hpp
@@ -134,7 +134,7 @@
   std::map<std::string, std::string> versions_;  ///< by worker
   /// By worker: versions whose ids may be filled with results of other weights. Prompts go cold there.
   std::map<std::string, std::set<std::string>> tainted_versions_;
-  tsl::robin_map<std::string, TenantTally> tallies_;  ///< by tenant, up to `isolation_tenants_told`
+  tsl::robin_map<std::string, TenantTally> tallies_;  ///< by tenant, up to `max_reported_tenants`
   TenantTally others_;
   std::uint64_t crossings_ = 0;
   std::uint64_t other_weights_ = 0;
--- a/source/scheduling/prompt_isolation/record.cpp
+++ b/source/scheduling/prompt_isolation/record.cpp
@@ -59,7 +59,7 @@
   // Last part first, so that the end of a prompt is evicted before its beginning.
   for (std::vector<IsolationEntry>::const_reverse_iterator entry = entries.rbegin(); entry != entries.rend(); ++entry) {
     drop(entry->key);
-    double const weight = std::max(entry->tokens, common::constants::isolation_entry_tokens);
+    double const weight = std::max(entry->tokens, common::constants::min_isolation_entry_tokens);
     if (weight > capacity) {
       continue;
     }
@@ -74,7 +74,7 @@
   while (tokens_ > capacity && !by_weight_.empty()) {
     std::pair<double, std::uint64_t> const heaviest = *by_weight_.rbegin();
     bool const floods =
-        heaviest.first > common::constants::isolation_shares_most * tokens_ / static_cast<double>(owners_.size());
+        heaviest.first > common::constants::max_isolation_shares * tokens_ / static_cast<double>(owners_.size());
     drop_oldest_of(floods ? heaviest.second : by_age_.begin()->second);
   }
 }
--- a/source/scheduling/retry_budget/retry_budget.cpp
+++ b/source/scheduling/retry_budget/retry_budget.cpp
@@ -22,10 +22,10 @@
     reserve_ = std::min(1.0, reserve_ + slot.tokens);
     slot.tokens = 0;
   }
-  while (!slots_.empty() && slots_.front().begins + constants::retry_kept_span <= now) {
+  while (!slots_.empty() && slots_.front().begins + constants::reserve_token_window <= now) {
     slots_.pop_front();
   }
-  if (now - last_arrival_ > constants::retry_kept_life) {
+  if (now - last_arrival_ > constants::reserve_token_lifetime) {
     reserve_ = 0;
   }
 }
@@ -48,7 +48,7 @@
     unexpired += slot.tokens;
     arrivals += slot.arrivals;
   }
-  bool const reserve_usable = may_use_reserve && arrivals >= constants::retry_kept_arrivals;
+  bool const reserve_usable = may_use_reserve && arrivals >= constants::reserve_token_arrivals;
   if (unexpired < one_token && !(reserve_usable && unexpired + reserve_ >= one_token)) {
     return false;
   }
@@ -68,7 +68,7 @@
   for (std::string const& proxy : proxies) {
     before += proxy != self && mix(hash_text(proxy), hash_text(service)) > own ? 1 : 0;
   }
-  return before < constants::retry_keepers;
+  return before < constants::max_reserve_token_holders;
 }
 
 }  // namespace finchlink::scheduling
--- a/source/scheduling/retry_budget/retry_budget.hpp
+++ b/source/scheduling/retry_budget/retry_budget.hpp
@@ -19,7 +19,8 @@
 /// own arrivals, the limit also holds for the sum over all proxies.
 class RetryBudget {
  public:
-  explicit RetryBudget(double share = common::constants::retry_share, common::Span life = common::constants::retry_life)
+  explicit RetryBudget(double share = common::constants::retry_share,
+                       common::Span life = common::constants::retry_token_lifetime)
       : share_(share), token_life_(life) {}
   void arrived(common::Moment now);
   /// Takes one token, if there is one. `may_use_reserve`: this proxy is one of those that may spend the reserve.
--- a/source/simulator/control/acceptors.cpp
+++ b/source/simulator/control/acceptors.cpp
@@ -194,7 +194,7 @@
   for (std::string const& founder : founders_) {
     if (founder != machine.address) {
       network_.call(machine.process, machine.address, founder, machine.acceptor->bootstrap_request(),
-                    constants::holder_deadline, on_answer);
+                    constants::acceptor_deadline, on_answer);
     }
   }
 }
@@ -209,7 +209,7 @@
   };
   for (schema::Voter const& source : machine.acceptor->snapshot_sources()) {
     network_.call(machine.process, machine.address, source.address, machine.acceptor->snapshot_request(),
-                  constants::holder_deadline, on_answer);
+                  constants::acceptor_deadline, on_answer);
   }
 }
 
--- a/source/simulator/control/controller_loops.cpp
+++ b/source/simulator/control/controller_loops.cpp
@@ -37,7 +37,7 @@
     Moment const now = network_.local_time(machine.process);
     for (consensus::MajorityReaderAction const& action : machine.reader.begin(machine.voters, now)) {
       consensus::SendRead const& send = std::get<consensus::SendRead>(action);
-      network_.call(machine.process, machine.address, send.to.address, send.read, constants::holder_deadline,
+      network_.call(machine.process, machine.address, send.to.address, send.read, constants::acceptor_deadline,
                     [this, &machine](std::optional<schema::Message> const& answer) {
                       if (answer.has_value()) {
                         apply_read_answer(machine, *answer);
@@ -54,7 +54,7 @@
     asked.push_back(machines_[kernel_.below(machines_.size())]->address);
   }
   for (std::string const& address : asked) {
-    network_.call(machine.process, machine.address, address, schema::Read{0, {}, 0}, constants::holder_deadline,
+    network_.call(machine.process, machine.address, address, schema::Read{0, {}, 0}, constants::acceptor_deadline,
                   [this, &machine](std::optional<schema::Message> const& answer) {
                     if (answer.has_value() && std::holds_alternative<schema::Refused>(*answer)) {
                       learn_voters(machine, std::get<schema::Refused>(*answer).set);
@@ -111,14 +111,14 @@
 }
 
 void World::settle(Machine& machine, consensus::Unsettled const& open) {
-  bool const drawn = options_.inline_bytes == 0 || kernel_.below(constants::settle_lots) == 0;
+  bool const drawn = options_.inline_bytes == 0 || kernel_.below(constants::settle_odds) == 0;
   if (!drawn) {
     return;
   }
   for (std::string const& name : open.names) {
     start_change(
         machine, name, [](schema::Value const&) -> consensus::Proposal { return consensus::Keep{}; },
-        constants::holder_deadline, nullptr);
+        constants::acceptor_deadline, nullptr);
   }
 }
 
@@ -170,7 +170,7 @@
     }
   };
   for (schema::Voter const& voter : all) {
-    network_.call(machine.process, machine.address, voter.address, schema::Adopt{next}, constants::holder_deadline,
+    network_.call(machine.process, machine.address, voter.address, schema::Adopt{next}, constants::acceptor_deadline,
                   on_answer);
   }
 }
@@ -188,7 +188,7 @@
 }
 
 void World::send_lease_request(Machine& machine, lease::SendLeaseRequest const& send) {
-  network_.call(machine.process, machine.address, send.to.address, send.request, constants::holder_deadline,
+  network_.call(machine.process, machine.address, send.to.address, send.request, constants::acceptor_deadline,
                 [this, &machine](std::optional<schema::Message> const& answer) {
                   if (answer.has_value() && std::holds_alternative<schema::LeaseAnswer>(*answer)) {
                     (void)machine.lease->receive(std::get<schema::LeaseAnswer>(*answer),
--- a/source/simulator/control/membership.cpp
+++ b/source/simulator/control/membership.cpp
@@ -20,8 +20,8 @@
 }  // namespace
 
 void World::join_loop(Machine& machine) {
-  network_.later(machine.process, constants::join_pause, [this, &machine] {
-    probe_voters(machine, constants::join_look, [this, &machine] { join_loop(machine); });
+  network_.later(machine.process, constants::probe_pause, [this, &machine] {
+    probe_voters(machine, constants::probe_deadline, [this, &machine] { join_loop(machine); });
   });
 }
 
@@ -138,7 +138,7 @@
                             network_.local_time(machine.process) + departure_grace, options_.departure_guards);
   for (lease::LeaseHolderAction const& action : machine.lease->release()) {
     if (lease::SendLeaseRequest const* const send = std::get_if<lease::SendLeaseRequest>(&action)) {
-      network_.call(machine.process, machine.address, send->to.address, send->request, constants::holder_deadline,
+      network_.call(machine.process, machine.address, send->to.address, send->request, constants::acceptor_deadline,
                     ignore_reply);
     }
   }
--- a/source/simulator/control/proposals.cpp
+++ b/source/simulator/control/proposals.cpp
@@ -65,7 +65,7 @@
     retry_ballot(run, number);
     return;
   }
-  network_.later(machine.process, constants::holder_deadline, [this, run, number] { retry_ballot(run, number); });
+  network_.later(machine.process, constants::acceptor_deadline, [this, run, number] { retry_ballot(run, number); });
   perform(run, number, run->proposer->begin(machine.voters));
 }
 
@@ -75,9 +75,9 @@
   }
   Span const most = run->max_pause;
   if (options_.inline_bytes > 0) {  // attempts that fetch values take long, so pauses grow as in RegisterClient
-    run->max_pause = std::min(most * 2, constants::ballot_pause_longest);
+    run->max_pause = std::min(most * 2, constants::max_ballot_backoff);
   }
-  network_.later(run->machine->process, kernel_.between(constants::ballot_pause_least, most), [this, run, number] {
+  network_.later(run->machine->process, kernel_.between(constants::min_ballot_pause, most), [this, run, number] {
     if (run->attempts == number) {
       try_change(run);
     }
@@ -117,7 +117,8 @@
       try_change(run);
     }
   };
-  network_.call(machine.process, machine.address, send.to.address, send.message, constants::holder_deadline, on_answer);
+  network_.call(machine.process, machine.address, send.to.address, send.message, constants::acceptor_deadline,
+                on_answer);
 }
 
 void World::end_chosen(ChangeRun& run, consensus::Chosen const& chosen) {
--- a/source/simulator/control/world.hpp
+++ b/source/simulator/control/world.hpp
@@ -46,7 +46,7 @@
   common::Moment deadline = 0;  ///< by the machine's clock
   bool ended = false;
   std::uint64_t attempts = 0;  ///< ballots and transfers started; answers to earlier ones are dropped
-  common::Span max_pause = common::constants::ballot_pause_most;
+  common::Span max_pause = common::constants::max_ballot_pause;
   OnChangeEnd done;
 
   /// Whether this attempt is still in progress.
--- a/source/simulator/membership_model/actions.cpp
+++ b/source/simulator/membership_model/actions.cpp
@@ -232,7 +232,7 @@
 membership::VoterProbes look(World& world, Bounds const& bounds, schema::VoterSet const& set, std::string const& self,
                              std::uint64_t seems_lost) {
   membership::VoterProbes looks;
-  for (int count = 0; count < common::constants::join_misses; ++count) {
+  for (int count = 0; count < common::constants::max_missed_voter_probes; ++count) {
     looks.begin(set);
   }
   for (schema::Voter const& voter : set.holders) {
--- a/source/simulator/query_path/answers.cpp
+++ b/source/simulator/query_path/answers.cpp
@@ -77,7 +77,7 @@
   figures.uncached += uncached;
   figures.cached += query.assignment.cached;
   figures.pairs += scheduling::pairs(uncached, query.assignment.cached);
-  if (query.running_at_start <= 1 && proxy.samples.size() < constants::samples_most) {
+  if (query.running_at_start <= 1 && proxy.samples.size() < constants::max_report_samples) {
     schema::Sample sample;
     sample.worker = query.worker;
     sample.seconds = static_cast<double>(now - query.sent) / 1e6;
@@ -96,7 +96,7 @@
   figures.iterations += query.iterations;
   figures.decodes += 1;
   figures.decode_seconds += static_cast<double>(kernel_.now() - query.phase_first) / 1e6;
-  if (query.iterations >= min_sample_iterations && proxy.samples.size() < constants::samples_most) {
+  if (query.iterations >= min_sample_iterations && proxy.samples.size() < constants::max_report_samples) {
     double const running = std::max(1.0, (query.running_at_start + proxy.placement.running_on(query.worker) + 1) / 2);
     schema::Sample sample;
     sample.worker = query.worker;
--- a/source/simulator/query_path/dispatch.cpp
+++ b/source/simulator/query_path/dispatch.cpp
@@ -58,7 +58,7 @@
   }
   check_dispatch(*query, worker);
   if (worker.unreachable) {
-    fail_later(query, constants::stream_silence, "silence");
+    fail_later(query, constants::stream_stall_timeout, "silence");
     return;
   }
   if (is_full(worker)) {
--- a/source/simulator/query_path/faults.cpp
+++ b/source/simulator/query_path/faults.cpp
@@ -65,7 +65,7 @@
     worker.unreachable = false;
     revive(worker);
     for (JobPointer const& job : jobs) {
-      kernel_.after(constants::stream_silence, [this, job] { fail_job(job, "silence"); });
+      kernel_.after(constants::stream_stall_timeout, [this, job] { fail_job(job, "silence"); });
     }
   });
 }
--- a/source/simulator/query_path/proxy_loops.cpp
+++ b/source/simulator/query_path/proxy_loops.cpp
@@ -127,7 +127,7 @@
 }
 
 void World::report_loop(Proxy& proxy) {
-  kernel_.after(constants::report_span, [this, &proxy] {
+  kernel_.after(constants::report_interval, [this, &proxy] {
     schema::FurrowReport report;
     report.slice = ++proxy.slice;
     for (std::pair<std::string const, schema::WorkerFigures> const& figures : proxy.figures) {
@@ -142,7 +142,7 @@
 }
 
 void World::scale_loop(std::size_t index) {
-  kernel_.after(constants::duty_pause, [this, index] {
+  kernel_.after(constants::lease_check_pause, [this, index] {
     scale_loop(index);
     Region& region = regions_[index];
     std::vector<std::string> names;
--- a/source/tests/common/asks_test.cpp
+++ b/source/tests/common/asks_test.cpp
@@ -10,9 +10,10 @@
 struct Served {
   Served() {
     address = fleet.next_address();
-    EXPECT_TRUE(common::serve_asks(*fleet.context, address, 16, 1000, [](common::Ask const& ask, common::Yield) {
-                  return common::answer_text(http::status::ok, "got " + std::to_string(ask.body().size()));
-                }).ok());
+    EXPECT_TRUE(
+        common::serve_requests(*fleet.context, address, 16, 1000, [](common::Request const& ask, common::Yield) {
+          return common::text_response(http::status::ok, "got " + std::to_string(ask.body().size()));
+        }).ok());
   }
   Fleet fleet;
   std::string address;
@@ -50,18 +51,19 @@
   bool gone_at_last = false;
   Fleet fleet;
   std::string const address = fleet.next_address();
-  EXPECT_TRUE(common::serve_asks(*fleet.context, address, 16, 1000,
-                                 [&](common::Ask const&, common::CallerConnection const& caller, common::Yield yield) {
-                                   there_at_first = !caller.gone();
-                                   serving = true;
-                                   common::Moment const until = common::boot_now() + common::seconds(10);
-                                   while (!caller.gone() && common::boot_now() < until) {
-                                     common::pause(*fleet.context, common::milliseconds(1), yield);
-                                   }
-                                   gone_at_last = caller.gone();
-                                   return common::answer_text(http::status::ok, "{}");
-                                 })
-                  .ok());
+  EXPECT_TRUE(
+      common::serve_requests(*fleet.context, address, 16, 1000,
+                             [&](common::Request const&, common::CallerConnection const& caller, common::Yield yield) {
+                               there_at_first = !caller.gone();
+                               serving = true;
+                               common::Moment const until = common::boot_now() + common::seconds(10);
+                               while (!caller.gone() && common::boot_now() < until) {
+                                 common::pause(*fleet.context, common::milliseconds(1), yield);
+                               }
+                               gone_at_last = caller.gone();
+                               return common::text_response(http::status::ok, "{}");
+                             })
+          .ok());
   std::shared_ptr<Line> const caller = fleet.call("POST /any HTTP/1.1\r\nHost: any\r\n\r\n", address);
   ASSERT_TRUE(fleet.until([&] { return serving; }));
   EXPECT_FALSE(gone_at_last);
--- a/source/tests/common/delta_test.cpp
+++ b/source/tests/common/delta_test.cpp
@@ -16,7 +16,7 @@
   ASSERT_TRUE(delta.has_value());
   EXPECT_TRUE(delta->whole);
   EXPECT_EQ(delta->put.size(), 2u);
-  DeltaCopy copy;
+  DeltaReplica copy;
   EXPECT_TRUE(copy.apply(*delta));
   EXPECT_EQ(copy.entries(), (State{{"a", "1"}, {"b", "2"}}));
   EXPECT_FALSE(source.since(copy.digest()).has_value());
@@ -29,7 +29,7 @@
     state["worker-" + std::to_string(index)] = "ready";
   }
   source.take(state);
-  DeltaCopy copy;
+  DeltaReplica copy;
   ASSERT_TRUE(copy.apply(*source.since(0)));
   state["worker-7"] = "draining";
   state.erase("worker-9");
@@ -79,7 +79,7 @@
 TEST(Delta, AnEntryThatWentAndCameBackIsNotRemoved) {
   DeltaSource source(8);
   source.take(State{{"a", "1"}, {"b", "2"}});
-  DeltaCopy copy;
+  DeltaReplica copy;
   ASSERT_TRUE(copy.apply(*source.since(0)));
   source.take(State{{"a", "1"}});
   source.take(State{{"a", "1"}, {"b", "3"}});
@@ -94,7 +94,7 @@
 TEST(Delta, ADeltaThatLeadsElsewhereIsThrownAwayAndAllIsAskedAnew) {
   DeltaSource source(8);
   source.take(State{{"a", "1"}, {"b", "2"}});
-  DeltaCopy copy;
+  DeltaReplica copy;
   ASSERT_TRUE(copy.apply(*source.since(0)));
   std::uint64_t const before = copy.digest();
   source.take(State{{"a", "1"}, {"b", "3"}});
@@ -120,7 +120,7 @@
   std::mt19937_64 random(7);
   for (int round = 0; round < 50; ++round) {
     DeltaSource sources[2] = {DeltaSource(6), DeltaSource(6)};
-    DeltaCopy copies[4];
+    DeltaReplica copies[4];
     State state;
     for (int step = 0; step < 200; ++step) {
       std::string const name = "n" + std::to_string(random() % 12);
@@ -132,7 +132,7 @@
       // A teller may lag, and askers ask any of them, at any time.
       DeltaSource& source = sources[random() % 2];
       source.take(state);
-      DeltaCopy& copy = copies[random() % 4];
+      DeltaReplica& copy = copies[random() % 4];
       std::optional<Delta> const delta = source.since(copy.digest());
       if (delta.has_value()) {
         ASSERT_TRUE(copy.apply(*delta));
--- a/source/tests/common/fuzz_test.cpp
+++ b/source/tests/common/fuzz_test.cpp
@@ -209,7 +209,7 @@
     std::string payload = spoiled(good.substr(common::frame_header), random);
     boost::crc_32_type check;
     check.process_bytes(payload.data(), payload.size());
-    std::uint32_t const words[3] = {common::constants::frame_mark_compressed,
+    std::uint32_t const words[3] = {common::constants::frame_magic_compressed,
                                     static_cast<std::uint32_t>(payload.size()), check.checksum()};
     std::string const header(reinterpret_cast<char const*>(words), sizeof(words));
     refused += common::unframe(header, payload).ok() ? 0 : 1;
--- a/source/tests/common/followed_test.cpp
+++ b/source/tests/common/settings_watcher_test.cpp
@@ -8,8 +8,8 @@
 #include <sstream>
 
 #include "common/json/tree.hpp"
-#include "common/process/followed.hpp"
 #include "common/process/process.hpp"
+#include "common/process/settings_watcher.hpp"
 #include "tests/relay/fleet.hpp"
 
 namespace finchlink::relay_test {
--- a/source/tests/consensus/transfer_test.cpp
+++ b/source/tests/consensus/transfer_test.cpp
@@ -270,10 +270,10 @@
         kernel.after(constants::confirm_pause, [this] { read(); });
       }
     };
-    kernel.after(constants::holder_deadline, again);
+    kernel.after(constants::acceptor_deadline, again);
     for (MajorityReaderAction const& action : reader.begin(trio.acceptors[0].set(), kernel.now())) {
       SendRead const& send = std::get<SendRead>(action);
-      remote.call(send.to.address, send.read, constants::holder_deadline,
+      remote.call(send.to.address, send.read, constants::acceptor_deadline,
                   [this, again](std::optional<schema::Message> const& answer) {
                     if (answer.has_value()) {
                       for (MajorityReaderAction const& seen : reader.receive(*answer)) {
@@ -329,7 +329,7 @@
 common::Span transfer_time_bound(std::size_t bytes, double bits_per_second, common::Span one_way) {
   std::size_t const pieces = bytes / constants::transfer_piece_bytes + 1;
   return static_cast<common::Span>(static_cast<double>(bytes) * 8e6 / bits_per_second) +
-         static_cast<common::Span>(pieces) * 2 * one_way + 2 * constants::holder_deadline +
+         static_cast<common::Span>(pieces) * 2 * one_way + 2 * constants::acceptor_deadline +
          2 * constants::confirm_pause;
 }
 
@@ -416,14 +416,14 @@
         if (source.incarnation == 102) {
           continue;  // unreachable
         }
-        remote.call(source.address, joining_acceptor.snapshot_request(), constants::holder_deadline,
+        remote.call(source.address, joining_acceptor.snapshot_request(), constants::acceptor_deadline,
                     [this](std::optional<schema::Message> const& answer) {
                       if (answer.has_value() && std::holds_alternative<schema::Image>(*answer)) {
                         images.push_back(std::get<schema::Image>(*answer));
                       }
                     });
       }
-      kernel.after(constants::holder_deadline + 1, [this] { fetch(); });
+      kernel.after(constants::acceptor_deadline + 1, [this] { fetch(); });
       return;
     }
     fetch();
@@ -495,7 +495,7 @@
 
 TEST(Transfer, IsGivenUpWhenItsSourcesStaySilent) {
   consensus::ValueReceiver receiver(schema::TransferKey{"charter", {}, 3}, {"lost"});
-  for (std::size_t silence = 1; silence < common::constants::transfer_silences_most; ++silence) {
+  for (std::size_t silence = 1; silence < common::constants::max_unanswered_piece_requests; ++silence) {
     EXPECT_EQ(receiver.record_timeout(), consensus::TransferState::in_progress);
   }
   EXPECT_EQ(receiver.record_timeout(), consensus::TransferState::unavailable);
--- a/source/tests/control_plane/acceptor_service_test.cpp
+++ b/source/tests/control_plane/acceptor_service_test.cpp
@@ -22,7 +22,7 @@
 /// An acceptor that joins with a blank disk, and three scripted voters of the previous set.
 struct JoiningAcceptor {
   boost::asio::io_context context;
-  common::Caller caller{context};
+  common::FrameClient caller{context};
   std::string folder = testing::TempDir() + "acceptor_service_" + std::to_string(common::boot_now());
   std::uint64_t silent = 0;  ///< the incarnation of a voter that never answers
   common::Moment first_request = 0;
@@ -81,7 +81,7 @@
 TEST(AcceptorService, ASilentSnapshotSourceIsNotWaitedFor) {
   for (std::uint64_t const silent : {1, 3}) {
     JoiningAcceptor cluster(silent);
-    EXPECT_LT(cluster.time_to_vote(), constants::holder_deadline / 2) << silent;
+    EXPECT_LT(cluster.time_to_vote(), constants::acceptor_deadline / 2) << silent;
   }
 }
 
--- a/source/tests/control_plane/half_done_change_test.cpp
+++ b/source/tests/control_plane/half_done_change_test.cpp
@@ -99,7 +99,7 @@
                                        })
                       .ok());
     }
-    callers_.push_back(std::make_unique<common::Caller>(context_));
+    callers_.push_back(std::make_unique<common::FrameClient>(context_));
     clients_.push_back(std::make_unique<RegisterClient>(context_, *callers_.back(), client + 1,
                                                         std::vector<std::string>{}, common::milliseconds(400)));
     clients_.back()->learn(set);
@@ -133,7 +133,7 @@
 
   boost::asio::io_context context_;
   std::vector<std::unique_ptr<consensus::Acceptor>> acceptors_;
-  std::vector<std::unique_ptr<common::Caller>> callers_;
+  std::vector<std::unique_ptr<common::FrameClient>> callers_;
   std::vector<std::unique_ptr<RegisterClient>> clients_;
 };
 
--- a/source/tests/control_plane/late_answer_test.cpp
+++ b/source/tests/control_plane/late_answer_test.cpp
@@ -9,7 +9,7 @@
 namespace http = common::http;
 
 unsigned int status_after(common::Span span, http::status status, http::verb verb) {
-  return unless_late(common::answer_text(status, "{}"), verb, span, constants::acknowledge_wait).result_int();
+  return unless_late(common::text_response(status, "{}"), verb, span, constants::acknowledge_wait).result_int();
 }
 
 TEST(LateAnswer, ACallThatWasFrozenAnswersWithoutAnOutcome) {
--- a/source/tests/control_plane/read_outcomes_test.cpp
+++ b/source/tests/control_plane/read_outcomes_test.cpp
@@ -47,7 +47,7 @@
     }
   }
   common::Moment const first = common::constants::reads_lost_after + round_span;
-  EXPECT_EQ(reported_at, (std::vector<common::Moment>{first, first + common::constants::reads_lost_again}));
+  EXPECT_EQ(reported_at, (std::vector<common::Moment>{first, first + common::constants::reads_lost_log_interval}));
   std::optional<ReadsEvent> const event = outcomes.record(round_at(now, true));
   ASSERT_TRUE(event.has_value() && std::holds_alternative<ReadsRegained>(*event));
   EXPECT_EQ(std::get<ReadsRegained>(*event).rounds, 59u);
--- a/source/tests/control_plane/register_client_test.cpp
+++ b/source/tests/control_plane/register_client_test.cpp
@@ -13,7 +13,7 @@
 /// A register client and three scripted acceptors that promise and accept every ballot.
 struct ThreeAcceptors {
   boost::asio::io_context context;
-  common::Caller caller{context};
+  common::FrameClient caller{context};
   RegisterClient client{context, caller, 7, {}};
   std::size_t prepares = 0;
   std::size_t accepts = 0;
--- a/source/tests/membership/departure_test.cpp
+++ b/source/tests/membership/departure_test.cpp
@@ -165,7 +165,7 @@
   EXPECT_FALSE(membership::plan_joining(founded(), view, spare_d, 3).has_value());
   EXPECT_TRUE(membership::plan_joining(founded(), view, spare_d, 3, {.one_at_a_time = false}).has_value());
   // A voter that is certainly lost is replaced first, and the leaving voter still provides a snapshot.
-  view.misses[2] = constants::join_misses;
+  view.misses[2] = constants::max_missed_voter_probes;
   std::optional<schema::VoterSet> const lost = membership::plan_joining(founded(), view, spare_d, 3);
   ASSERT_TRUE(lost.has_value());
   EXPECT_EQ(lost->holders[1], spare_d);
@@ -190,7 +190,7 @@
 }
 
 TEST(Joining, ALeavingProcessDoesNotJoin) {
-  membership::JoiningView const view{{{1, 0}, {2, 0}, {3, constants::join_misses}}, {4}};
+  membership::JoiningView const view{{{1, 0}, {2, 0}, {3, constants::max_missed_voter_probes}}, {4}};
   EXPECT_FALSE(membership::plan_joining(founded(), view, spare_d, 3).has_value());
   EXPECT_TRUE(membership::plan_joining(founded(), view, spare_e, 3).has_value());
 }
--- a/source/tests/membership/freshness_lease_test.cpp
+++ b/source/tests/membership/freshness_lease_test.cpp
@@ -148,10 +148,10 @@
   // Draining: the age bound of the last list without the drain, plus 10 % for clock drift.
   EXPECT_LE(constants::list_bound + constants::list_bound / 10, common::milliseconds(4000));
   EXPECT_GT(constants::session_bound, constants::confirmation_bound);
-  EXPECT_GE(constants::lease_reserve, constants::lease_span / 10);
+  EXPECT_GE(constants::lease_safety_margin, constants::lease_span / 10);
   EXPECT_GE(constants::lease_silence, constants::lease_span + constants::lease_span / 10);
   // Retries: the tokens from fifteen seconds of arrivals (0.1 each) may be used within ten seconds.
-  EXPECT_LE(constants::retry_share * static_cast<double>(common::seconds(10) + constants::retry_life) /
+  EXPECT_LE(constants::retry_share * static_cast<double>(common::seconds(10) + constants::retry_token_lifetime) /
                 static_cast<double>(common::seconds(10)),
             0.2);
 }
@@ -241,14 +241,14 @@
     ASSERT_LT(listing.age(now), constants::list_bound) << "service stops";
     now += constants::list_pause;
   }
-  EXPECT_GE(now - since, constants::list_back_span);
+  EXPECT_GE(now - since, constants::list_rollback_grace);
   EXPECT_EQ(listing.list().revision, 1u);
   EXPECT_FALSE(listing.store(list, now - 1, now));  // an older read
 }
 
 TEST(Repair, ReplacesOnlyWithAVotingMajorityAndOnlyByASpare) {
   schema::Voter spare{44, "d"};
-  std::map<std::uint64_t, int> misses{{1, 0}, {2, 0}, {3, constants::join_misses}};
+  std::map<std::uint64_t, int> misses{{1, 0}, {2, 0}, {3, constants::max_missed_voter_probes}};
   std::optional<schema::VoterSet> const plan = membership::plan_joining(three(), misses, spare, 3);
   ASSERT_TRUE(plan.has_value());
   EXPECT_EQ(plan->epoch, 2u);
@@ -268,28 +268,29 @@
 }
 
 TEST(Repair, ASetListsEarlierOnesUntilAllOfItsVotersWereSeenToVote) {
-  std::map<std::uint64_t, int> const third_lost{{1, 0}, {2, 0}, {3, constants::join_misses}};
+  std::map<std::uint64_t, int> const third_lost{{1, 0}, {2, 0}, {3, constants::max_missed_voter_probes}};
   schema::VoterSet const second = *membership::plan_joining(three(), third_lost, schema::Voter{44, "d"}, 3);
   EXPECT_TRUE(second.earlier.empty()) << "the voters of the first set have their data";
   EXPECT_EQ(second.caught_up, (std::vector<std::uint64_t>{1, 2}));
   // The new voter was not seen to vote: possibly only the first set has the data that it lacks.
-  std::map<std::uint64_t, int> const unseen{{1, 0}, {2, 0}, {44, constants::join_misses}};
+  std::map<std::uint64_t, int> const unseen{{1, 0}, {2, 0}, {44, constants::max_missed_voter_probes}};
   schema::VoterSet const third = *membership::plan_joining(second, unseen, schema::Voter{55, "e"}, 3);
   ASSERT_EQ(third.earlier.size(), 1u);
   EXPECT_EQ(third.earlier[0], (schema::PastVoterSet{1, three().holders}));
   EXPECT_EQ(third.previous, second.holders);
   // The next one votes and is then lost: it was seen to vote, so no earlier set is needed.
-  std::map<std::uint64_t, int> const seen{{1, 0}, {2, constants::join_misses}, {55, 0}};
+  std::map<std::uint64_t, int> const seen{{1, 0}, {2, constants::max_missed_voter_probes}, {55, 0}};
   schema::VoterSet const fourth = *membership::plan_joining(third, seen, schema::Voter{66, "f"}, 3);
   EXPECT_TRUE(fourth.earlier.empty()) << "the second was seen to vote in an earlier probe";
   EXPECT_EQ(fourth.caught_up, (std::vector<std::uint64_t>{1, 55}));
 }
 
 TEST(Repair, EarlierSetsAreBounded) {
-  schema::VoterSet set =
-      *membership::plan_joining(three(), {{1, 0}, {2, 0}, {3, constants::join_misses}}, schema::Voter{44, "d"}, 3);
+  schema::VoterSet set = *membership::plan_joining(three(), {{1, 0}, {2, 0}, {3, constants::max_missed_voter_probes}},
+                                                   schema::Voter{44, "d"}, 3);
   for (std::uint64_t incarnation = 100; incarnation < 140; ++incarnation) {
-    std::map<std::uint64_t, int> const last_lost{{1, 0}, {2, 0}, {set.holders[2].incarnation, constants::join_misses}};
+    std::map<std::uint64_t, int> const last_lost{
+        {1, 0}, {2, 0}, {set.holders[2].incarnation, constants::max_missed_voter_probes}};
     set = *membership::plan_joining(set, last_lost, schema::Voter{incarnation, "d"}, 3);
   }
   EXPECT_EQ(set.earlier.size(), 16u);
@@ -319,7 +320,7 @@
   ASSERT_TRUE(whole.has_value());
   EXPECT_EQ(whole->holders.size(), 5u);
   // With five voters, two are replaced one after the other, and none is added.
-  std::map<std::uint64_t, int> two_lost{{1, 0}, {2, 0}, {3, 0}, {44, constants::join_misses}, {55, 1}};
+  std::map<std::uint64_t, int> two_lost{{1, 0}, {2, 0}, {3, 0}, {44, constants::max_missed_voter_probes}, {55, 1}};
   std::optional<schema::VoterSet> const replaced =
       membership::plan_joining(*whole, two_lost, schema::Voter{66, "f"}, 5);
   ASSERT_TRUE(replaced.has_value());
--- a/source/tests/membership/voter_probes_test.cpp
+++ b/source/tests/membership/voter_probes_test.cpp
@@ -31,7 +31,7 @@
 
 TEST(VoterProbes, AnUnresponsiveVoterCountsAsLostAfterAFewProbes) {
   membership::VoterProbes probes;
-  for (int count = 1; count < constants::join_misses; ++count) {
+  for (int count = 1; count < constants::max_missed_voter_probes; ++count) {
     probe(probes, std::nullopt);
     EXPECT_FALSE(probes.complete());
     EXPECT_FALSE(replaces_third(probes)) << count;
@@ -45,7 +45,7 @@
 
 TEST(VoterProbes, AProcessWithANewDiskAtAVotersAddressIsNotReplaced) {
   membership::VoterProbes probes;
-  for (int count = 0; count < 2 * constants::join_misses; ++count) {
+  for (int count = 0; count < 2 * constants::max_missed_voter_probes; ++count) {
     probe(probes, schema::Adopted{0, 33, false});
     EXPECT_TRUE(probes.complete());
     EXPECT_FALSE(replaces_third(probes));
@@ -56,12 +56,12 @@
 /// longer than three probes.
 TEST(VoterProbes, AVoterThatIsCatchingUpIsAwaitedForALimitedTime) {
   membership::VoterProbes probes;
-  for (int count = 0; count < constants::catching_up_looks; ++count) {
+  for (int count = 0; count < constants::max_catching_up_probes; ++count) {
     probe(probes, schema::Adopted{4, 3, false});
     EXPECT_FALSE(replaces_third(probes)) << count;
     EXPECT_GT(probes.misses().at(3), 0) << "it has no vote";
   }
-  for (int count = 0; count < constants::join_misses; ++count) {
+  for (int count = 0; count < constants::max_missed_voter_probes; ++count) {
     probe(probes, schema::Adopted{4, 3, false});
   }
   EXPECT_TRUE(replaces_third(probes));
--- a/source/tests/relay/relay_server_test.cpp
+++ b/source/tests/relay/relay_server_test.cpp
@@ -110,7 +110,7 @@
 }
 
 TEST(RelayServer, AControllerThatComesUpIsAskedWhileAnotherWithholdsItsAnswer) {
-  common::Bell never;
+  common::Notifier never;
   std::size_t held = 0;
   Fleet fleet;
   fleet.worker("w1");
@@ -394,7 +394,7 @@
   bool released = false;
   std::size_t held = 0;
   std::size_t reports = 0;
-  common::Bell release;
+  common::Notifier release;
   std::string const holding = fleet.next_address();
   std::string const second = fleet.next_address();
   fleet.settings.seeds = {holding, second, fleet.controller_address};
@@ -422,7 +422,7 @@
   fleet.wait_for_update();
   EXPECT_EQ(reports, 0u);
   released = true;
-  release.ring();
+  release.notify_all();
   EXPECT_TRUE(fleet.until([&] { return reports > 0; }));
 }
 
--- a/source/tests/scheduling/load_balancer_test.cpp
+++ b/source/tests/scheduling/load_balancer_test.cpp
@@ -328,7 +328,7 @@
     std::variant<Assignment, NoAssignment> const again = balancer.choose(request_for(), now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(again));
     balancer.ended(std::get<Assignment>(again), false, Outcome::unreachable, now);
-    EXPECT_FALSE(place(balancer, request_for(), now + constants::worker_rest_least + 1).empty());
+    EXPECT_FALSE(place(balancer, request_for(), now + constants::min_ejection_time + 1).empty());
   }
 }
 
@@ -339,7 +339,7 @@
     std::variant<Assignment, NoAssignment> const first = balancer.choose(request_for(), start);
     ASSERT_TRUE(std::holds_alternative<Assignment>(first));
     balancer.ended(std::get<Assignment>(first), false, Outcome::failure, start);
-    common::Moment const now = start + constants::worker_rest_most;
+    common::Moment const now = start + constants::max_ejection_time;
     std::variant<Assignment, NoAssignment> const probe = balancer.choose(request_for(), now);
     ASSERT_TRUE(std::holds_alternative<Assignment>(probe));
     EXPECT_TRUE(place(balancer, request_for(), now).empty());  // the first one has not ended yet
--- a/source/tests/scheduling/outlier_detector_test.cpp
+++ b/source/tests/scheduling/outlier_detector_test.cpp
@@ -39,8 +39,8 @@
     OutlierDetector::Handle const worker = detector.add_worker(info("a"));
     EXPECT_TRUE(available(detector, worker, start));
     EXPECT_TRUE(reports_cache_loss(detector.record_evidence(worker, DispatchEnded{1, outcome}, start)));
-    EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::worker_rest_least);
-    common::Moment const after = start + constants::worker_rest_least;
+    EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::min_ejection_time);
+    common::Moment const after = start + constants::min_ejection_time;
     EXPECT_TRUE(on_probation(detector, worker, after));
     EXPECT_TRUE(detector.record_evidence(worker, DispatchEnded{2, Outcome::abandoned}, after).empty());
     EXPECT_TRUE(on_probation(detector, worker, after));  // an abandoned query is no evidence
@@ -56,8 +56,8 @@
   EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::refusal_cooldown);
   EXPECT_TRUE(available(detector, worker, start + constants::refusal_cooldown));
   EXPECT_TRUE(reports_cache_loss(detector.record_evidence(worker, DispatchEnded{2, Outcome::misdirected}, start)));
-  EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::worker_rest_most);
-  EXPECT_TRUE(available(detector, worker, start + constants::worker_rest_most));
+  EXPECT_EQ(unavailable_until(detector, worker, start), start + constants::max_ejection_time);
+  EXPECT_TRUE(available(detector, worker, start + constants::max_ejection_time));
 }
 
 TEST(OutlierDetector, OverdueIsTheOldestDispatchWithoutAFirstToken) {
--- a/source/tests/scheduling/placement_test.cpp
+++ b/source/tests/scheduling/placement_test.cpp
@@ -123,7 +123,7 @@
   EXPECT_EQ(retry_after_with_jitter(0, 0.99), 2);
   EXPECT_EQ(retry_after_with_jitter(4.2, 0), 5);
   EXPECT_EQ(retry_after_with_jitter(4.2, 0.999), 10);
-  EXPECT_LE(retry_after_with_jitter(1e9, 1), constants::retry_after_most + 1);
+  EXPECT_LE(retry_after_with_jitter(1e9, 1), constants::max_retry_after_seconds + 1);
   PlacementHarness harness(1, 1);
   (void)harness.enqueue();
   double expected = 0;
--- a/source/tests/scheduling/query_state_machine_test.cpp
+++ b/source/tests/scheduling/query_state_machine_test.cpp
@@ -358,7 +358,7 @@
       if (killed && killed(slot, proxy)) {
         proxies[proxy] = RetryBudget();
       }
-      while (failing(slot) && proxies[proxy].take(now, proxy < constants::retry_keepers)) {
+      while (failing(slot) && proxies[proxy].take(now, proxy < constants::max_reserve_token_holders)) {
         ++retries[static_cast<std::size_t>(slot)];
         result.after_the_end += rate(slot) > 0 ? 0 : 1;
       }
