--- a/source/common/delta/delta.cpp
+++ b/source/common/delta/delta.cpp
@@ -3,11 +3,11 @@
 namespace finchlink::common {
 
 namespace {
-/// What one entry adds to the digest; the length keeps name and bytes apart.
+/// What one entry adds to the digest; the length separates name and bytes.
 std::uint64_t part_of(std::string const& name, std::string const& bytes) {
   return fingerprint(std::to_string(name.size()) + " " + name + bytes);
 }
-/// Sums wrap around, so a digest may be 0 by chance, which stands for nothing.
+/// Sums wrap around and may be 0 by chance, which is reserved for "holds nothing".
 std::uint64_t never_zero(std::uint64_t sum) {
   return sum == 0 ? 1 : sum;
 }
@@ -31,7 +31,7 @@
   return never_zero(sum);
 }
 
-bool DeltaSource::enter(std::string const& name, std::string const& bytes, std::uint64_t count) {
+bool DeltaSource::set_entry(std::string const& name, std::string const& bytes, std::uint64_t count) {
   Entry& entry = entries_[name];
   if (entry.changed != 0 && entry.bytes == bytes) {
     return false;
@@ -42,7 +42,7 @@
   return true;
 }
 
-bool DeltaSource::leave(std::string const& name, std::uint64_t count) {
+bool DeltaSource::erase_entry(std::string const& name, std::uint64_t count) {
   std::map<std::string, Entry>::const_iterator const entry = entries_.find(name);
   if (entry == entries_.end()) {
     return false;
@@ -53,14 +53,14 @@
   return true;
 }
 
-void DeltaSource::settle(std::uint64_t count) {
+void DeltaSource::commit_state(std::uint64_t count) {
   count_ = count;
   digest_ = never_zero(sum_);
   states_.emplace_back(count_, digest_);
-  while (states_.size() > states_most_) {
+  while (states_.size() > max_states_) {
     states_.pop_front();
   }
-  // Nobody can ask from before the oldest state that is known.
+  // No delta can start before the oldest state that is kept.
   std::erase_if(removed_, [this](std::pair<std::string const, std::uint64_t> const& entry) {
     return entry.second <= states_.front().first;
   });
@@ -76,29 +76,29 @@
   }
   bool changed = !gone.empty();
   for (std::string const& name : gone) {
-    (void)leave(name, next);
+    (void)erase_entry(name, next);
   }
   for (std::pair<std::string const, std::string> const& given : state) {
-    changed = enter(given.first, given.second, next) || changed;
+    changed = set_entry(given.first, given.second, next) || changed;
   }
   if (changed) {
-    settle(next);
+    commit_state(next);
   }
   return changed;
 }
 
 bool DeltaSource::put(std::string const& name, std::string const& bytes) {
-  bool const changed = enter(name, bytes, count_ + 1);
+  bool const changed = set_entry(name, bytes, count_ + 1);
   if (changed) {
-    settle(count_ + 1);
+    commit_state(count_ + 1);
   }
   return changed;
 }
 
 bool DeltaSource::remove(std::string const& name) {
-  bool const changed = leave(name, count_ + 1);
+  bool const changed = erase_entry(name, count_ + 1);
   if (changed) {
-    settle(count_ + 1);
+    commit_state(count_ + 1);
   }
   return changed;
 }
@@ -111,7 +111,7 @@
   delta.digest = digest_;
   delta.whole = true;
   std::uint64_t from = 0;
-  // The newest state of that digest: from there the least has changed.
+  // The newest state with that digest yields the smallest delta.
   for (std::deque<std::pair<std::uint64_t, std::uint64_t>>::const_reverse_iterator state = states_.rbegin();
        state != states_.rend(); ++state) {
     if (state->second == digest) {
--- a/source/common/digest/digest.hpp
+++ b/source/common/digest/digest.hpp
@@ -6,9 +6,9 @@
 
 namespace finchlink::common {
 
-/// Two 64-bit sums over parts, each part with its length, so that "ab" + "c"
-/// differs from "a" + "bc". Tells honest documents apart; no seal against
-/// someone who makes two alike on purpose.
+/// Two 64-bit hashes over parts, each part with its length, so that "ab" + "c"
+/// differs from "a" + "bc". Not cryptographic: it distinguishes documents, but does not
+/// resist deliberate collisions.
 class Digest {
  public:
   Digest& add(std::string_view part) {
@@ -29,6 +29,7 @@
     std::uint64_t const value = (first_ ^ (second_ >> 7u)) >> 12u;
     return value == 0 ? 1 : value;
   }
+  /// Both hashes as 32 hex digits.
   [[nodiscard]] std::string text() const { return hex(first_) + hex(second_); }
 
  private:
--- a/source/common/http/http.cpp
+++ b/source/common/http/http.cpp
@@ -14,36 +14,36 @@
 
 using boost::system::error_code;
 
-Answer answer_text(http::status status, std::string body, std::string const& type) {
-  Answer answer{status, 11};
-  answer.set(http::field::content_type, type);
-  answer.body() = std::move(body);
-  answer.prepare_payload();
-  return answer;
+Response text_response(http::status status, std::string body, std::string const& type) {
+  Response response{status, 11};
+  response.set(http::field::content_type, type);
+  response.body() = std::move(body);
+  response.prepare_payload();
+  return response;
 }
 
-Answer answer_error(http::status status, std::string const& code, std::string const& message) {
+Response error_response(http::status status, std::string const& code, std::string const& message) {
   Tree object(cJSON_CreateObject());
   cJSON_AddStringToObject(object.get(), "error", code.c_str());
   cJSON_AddStringToObject(object.get(), "message", message.c_str());
-  Answer answer = answer_text(status, print_tree(object.get()));
+  Response response = text_response(status, print_tree(object.get()));
   if (status == http::status::service_unavailable || status == http::status::too_many_requests) {
-    answer.set(http::field::retry_after, std::to_string(constants::retry_after_seconds));
+    response.set(http::field::retry_after, std::to_string(constants::retry_after_seconds));
   }
-  return answer;
+  return response;
 }
 
 namespace {
-/// Closing with unread bytes would reset the connection, and the answer might
-/// never be read: what comes is thrown away, for a moment and up to a size.
-void let_read(Stream& stream, Yield yield) {
+/// Closing with unread bytes would reset the connection, and the response might be
+/// lost: reads and discards input, up to a time and a size.
+void linger_before_close(Stream& stream, Yield yield) {
   error_code error;
   stream.socket().shutdown(boost::asio::ip::tcp::socket::shutdown_send, error);
   stream.expires_after(duration(constants::lingering_close_timeout));
-  std::array<char, 8192> thrown_away;
+  std::array<char, 8192> discarded;
   std::size_t total = 0;
   while (!error && total < constants::lingering_close_bytes) {
-    total += stream.async_read_some(boost::asio::buffer(thrown_away), yield[error]);
+    total += stream.async_read_some(boost::asio::buffer(discarded), yield[error]);
   }
 }
 }  // namespace
@@ -54,20 +54,20 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
 }
 
-absl::Status serve_asks(boost::asio::io_context& context, std::string const& address, std::size_t most,
-                        std::size_t body_limit, AskHandler handler) {
-  return serve_asks(context, address, most, body_limit,
-                    [handler = std::move(handler)](Ask const& ask, CallerConnection const&, Yield yield) {
-                      return handler(ask, yield);
-                    });
+absl::Status serve_requests(boost::asio::io_context& context, std::string const& address, std::size_t max_connections,
+                            std::size_t body_limit, RequestHandler handler) {
+  return serve_requests(context, address, max_connections, body_limit,
+                        [handler = std::move(handler)](Request const& request, CallerConnection const&, Yield yield) {
+                          return handler(request, yield);
+                        });
 }
 
-absl::Status serve_asks(boost::asio::io_context& context, std::string const& address, std::size_t most,
-                        std::size_t body_limit, ConnectedAskHandler handler) {
-  return listen(context, address, most, [handler, body_limit](Stream& stream, Yield yield) {
+absl::Status serve_requests(boost::asio::io_context& context, std::string const& address, std::size_t max_connections,
+                            std::size_t body_limit, ConnectedRequestHandler handler) {
+  return listen(context, address, max_connections, [handler, body_limit](Stream& stream, Yield yield) {
     boost::beast::flat_buffer buffer;
-    bool again = true;
-    while (again) {
+    bool keep_open = true;
+    while (keep_open) {
       error_code error;
       http::request_parser<http::string_body> parser;
       parser.header_limit(constants::header_limit);
@@ -79,51 +79,51 @@
           error == boost::asio::error::eof) {
         return;
       }
-      Answer answer;
-      again = false;
+      Response response;
+      keep_open = false;
       bool const whole = !error;
       if (error == http::error::body_limit) {
-        answer = answer_error(http::status::payload_too_large, "too_large", "the body is larger than allowed");
+        response = error_response(http::status::payload_too_large, "too_large", "the body is larger than allowed");
       } else if (error == http::error::header_limit) {
-        answer = answer_error(http::status::request_header_fields_too_large, "too_large",
-                              "the header is larger than allowed");
+        response = error_response(http::status::request_header_fields_too_large, "too_large",
+                                  "the header is larger than allowed");
       } else if (error) {
-        answer = answer_error(http::status::bad_request, "malformed", error.message());
+        response = error_response(http::status::bad_request, "malformed", error.message());
       } else {
-        Ask const ask = parser.release();
-        again = ask.keep_alive();
+        Request const request = parser.release();
+        keep_open = request.keep_alive();
         stream.expires_never();
-        answer = handler(ask, CallerConnection(stream), yield);
-        if (ask.method() == http::verb::head) {  // tells the length that the body would have
-          answer.body().clear();
+        response = handler(request, CallerConnection(stream), yield);
+        if (request.method() == http::verb::head) {  // keeps the Content-Length of the body
+          response.body().clear();
         }
       }
-      answer.keep_alive(again);
+      response.keep_alive(keep_open);
       stream.expires_after(duration(constants::write_deadline));
-      http::async_write(stream, answer, yield[error]);
+      http::async_write(stream, response, yield[error]);
       if (error) {
         return;
       }
       if (!whole) {
-        let_read(stream, yield);
+        linger_before_close(stream, yield);
       }
     }
   });
 }
 
-absl::StatusOr<Answer> ask_once(boost::asio::io_context& context, std::string const& address, Ask ask, Span deadline,
-                                std::size_t limit, Yield yield) {
+absl::StatusOr<Response> send_request(boost::asio::io_context& context, std::string const& address, Request request,
+                                      Span deadline, std::size_t limit, Yield yield) {
   Moment const until = boot_now() + deadline;
   absl::StatusOr<std::unique_ptr<Stream>> const stream = connect(context, address, deadline, yield);
   if (!stream.ok()) {
     return stream.status();
   }
   error_code error;
-  ask.set(http::field::host, address);
-  ask.keep_alive(false);
-  ask.prepare_payload();
+  request.set(http::field::host, address);
+  request.keep_alive(false);
+  request.prepare_payload();
   (*stream)->expires_after(duration(std::max<Span>(until - boot_now(), 1000)));
-  http::async_write(**stream, ask, yield[error]);
+  http::async_write(**stream, request, yield[error]);
   if (error) {
     return make_error(absl::StatusCode::kUnavailable, "http", address + ": " + error.message());
   }
--- a/source/common/http/http.hpp
+++ b/source/common/http/http.hpp
@@ -13,38 +13,42 @@
 
 namespace http = boost::beast::http;
 
-using Ask = http::request<http::string_body>;
-using Answer = http::response<http::string_body>;
+using Request = http::request<http::string_body>;
+using Response = http::response<http::string_body>;
 
-[[nodiscard]] Answer answer_text(http::status status, std::string body, std::string const& type = "application/json");
-/// {"error": code, "message": text}, escaped.
-[[nodiscard]] Answer answer_error(http::status status, std::string const& code, std::string const& message);
+/// A response with this body; sets Content-Length.
+[[nodiscard]] Response text_response(http::status status, std::string body,
+                                     std::string const& type = "application/json");
+/// {"error": code, "message": text}, escaped; with Retry-After for 429 and 503.
+[[nodiscard]] Response error_response(http::status status, std::string const& code, std::string const& message);
 
-/// The connection an ask came on, for handlers that must not act for nobody.
-/// It may be copied and asked from any thread while the handler runs.
+/// The connection of a request, for handlers that must not act after the caller has left.
+/// May be copied, and used from any thread, while the handler runs.
 class CallerConnection {
  public:
   explicit CallerConnection(Stream& stream) : socket_(stream.socket().native_handle()) {}
-  /// Whether the kernel has heard that the caller closed its side or reset the
-  /// connection: one system call that waits for nothing. A caller that is cut
-  /// off is not known to be gone.
+  /// Whether the caller closed its side or reset the connection, as far as the kernel
+  /// knows: one system call that does not block. A network partition is not detected.
   [[nodiscard]] bool gone() const;
 
  private:
   int socket_;
 };
 
-/// Serves small whole asks (operators, lists); malformed ones get 400, too
-/// large ones 413, slow senders are cut (section 9.6).
-using AskHandler = std::function<Answer(Ask const&, Yield)>;
-using ConnectedAskHandler = std::function<Answer(Ask const&, CallerConnection const&, Yield)>;
-[[nodiscard]] absl::Status serve_asks(boost::asio::io_context& context, std::string const& address, std::size_t most,
-                                      std::size_t body_limit, AskHandler handler);
-[[nodiscard]] absl::Status serve_asks(boost::asio::io_context& context, std::string const& address, std::size_t most,
-                                      std::size_t body_limit, ConnectedAskHandler handler);
-
-/// One ask on a connection of its own.
-[[nodiscard]] absl::StatusOr<Answer> ask_once(boost::asio::io_context& context, std::string const& address, Ask ask,
-                                              Span deadline, std::size_t limit, Yield yield);
+/// Handlers get complete requests.
+using RequestHandler = std::function<Response(Request const&, Yield)>;
+using ConnectedRequestHandler = std::function<Response(Request const&, CallerConnection const&, Yield)>;
+/// Serves small requests (operators, lists) on an address, IP:PORT: malformed ones get 400, too
+/// large ones 413 (431 for the header), slow senders are disconnected (section 9.6). Fails if the
+/// address can't be listened on.
+[[nodiscard]] absl::Status serve_requests(boost::asio::io_context& context, std::string const& address,
+                                          std::size_t max_connections, std::size_t body_limit, RequestHandler handler);
+[[nodiscard]] absl::Status serve_requests(boost::asio::io_context& context, std::string const& address,
+                                          std::size_t max_connections, std::size_t body_limit,
+                                          ConnectedRequestHandler handler);
+
+/// Sends one request on a new connection; `limit` bounds the response body, in bytes.
+[[nodiscard]] absl::StatusOr<Response> send_request(boost::asio::io_context& context, std::string const& address,
+                                                    Request request, Span deadline, std::size_t limit, Yield yield);
 
 }  // namespace finchlink::common
--- a/source/common/log/invariant_log.cpp
+++ b/source/common/log/invariant_log.cpp
@@ -10,12 +10,12 @@
 namespace finchlink::common {
 
 namespace {
-void note_after_pause(std::shared_ptr<boost::asio::steady_timer> const& timer) {
+void log_after_pause(std::shared_ptr<boost::asio::steady_timer> const& timer) {
   timer->expires_after(std::chrono::microseconds(constants::invariant_log_pause));
   timer->async_wait([timer](boost::system::error_code const& error) {
     if (!error) {
-      note_violations();
-      note_after_pause(timer);
+      log_violations();
+      log_after_pause(timer);
     }
   });
 }
@@ -26,14 +26,14 @@
          std::to_string(violation_count(violation.invariant)) + " in this process so far)";
 }
 
-void note_violations() {
+void log_violations() {
   for (InvariantViolation const& violation : take_violations()) {
-    note(Event::InvariantViolated, describe(violation));
+    log_event(Event::InvariantViolated, describe(violation));
   }
 }
 
-void note_violations_while_running(boost::asio::io_context& context) {
-  note_after_pause(std::make_shared<boost::asio::steady_timer>(context));
+void log_violations_periodically(boost::asio::io_context& context) {
+  log_after_pause(std::make_shared<boost::asio::steady_timer>(context));
 }
 
 }  // namespace finchlink::common
--- a/source/common/log/invariant_log.hpp
+++ b/source/common/log/invariant_log.hpp
@@ -7,11 +7,11 @@
 
 namespace finchlink::common {
 
-/// What the log says of a violation.
+/// The log text of a violation.
 [[nodiscard]] std::string describe(InvariantViolation const& violation);
-/// Writes the violations that were kept since the last call to the log.
-void note_violations();
-/// Writes violations to the log every `invariant_log_pause`, for as long as the context runs.
-void note_violations_while_running(boost::asio::io_context& context);
+/// Logs the violations that were kept since the last call.
+void log_violations();
+/// Logs violations every `invariant_log_pause` while the context runs.
+void log_violations_periodically(boost::asio::io_context& context);
 
 }  // namespace finchlink::common
--- a/source/common/log/log.cpp
+++ b/source/common/log/log.cpp
@@ -54,7 +54,7 @@
   boost::log::core::get()->set_filter(trivial::severity >= least);
 }
 
-void note(Event event, std::string const& details) {
+void log_event(Event event, std::string const& details) {
   for (EventEntry const& entry : event_catalogue()) {
     if (entry.event == event) {
       BOOST_LOG_SEV(trivial::logger::get(), severity(entry.level))
--- a/source/common/net/net.cpp
+++ b/source/common/net/net.cpp
@@ -66,7 +66,7 @@
     return error;
   }
   socket.open(target.protocol(), error);
-  // The port is chosen when it connects, so that many may share one.
+  // The port is assigned on connect, so that connections to different targets can share one.
   socket.set_option(asio::detail::socket_option::boolean<IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT>(true), error);
   socket.bind(Endpoint(*own_ip, 0), error);
   return error;
@@ -90,7 +90,7 @@
   timer.async_wait(yield[error]);
 }
 
-absl::Status listen(asio::io_context& context, std::string const& address, std::size_t most,
+absl::Status listen(asio::io_context& context, std::string const& address, std::size_t max_connections,
                     std::function<void(Stream&, Yield)> session) {
   absl::StatusOr<Endpoint> endpoint = read_endpoint(address);
   if (!endpoint.ok()) {
@@ -116,22 +116,22 @@
   std::shared_ptr<std::atomic<std::size_t>> const count = std::make_shared<std::atomic<std::size_t>>(0);
   asio::spawn(
       acceptor->get_executor(),
-      [&context, acceptor, count, most, session](Yield yield) {
+      [&context, acceptor, count, max_connections, session](Yield yield) {
         while (true) {
-          error_code defect_code;
+          error_code accept_error;
           asio::ip::tcp::socket socket(asio::make_strand(context));
-          acceptor->async_accept(socket, yield[defect_code]);
-          if (defect_code == asio::error::operation_aborted) {
+          acceptor->async_accept(socket, yield[accept_error]);
+          if (accept_error == asio::error::operation_aborted) {
             return;
           }
-          if (defect_code) {
+          if (accept_error) {
             asio::steady_timer timer(context, std::chrono::milliseconds(20));
             error_code ignored;
             timer.async_wait(yield[ignored]);
             continue;
           }
-          if (*count >= most) {
-            continue;  // the socket closes: bounds on connections, section 9.6
+          if (*count >= max_connections) {
+            continue;  // closes the socket: limit of connections, section 9.6
           }
           ++*count;
           error_code ignored;
@@ -176,7 +176,8 @@
   return stream;
 }
 
-absl::StatusOr<schema::Message> Caller::exchange(Stream& stream, std::string const& bytes, Span deadline, Yield yield) {
+absl::StatusOr<schema::Message> FrameClient::exchange(Stream& stream, std::string const& bytes, Span deadline,
+                                                      Yield yield) {
   error_code error;
   stream.expires_after(duration(deadline));
   asio::async_write(stream, asio::buffer(bytes), yield[error]);
@@ -204,9 +205,9 @@
   return answer;
 }
 
-absl::StatusOr<schema::Message> Caller::on_own_strand(Stream& stream, std::string const& bytes, Span deadline,
-                                                      Yield yield) {
-  // A kept connection belongs to the strand it was made on, with its timers.
+absl::StatusOr<schema::Message> FrameClient::on_own_strand(Stream& stream, std::string const& bytes, Span deadline,
+                                                           Yield yield) {
+  // A pooled connection and its timers belong to the strand on which it was opened.
   struct Result {
     explicit Result(asio::any_io_executor const& executor) : timer(executor) {}
     std::atomic<bool> done = false;
@@ -232,52 +233,53 @@
   return std::move(result->answer);
 }
 
-absl::StatusOr<schema::Message> Caller::call(std::string const& address, schema::Message const& message, Span deadline,
-                                             Yield yield) {
+absl::StatusOr<schema::Message> FrameClient::call(std::string const& address, schema::Message const& message,
+                                                  Span deadline, Yield yield) {
   std::string const bytes = frame(message);
   Moment const until = boot_now() + deadline;
   count_sent(message.index(), bytes.size());
-  std::unique_ptr<Stream> kept;
+  std::unique_ptr<Stream> connection;
   {
     std::lock_guard<std::mutex> const guard(lock_);
     std::vector<std::unique_ptr<Stream>>& idle = idle_[address];
     if (!idle.empty()) {
-      kept = std::move(idle.back());
+      connection = std::move(idle.back());
       idle.pop_back();
     }
   }
   absl::StatusOr<schema::Message> answer = make_error(absl::StatusCode::kUnavailable, "net", "no connection");
-  if (kept != nullptr) {
-    answer = on_own_strand(*kept, bytes, deadline, yield);
+  if (connection != nullptr) {
+    answer = on_own_strand(*connection, bytes, deadline, yield);
   }
-  // All our messages may be said twice, so a kept connection that turned out
-  // closed is replaced once while time is left.
+  // All messages are idempotent, so if a pooled connection turns out to be closed,
+  // the call is retried once on a new one while time is left.
   if (!answer.ok() && boot_now() < until) {
-    // An opening packet that found nobody is sent again only after a second:
-    // whoever may ask again must hear of it before.
+    // A SYN that got no reply is retransmitted only after a second: the caller must
+    // learn of the failure before that, to retry.
     Span const patience = std::min(until - boot_now(), constants::relay_connect_deadline);
     absl::StatusOr<std::unique_ptr<Stream>> fresh = connect(context_, address, patience, yield, true);
     if (!fresh.ok()) {
       return fresh.status();
     }
-    kept = std::move(*fresh);
+    connection = std::move(*fresh);
     if (boot_now() < until) {
-      answer = on_own_strand(*kept, bytes, until - boot_now(), yield);
+      answer = on_own_strand(*connection, bytes, until - boot_now(), yield);
     }
   }
   if (answer.ok()) {
     std::lock_guard<std::mutex> const guard(lock_);
     std::vector<std::unique_ptr<Stream>>& idle = idle_[address];
     if (idle.size() < constants::idle_connections) {
-      kept->expires_never();
-      idle.push_back(std::move(kept));
+      connection->expires_never();
+      idle.push_back(std::move(connection));
     }
   }
   return answer;
 }
 
-absl::Status serve_frames(asio::io_context& context, std::string const& address, std::size_t most, FrameAnswer answer) {
-  return listen(context, address, most, [answer](Stream& stream, Yield yield) {
+absl::Status serve_frames(asio::io_context& context, std::string const& address, std::size_t max_connections,
+                          FrameHandler handler) {
+  return listen(context, address, max_connections, [handler](Stream& stream, Yield yield) {
     while (true) {
       error_code error;
       std::string header(frame_header, '\0');
@@ -288,7 +290,7 @@
       }
       absl::StatusOr<std::size_t> const length = frame_length(header);
       if (!length.ok()) {
-        note(Event::FrameDefect, std::string(length.status().message()));
+        log_event(Event::FrameDefect, std::string(length.status().message()));
         return;
       }
       std::string payload(*length, '\0');
@@ -298,12 +300,12 @@
       }
       absl::StatusOr<schema::Message> const message = unframe(header, payload);
       if (!message.ok()) {
-        note(Event::FrameDefect, std::string(message.status().message()));
+        log_event(Event::FrameDefect, std::string(message.status().message()));
         return;
       }
       count_received(message->index(), header.size() + payload.size());
       stream.expires_never();
-      std::optional<schema::Message> const reply = answer(*message, yield);
+      std::optional<schema::Message> const reply = handler(*message, yield);
       if (!reply.has_value()) {
         return;
       }
@@ -318,7 +320,7 @@
   });
 }
 
-void Bell::ring() {
+void Notifier::notify_all() {
   std::vector<std::shared_ptr<asio::steady_timer>> waiting;
   {
     std::lock_guard<std::mutex> const guard(lock_);
@@ -330,7 +332,7 @@
   }
 }
 
-void Bell::wait(std::uint64_t seen, Span span, Yield yield) {
+void Notifier::wait(std::uint64_t seen, Span span, Yield yield) {
   std::shared_ptr<asio::steady_timer> const timer =
       std::make_shared<asio::steady_timer>(yield.get_executor(), duration(span));
   {
@@ -346,13 +348,13 @@
   std::erase(waiting_, timer);
 }
 
-std::uint64_t Bell::count() {
+std::uint64_t Notifier::count() {
   std::lock_guard<std::mutex> const guard(lock_);
   return count_;
 }
 
 namespace {
-/// What the calls of one Gather share; the waiter's timer is woken per answer.
+/// Shared by the calls of one Gather::run; each result wakes the waiter's timer.
 struct Inbox {
   explicit Inbox(asio::any_io_executor const& executor) : timer(executor) {}
   std::mutex lock;
@@ -361,16 +363,16 @@
 };
 }  // namespace
 
-void Gather::run(asio::io_context& context, Caller& caller,
+void Gather::run(asio::io_context& context, FrameClient& client,
                  std::vector<std::pair<std::string, schema::Message>> const& calls, Span deadline,
                  Handler const& handler, Yield yield, Span again) {
   std::shared_ptr<Inbox> const inbox = std::make_shared<Inbox>(yield.get_executor());
   Moment const until = boot_now() + deadline;
   asio::any_io_executor const executor = yield.get_executor();
-  std::function<void(std::size_t, Span)> const make = [&context, &caller, &calls, inbox, executor](std::size_t index,
+  std::function<void(std::size_t, Span)> const make = [&context, &client, &calls, inbox, executor](std::size_t index,
                                                                                                    Span patience) {
-    start(context, [&caller, inbox, index, call = calls[index], patience, executor](Yield inner) {
-      absl::StatusOr<schema::Message> answer = caller.call(call.first, call.second, patience, inner);
+    start(context, [&client, inbox, index, call = calls[index], patience, executor](Yield inner) {
+      absl::StatusOr<schema::Message> answer = client.call(call.first, call.second, patience, inner);
       {
         std::lock_guard<std::mutex> const guard(inbox->lock);
         inbox->answers.emplace_back(index, std::move(answer));
@@ -415,8 +417,8 @@
       repeats.pop_front();
     }
     inbox->timer.expires_after(duration((repeats.empty() ? until : repeats.front().first) - now));
-    // An answer may have come between the look and the setting of the timer;
-    // its cancel then is posted behind us on this strand and wakes the wait.
+    // A result may have arrived between the check and the setting of the timer; its
+    // cancel is then queued on this strand behind this coroutine, and ends the wait.
     error_code error;
     inbox->timer.async_wait(yield[error]);
   }
--- a/source/common/net/net.hpp
+++ b/source/common/net/net.hpp
@@ -24,33 +24,37 @@
 using Stream = boost::beast::tcp_stream;
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
+/// Parses IP:PORT, with an IPv6 address in brackets.
 [[nodiscard]] absl::StatusOr<Endpoint> read_endpoint(std::string const& text);
-/// This machine's own IP, to listen on and to connect from; once, at the start.
+/// Sets this machine's own IP, to listen on and to connect from; called once, before any thread starts.
 [[nodiscard]] absl::Status use_own_ip(std::string const& text);
-/// Where an address of this machine is really listened at: its own IP, if one was set.
+/// The endpoint to listen on: with the own IP, if one was set.
 [[nodiscard]] Endpoint own_endpoint(Endpoint endpoint);
-/// Makes a socket that will connect begin at the own IP, if one was set.
+/// Binds a socket that will connect to the own IP, if one was set.
 [[nodiscard]] boost::system::error_code open_own(boost::asio::ip::tcp::socket& socket, Endpoint const& target);
 [[nodiscard]] std::chrono::microseconds duration(Span span);
 
-/// Starts a coroutine on a strand of its own.
+/// Starts a coroutine on its own strand.
 void start(boost::asio::io_context& context, std::function<void(Yield)> body);
+/// Suspends the coroutine for this time.
 void pause(boost::asio::io_context& context, Span span, Yield yield);
 
-/// Listens and starts `session` for each connection, at most `most` at once.
-[[nodiscard]] absl::Status listen(boost::asio::io_context& context, std::string const& address, std::size_t most,
-                                  std::function<void(Stream&, Yield)> session);
+/// Listens and starts `session`, in a coroutine, for each connection; connections beyond
+/// `max_connections` are closed at once.
+[[nodiscard]] absl::Status listen(boost::asio::io_context& context, std::string const& address,
+                                  std::size_t max_connections, std::function<void(Stream&, Yield)> session);
 
-/// A connection to a colleague or back end.
+/// Connects to a peer or a worker. The stream runs on the calling coroutine's executor, or, with
+/// `own_strand`, on a strand of its own.
 [[nodiscard]] absl::StatusOr<std::unique_ptr<Stream>> connect(boost::asio::io_context& context,
                                                               std::string const& address, Span deadline, Yield yield,
                                                               bool own_strand = false);
 
-/// Calls to our own processes over kept connections (section 3.2). One call
-/// at a time uses a connection; a defect closes it.
-class Caller {
+/// Sends frames to other finchlink processes over pooled connections and reads the responses
+/// (section 3.2). A connection serves one call at a time and is closed after an error. Thread-safe.
+class FrameClient {
  public:
-  explicit Caller(boost::asio::io_context& context) : context_(context) {}
+  explicit FrameClient(boost::asio::io_context& context) : context_(context) {}
   [[nodiscard]] absl::StatusOr<schema::Message> call(std::string const& address, schema::Message const& message,
                                                      Span deadline, Yield yield);
 
@@ -64,18 +68,20 @@
   std::map<std::string, std::vector<std::unique_ptr<Stream>>> idle_;
 };
 
-/// Answers frames; `answer` gives nothing when this side stays silent.
-using FrameAnswer = std::function<std::optional<schema::Message>(schema::Message const&, Yield)>;
-[[nodiscard]] absl::Status serve_frames(boost::asio::io_context& context, std::string const& address, std::size_t most,
-                                        FrameAnswer answer);
+/// Returns the response to a message; without one the connection is closed.
+using FrameHandler = std::function<std::optional<schema::Message>(schema::Message const&, Yield)>;
+/// Serves frames on an address; a frame that can't be read closes its connection.
+[[nodiscard]] absl::Status serve_frames(boost::asio::io_context& context, std::string const& address,
+                                        std::size_t max_connections, FrameHandler handler);
 
-/// Wakes all who wait; each waits in its own coroutine (section 3.3).
-class Bell {
+/// Wakes all coroutines that wait for it (section 3.3), like a condition variable. Thread-safe.
+class Notifier {
  public:
-  void ring();
-  /// Returns after a ring or when the time is up. `seen` is count() taken
-  /// before the waiter looked at the state, so that no ring is missed.
+  void notify_all();
+  /// Returns after a notification or a timeout. `seen` is the value of count() from
+  /// before the waiter read the state, so that no notification is missed.
   void wait(std::uint64_t seen, Span span, Yield yield);
+  /// Number of notifications so far.
   [[nodiscard]] std::uint64_t count();
 
  private:
@@ -84,14 +90,14 @@
   std::vector<std::shared_ptr<boost::asio::steady_timer>> waiting_;
 };
 
-/// Runs calls to many at once and hands each answer over, in the caller's
-/// strand, as it comes; returns when `done` says so, all answered or time is up.
-/// With a pause in `again`, a call that failed is made again after it while
-/// another is under way: who was down may be up before who is silent answers.
+/// Makes several calls in parallel and passes each result to `handler`, on the calling
+/// coroutine's strand, as it arrives; returns when the handler returns true, all calls are
+/// complete or the deadline is over. With a pause `again`, a call that failed is retried after
+/// it while another is in flight: a peer that was down may be up before a stalled one responds.
 class Gather {
  public:
   using Handler = std::function<bool(std::size_t index, absl::StatusOr<schema::Message> const& answer)>;
-  static void run(boost::asio::io_context& context, Caller& caller,
+  static void run(boost::asio::io_context& context, FrameClient& client,
                   std::vector<std::pair<std::string, schema::Message>> const& calls, Span deadline,
                   Handler const& handler, Yield yield, Span again = 0);
 };
--- a/source/common/net/traffic.cpp
+++ b/source/common/net/traffic.cpp
@@ -32,7 +32,7 @@
 void wait_for_signal(std::shared_ptr<boost::asio::signal_set> const& signals) {
   signals->async_wait([signals](boost::system::error_code const& error, int) {
     if (!error) {
-      note(Event::ProcessTraffic, describe_traffic());
+      log_event(Event::ProcessTraffic, describe_traffic());
       wait_for_signal(signals);
     }
   });
@@ -60,7 +60,7 @@
   return text + "}";
 }
 
-void note_traffic_on_signal(boost::asio::io_context& context) {
+void log_traffic_on_signal(boost::asio::io_context& context) {
   wait_for_signal(std::make_shared<boost::asio::signal_set>(context, SIGUSR1));
 }
 
--- a/source/common/process/process.cpp
+++ b/source/common/process/process.cpp
@@ -20,13 +20,13 @@
 
 absl::Status check_bounds(schema::TimeBounds const& bounds) {
   std::uint64_t const round = static_cast<std::uint64_t>(constants::wide_round / 1000);
-  // A furrow whose trellis went as it asked: the ask fails, the next one is
-  // confirmed by a trellis that has read the change by then.
+  // The worst case is a proxy whose controller vanishes during a request: the request fails, and
+  // the next one is confirmed by a controller that has read the change by then.
   std::uint64_t const updates = bounds.ask_deadline_ms + static_cast<std::uint64_t>(constants::ask_retry / 1000) +
                                 bounds.confirm_pause_ms + round;
   std::uint64_t const listed = 2 * bounds.list_pause_ms + bounds.tell_pause_ms + round + bounds.ask_hold_ms;
-  // A session that a peer trellis tells of: heard at one ask, told just before
-  // the next, and kept until the telling after that.
+  // A session that a peer controller reports: renewed by one request, reported just
+  // before the next, and kept until the report after that.
   std::uint64_t const gossip = bounds.ask_hold_ms +
                                static_cast<std::uint64_t>(constants::min_update_request_interval / 1000) +
                                bounds.tell_pause_ms + round;
@@ -36,14 +36,17 @@
     std::uint64_t bound;
   };
   Sum const sums[] = {
-      {"news of a change is later than apply_ms", updates, bounds.apply_ms},
-      {"news of an evacuation is later than evacuate_ms", updates, bounds.evacuate_ms},
-      {"news of a draining worker is later than drain_ms", listed, bounds.drain_ms},
-      {"an ask is held longer than it may take", bounds.ask_hold_ms + round, bounds.ask_deadline_ms},
-      {"an unconfirmed ask is answered later than it may take", bounds.ask_patience_ms + round, bounds.ask_deadline_ms},
-      {"a session ends between two asks", bounds.ask_deadline_ms + round, bounds.session_bound_ms},
-      {"a session that peers tell of ends between two tellings", gossip, bounds.session_bound_ms},
-      {"a change waits longer than it may take", bounds.acknowledge_wait_ms + 2 * round, bounds.acknowledge_ms},
+      {"a change takes longer to reach proxies than apply_ms", updates, bounds.apply_ms},
+      {"an evacuation takes longer to reach proxies than evacuate_ms", updates, bounds.evacuate_ms},
+      {"a draining worker takes longer to reach proxies than drain_ms", listed, bounds.drain_ms},
+      {"ask_hold_ms and a round exceed ask_deadline_ms", bounds.ask_hold_ms + round, bounds.ask_deadline_ms},
+      {"ask_patience_ms and a round exceed ask_deadline_ms", bounds.ask_patience_ms + round, bounds.ask_deadline_ms},
+      {"a session would end between two requests: session_bound_ms is too short", bounds.ask_deadline_ms + round,
+       bounds.session_bound_ms},
+      {"a session reported by peers would end between two reports: session_bound_ms is too short", gossip,
+       bounds.session_bound_ms},
+      {"acknowledge_wait_ms and two rounds exceed acknowledge_ms", bounds.acknowledge_wait_ms + 2 * round,
+       bounds.acknowledge_ms},
   };
   for (Sum const& entry : sums) {
     if (entry.sum > entry.bound) {
@@ -78,20 +81,20 @@
     return 0;
   }
   if (!invocation->words.empty()) {
-    std::cerr << daemon.program << ": '" << invocation->words.front() << "' is not understood\n";
+    std::cerr << daemon.program << ": '" << invocation->words.front() << "': unexpected argument; see --help\n";
     return exit_usage;
   }
-  Followed followed(path.value_or(""), daemon.read_settings, daemon.changed);
+  SettingsWatcher watcher(path.value_or(""), daemon.read_settings, daemon.changed);
   if (path.has_value()) {
-    // A signal that comes before it is waited for must not end the process; the
-    // file's stamp tells of the change as well.
+    // A SIGHUP before its handler is installed must not end the process; polling the
+    // file finds the change as well.
     std::signal(SIGHUP, SIG_IGN);
-    absl::Status const good = followed.begin(invocation->settings);
+    absl::Status const good = watcher.begin(invocation->settings);
     if (!good.ok()) {
       std::cerr << daemon.program << ": " << good.message() << "\n";
       return exit_usage;
     }
-    invocation->settings = followed.settings();
+    invocation->settings = watcher.settings();
   }
   if (invocation->check) {
     std::cout << "settings are good\n";
@@ -107,18 +110,18 @@
       return exit_usage;
     }
   }
-  // Never destroyed: what waits in it and what `begin` made refer to each other, so neither can go first; the
-  // process ends behind this, and the system takes all of it back.
+  // Never destroyed: pending handlers and the objects that `begin` created refer to each other, so neither can be
+  // destroyed first; the process ends after this, and the system reclaims the memory.
   boost::asio::io_context& context =
       *std::make_unique<boost::asio::io_context>(static_cast<int>(settings.threads)).release();
   absl::Status const begun = daemon.begin(context, settings);
   if (!begun.ok()) {
-    note(Event::ListenDefect, std::string(begun.message()));
+    log_event(Event::ListenDefect, std::string(begun.message()));
     return exit_listen;
   }
-  note(Event::ProcessStarted, "http " + settings.http_address + " colleagues " + settings.colleague_address);
-  note_traffic_on_signal(context);
-  note_violations_while_running(context);
+  log_event(Event::ProcessStarted, "http " + settings.http_address + " colleagues " + settings.colleague_address);
+  log_traffic_on_signal(context);
+  log_violations_periodically(context);
   boost::asio::signal_set signals(context, SIGTERM, SIGINT);
   Span const drain_span =
       path.has_value()
@@ -129,7 +132,7 @@
     if (error) {
       return;
     }
-    note(Event::ProcessDraining, "");
+    log_event(Event::ProcessDraining, "");
     Moment const until = boot_now() + drain_span;
     daemon.drain(until);
     start(context, [&context, &daemon, until](Yield yield) {
@@ -140,7 +143,7 @@
     });
   });
   if (path.has_value()) {
-    followed.run(context, constants::settings_pause);
+    watcher.run(context, constants::settings_pause);
   }
   std::vector<std::thread> threads;
   for (std::uint64_t index = 1; index < settings.threads; ++index) {
@@ -150,8 +153,8 @@
   for (std::thread& thread : threads) {
     thread.join();
   }
-  note_violations();
-  note(Event::ProcessStopped, "");
+  log_violations();
+  log_event(Event::ProcessStopped, "");
   return 0;
 }
 
--- a/source/common/process/process.hpp
+++ b/source/common/process/process.hpp
@@ -13,26 +13,28 @@
 
 namespace finchlink::common {
 
-/// Runs one daemon: words before settings (--help …), log, threads, signals.
-/// `begin` starts its loops; `busy` tells whether something still runs, so
-/// that SIGTERM can wait for it (section 3.4).
+/// Describes a daemon for `run_daemon`.
 struct Daemon {
   std::string program;
-  std::vector<std::string> needed;
+  std::vector<std::string> needed;  ///< settings that must be given
+  /// Starts the daemon's loops; an error ends the process with `exit_listen`.
   std::function<absl::Status(boost::asio::io_context&, schema::Settings const&)> begin;
-  /// Told to end; the process is stopped at `until` at the latest.
+  /// Called on SIGTERM or SIGINT; the process stops at `until` at the latest.
   std::function<void(Moment until)> drain;
+  /// Whether work is still running, which a shutdown waits for (section 3.4).
   std::function<bool()> busy;
-  /// Settings that someone else writes (section 13.2): where they are, and how
-  /// they are read. Both are left empty where the settings are our own.
+  /// Settings that another system writes (section 13.2): the file's path, and how it
+  /// is read. Both are empty if the daemon has only its own settings.
   std::function<std::optional<std::string>()> settings_path;
   std::function<absl::StatusOr<schema::Settings>(std::string const&)> read_settings;
-  /// Takes settings that changed while the process runs.
+  /// Called with settings that changed while the process runs.
   std::function<void(schema::Settings const&)> changed;
 };
-/// Whether the time bounds add up to what is allowed (sections 4 and 13.2);
-/// checked where the settings are someone else's.
+/// Checks that the time bounds add up to what is allowed (sections 4 and 13.2); applied to
+/// settings that another system writes. The error names the violated bound.
 [[nodiscard]] absl::Status check_bounds(schema::TimeBounds const& bounds);
+/// Runs a daemon until it is told to stop: flags and settings, log, threads, signals.
+/// Returns the exit code.
 [[nodiscard]] int run_daemon(Daemon const& daemon, int count, char const* const* values);
 
 }  // namespace finchlink::common
--- a/source/common/process/settings_watcher.cpp
+++ b/source/common/process/settings_watcher.cpp
@@ -12,7 +12,7 @@
 
 namespace finchlink::common {
 
-Followed::Stamp Followed::stamp() const {
+SettingsWatcher::Stamp SettingsWatcher::stamp() const {
   struct stat status {};
   if (stat(path_.c_str(), &status) != 0) {
     return Stamp{};
@@ -20,47 +20,47 @@
   return Stamp{status.st_mtim.tv_sec, status.st_mtim.tv_nsec, status.st_size};
 }
 
-absl::StatusOr<schema::Settings> Followed::checked() const {
+absl::StatusOr<schema::Settings> SettingsWatcher::read_checked() const {
   absl::StatusOr<schema::Settings> read = reader_(path_);
   absl::Status const good = read.ok() ? check_bounds(read->bounds) : read.status();
   return good.ok() ? std::move(read) : absl::StatusOr<schema::Settings>(good);
 }
 
-absl::Status Followed::begin(schema::Settings const& given) {
-  read_at_ = stamp();
-  absl::StatusOr<schema::Settings> fresh = checked();
+absl::Status SettingsWatcher::begin(schema::Settings const& given) {
+  read_stamp_ = stamp();
+  absl::StatusOr<schema::Settings> fresh = read_checked();
   if (fresh.ok()) {
-    keep_options(given, *fresh);
+    keep_command_line_options(given, *fresh);
     settings_ = std::move(*fresh);
   }
   return fresh.status();
 }
 
-void Followed::read() {
-  read_at_ = stamp();
-  absl::StatusOr<schema::Settings> fresh = checked();
+void SettingsWatcher::read() {
+  read_stamp_ = stamp();
+  absl::StatusOr<schema::Settings> fresh = read_checked();
   if (!fresh.ok()) {
-    note(Event::SettingsBroken, std::string(fresh.status().message()));
+    log_event(Event::SettingsBroken, std::string(fresh.status().message()));
     return;
   }
-  keep_options(settings_, *fresh);
+  keep_command_line_options(settings_, *fresh);
   if (*fresh == settings_) {
     return;
   }
   settings_ = std::move(*fresh);
-  note(Event::SettingsRead, path_);
+  log_event(Event::SettingsRead, path_);
   if (changed_) {
     changed_(settings_);
   }
 }
 
-void Followed::look() {
-  if (!(stamp() == read_at_)) {
+void SettingsWatcher::poll() {
+  if (!(stamp() == read_stamp_)) {
     read();
   }
 }
 
-void Followed::run(boost::asio::io_context& context, Span span) {
+void SettingsWatcher::run(boost::asio::io_context& context, Span span) {
   std::shared_ptr<boost::asio::signal_set> const hangups = std::make_shared<boost::asio::signal_set>(context, SIGHUP);
   start(context, [this, hangups](Yield yield) {
     while (true) {
@@ -75,7 +75,7 @@
   start(context, [this, &context, span](Yield yield) {
     while (true) {
       pause(context, span, yield);
-      look();
+      poll();
     }
   });
 }
--- a/source/common/process/settings_watcher.hpp
+++ b/source/common/process/settings_watcher.hpp
@@ -13,28 +13,28 @@
 
 namespace finchlink::common {
 
-/// Settings of a file that someone else writes and changes (section 13.2): what
-/// is in force, read anew on SIGHUP and when the file's stamp changes. A file
-/// that can't be read, or whose bounds don't add up, leaves the old in force.
-class Followed {
+/// Settings from a file that another system writes and changes (section 13.2). The file
+/// is reloaded on SIGHUP and when its modification time or size changes. If it can't be
+/// read, or its time bounds are inconsistent, the old settings stay in force.
+class SettingsWatcher {
  public:
   using Reader = std::function<absl::StatusOr<schema::Settings>(std::string const& path)>;
   using Changed = std::function<void(schema::Settings const&)>;
 
-  Followed(std::string path, Reader reader, Changed changed)
+  SettingsWatcher(std::string path, Reader reader, Changed changed)
       : path_(std::move(path)), reader_(std::move(reader)), changed_(std::move(changed)) {}
-  /// The first reading; options that the file does not tell are `given`'s.
+  /// Reads the file for the first time; options that it can't hold are taken from `given`.
   [[nodiscard]] absl::Status begin(schema::Settings const& given);
-  /// Reads the file; what is new and good is in force from here on.
+  /// Reads the file; settings that differ and are valid come into force and are passed to `changed`.
   void read();
-  /// The same if the file changed since it was read.
-  void look();
+  /// Calls read() if the file changed since it was last read.
+  void poll();
   [[nodiscard]] schema::Settings const& settings() const { return settings_; }
-  /// Follows signals, and looks at the file after each pause.
+  /// Starts the loops that handle SIGHUP and poll the file after each pause.
   void run(boost::asio::io_context& context, Span pause);
 
  private:
-  /// What tells one state of a file from another without reading it.
+  /// Modification time and size: detect a change of the file without reading it.
   struct Stamp {
     std::int64_t second = 0;
     std::int64_t nanosecond = 0;
@@ -42,12 +42,13 @@
     friend bool operator==(Stamp const&, Stamp const&) = default;
   };
   [[nodiscard]] Stamp stamp() const;
-  [[nodiscard]] absl::StatusOr<schema::Settings> checked() const;
+  /// Reads the file and checks the time bounds.
+  [[nodiscard]] absl::StatusOr<schema::Settings> read_checked() const;
 
   std::string path_;
   Reader reader_;
   Changed changed_;
-  Stamp read_at_;
+  Stamp read_stamp_;
   schema::Settings settings_;
 };
 
--- a/source/common/random/random.hpp
+++ b/source/common/random/random.hpp
@@ -5,13 +5,13 @@
 
 namespace finchlink::common {
 
-/// Randomness for shells; cores are handed what they need.
+/// A random number, for code that does I/O; the cores get random values as arguments.
 [[nodiscard]] inline std::uint64_t random_number() {
   thread_local std::mt19937_64 generator{(static_cast<std::uint64_t>(std::random_device{}()) << 32u) ^
                                          std::random_device{}()};
   return generator();
 }
-/// An identity that JSON can carry exactly and that is never zero.
+/// A random identity of at most 53 bits, which JSON carries exactly; never zero.
 [[nodiscard]] inline std::uint64_t random_identity() {
   return (random_number() >> 12u) + 1;
 }
--- a/source/common/settings/settings.cpp
+++ b/source/common/settings/settings.cpp
@@ -21,14 +21,14 @@
   return text;
 }
 
-std::string hyphened(std::string text) {
+std::string hyphenated(std::string text) {
   for (char& letter : text) {
     letter = letter == '_' ? '-' : letter;
   }
   return text;
 }
 
-/// A flag's or variable's text as the JSON value that its field wants.
+/// Sets a field from the text of a flag or variable, with the field's JSON type.
 void overlay(cJSON* object, schema::Flag const& flag, std::vector<std::string> const& texts) {
   cJSON_DeleteItemFromObjectCaseSensitive(object, flag.name);
   if (flag.many) {
@@ -48,7 +48,7 @@
   }
 }
 
-std::vector<std::string> parts(std::string const& text) {
+std::vector<std::string> split_commas(std::string const& text) {
   std::vector<std::string> result;
   std::stringstream stream(text);
   std::string part;
@@ -65,7 +65,7 @@
 }
 }  // namespace
 
-void keep_options(schema::Settings const& given, schema::Settings& read) {
+void keep_command_line_options(schema::Settings const& given, schema::Settings& read) {
   read.scaler = given.scaler;
   read.scaler_window_ms = given.scaler_window_ms;
   read.scaler_slices = given.scaler_slices;
@@ -83,7 +83,7 @@
   visible.add_options()("help", "this text")("version", "the version")("check", "check the settings, then stop")(
       "events", "print the catalogue of log events")("settings", options::value<std::string>(), "settings file (JSON)");
   for (schema::Flag const& flag : schema::flags) {
-    visible.add_options()(hyphened(flag.name).c_str(), options::value<std::vector<std::string>>()->composing(),
+    visible.add_options()(hyphenated(flag.name).c_str(), options::value<std::vector<std::string>>()->composing(),
                           flag.about);
   }
   options::options_description hidden;
@@ -130,16 +130,16 @@
   for (schema::Flag const& flag : schema::flags) {
     char const* const variable = std::getenv(("FINCHLINK_" + upper(flag.name)).c_str());
     if (variable != nullptr) {
-      std::vector<std::string> const texts = flag.many ? parts(variable) : std::vector<std::string>{variable};
+      std::vector<std::string> const texts = flag.many ? split_commas(variable) : std::vector<std::string>{variable};
       if (!texts.empty()) {
         overlay(object.get(), flag, texts);
       }
     }
-    std::string const name = hyphened(flag.name);
+    std::string const name = hyphenated(flag.name);
     if (found.count(name) > 0) {
       std::vector<std::string> texts;
       for (std::string const& given : found[name].as<std::vector<std::string>>()) {
-        std::vector<std::string> const more = flag.many ? parts(given) : std::vector<std::string>{given};
+        std::vector<std::string> const more = flag.many ? split_commas(given) : std::vector<std::string>{given};
         texts.insert(texts.end(), more.begin(), more.end());
       }
       overlay(object.get(), flag, texts);
--- a/source/common/settings/settings.hpp
+++ b/source/common/settings/settings.hpp
@@ -17,7 +17,7 @@
 
 inline constexpr char const* program_version = "0.1.0";
 
-/// What the command line asked for besides the settings.
+/// The parsed command line: settings and the actions that it requests.
 struct Invocation {
   schema::Settings settings;
   bool check = false;
@@ -25,17 +25,17 @@
   bool events = false;
   bool help = false;
   std::string help_text;
-  std::vector<std::string> words;  ///< positional words
+  std::vector<std::string> words;  ///< positional arguments
 };
 
-/// Settings from file, then environment (FINCHLINK_NAME …), then flags; each
-/// later one wins. All faults come at once, with their place.
+/// Reads settings from the file, then the environment (FINCHLINK_NAME …), then flags; the
+/// later takes precedence. The error lists all invalid or missing (`needed`) settings.
 [[nodiscard]] absl::StatusOr<Invocation> read_invocation(int count, char const* const* values,
                                                          std::string const& program,
                                                          std::vector<std::string> const& needed);
 
-/// Options of the command line that another's settings file doesn't tell of
-/// (section 13.2) stay as they were given.
-void keep_options(schema::Settings const& given, schema::Settings& read);
+/// Copies the options that exist only on the command line, not in a settings file
+/// that another system writes (section 13.2).
+void keep_command_line_options(schema::Settings const& given, schema::Settings& read);
 
 }  // namespace finchlink::common
--- a/source/common/time/moment.hpp
+++ b/source/common/time/moment.hpp
@@ -5,9 +5,10 @@
 
 namespace finchlink::common {
 
-/// Microseconds on the boot-time clock: it goes on while a machine sleeps and
-/// no one can set it (section 3). Cores are handed a Moment, never read one.
+/// Microseconds on the boot-time clock, which advances while a machine is suspended and
+/// can't be set (section 3). Cores get a Moment as an argument and never read the clock.
 using Moment = std::int64_t;
+/// A duration in microseconds.
 using Span = std::int64_t;
 
 [[nodiscard]] constexpr Span milliseconds(std::int64_t count) {
@@ -17,6 +18,7 @@
   return count * 1000000;
 }
 
+/// Reads the boot-time clock.
 [[nodiscard]] inline Moment boot_now() {
   timespec reading{};
   clock_gettime(CLOCK_BOOTTIME, &reading);
--- a/source/common/wire/frame.cpp
+++ b/source/common/wire/frame.cpp
@@ -17,12 +17,12 @@
   std::memcpy(&value, bytes.data() + offset, sizeof(value));
   return value;
 }
-std::uint32_t check_of(std::string_view bytes) {
-  boost::crc_32_type check;
-  check.process_bytes(bytes.data(), bytes.size());
-  return check.checksum();
+std::uint32_t checksum_of(std::string_view bytes) {
+  boost::crc_32_type crc;
+  crc.process_bytes(bytes.data(), bytes.size());
+  return crc.checksum();
 }
-/// The payload after its own length; nothing when it does not get smaller.
+/// The uncompressed length, then the compressed payload; empty if that is not smaller.
 std::string compress(std::string const& payload) {
   std::uint32_t const length = static_cast<std::uint32_t>(payload.size());
   uLongf size = compressBound(payload.size());
@@ -40,7 +40,7 @@
 absl::StatusOr<std::string> expand(std::string_view bytes) {
   std::uint32_t const length = bytes.size() < sizeof(length) ? 0 : word(bytes, 0);
   if (length == 0 || length > constants::frame_limit) {
-    return make_error(absl::StatusCode::kDataLoss, "frame", "the length before compression is wrong");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the uncompressed length is invalid");
   }
   std::string payload(length, '\0');
   uLongf size = length;
@@ -48,7 +48,7 @@
       uncompress(reinterpret_cast<Bytef*>(payload.data()), &size,
                  reinterpret_cast<Bytef const*>(bytes.data() + sizeof(length)), bytes.size() - sizeof(length));
   if (done != Z_OK || size != length) {
-    return make_error(absl::StatusCode::kDataLoss, "frame", "what is compressed can't be expanded");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the payload can't be decompressed");
   }
   return payload;
 }
@@ -56,15 +56,15 @@
 
 std::string frame(schema::Message const& message) {
   std::string payload = pack(message);
-  std::uint32_t mark = constants::frame_magic;
+  std::uint32_t magic = constants::frame_magic;
   if (payload.size() >= constants::min_compressed_frame && payload.size() <= constants::frame_limit) {
     std::string smaller = compress(payload);
     if (!smaller.empty()) {
-      mark = constants::frame_magic_compressed;
+      magic = constants::frame_magic_compressed;
       payload = std::move(smaller);
     }
   }
-  std::uint32_t const words[3] = {mark, static_cast<std::uint32_t>(payload.size()), check_of(payload)};
+  std::uint32_t const words[3] = {magic, static_cast<std::uint32_t>(payload.size()), checksum_of(payload)};
   std::string bytes(reinterpret_cast<char const*>(words), sizeof(words));
   return bytes + payload;
 }
@@ -72,7 +72,7 @@
 absl::StatusOr<std::size_t> frame_length(std::string_view header) {
   if (header.size() != frame_header ||
       (word(header, 0) != constants::frame_magic && word(header, 0) != constants::frame_magic_compressed)) {
-    return make_error(absl::StatusCode::kDataLoss, "frame", "the mark is wrong");
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the magic is wrong");
   }
   std::size_t const length = word(header, 4);
   if (length > constants::frame_limit) {
@@ -86,8 +86,8 @@
   if (!length.ok()) {
     return length.status();
   }
-  if (*length != payload.size() || word(header, 8) != check_of(payload)) {
-    return make_error(absl::StatusCode::kDataLoss, "frame", "the check is wrong");
+  if (*length != payload.size() || word(header, 8) != checksum_of(payload)) {
+    return make_error(absl::StatusCode::kDataLoss, "frame", "the length or checksum of the payload is wrong");
   }
   std::string expanded;
   if (word(header, 0) == constants::frame_magic_compressed) {
@@ -100,7 +100,7 @@
   }
   absl::StatusOr<schema::Message> message = unpack<schema::Message>(payload);
   if (!message.ok()) {
-    return turned(absl::StatusCode::kDataLoss, "frame", "the message can't be read", message.status());
+    return wrap_error(absl::StatusCode::kDataLoss, "frame", "the message can't be read", message.status());
   }
   return message;
 }
--- a/source/common/wire/frame.hpp
+++ b/source/common/wire/frame.hpp
@@ -9,12 +9,14 @@
 
 namespace finchlink::common {
 
-/// A frame: mark, length and check of four bytes each, then the packed message
-/// (section 3.2).
+/// Bytes of a frame's header: magic, payload length and CRC-32 of the payload, four bytes each.
+/// The payload is the packed message, compressed if the magic says so (section 3.2).
 inline constexpr std::size_t frame_header = 12;
+/// Encodes a message.
 [[nodiscard]] std::string frame(schema::Message const& message);
-/// Length of the payload that a header announces.
+/// Payload length from a header; an error if the magic is wrong or the length exceeds `frame_limit`.
 [[nodiscard]] absl::StatusOr<std::size_t> frame_length(std::string_view header);
+/// Decodes a frame after verifying its checksum.
 [[nodiscard]] absl::StatusOr<schema::Message> unframe(std::string_view header, std::string_view payload);
 
 }  // namespace finchlink::common
--- a/source/common/wire/pack.hpp
+++ b/source/common/wire/pack.hpp
@@ -18,10 +18,10 @@
 
 namespace finchlink::common {
 
-/// cereal archives over a string. cereal has its users derive from its base
-/// classes; these two are the only inheritance here (section 3). Unlike its
-/// own binary archive, the reader checks every announced size against the
-/// bytes that are left, so that a broken frame can't ask for memory.
+/// cereal archives over a string. cereal requires archives to derive from its base
+/// classes, hence the inheritance, which this project avoids elsewhere (section 3).
+/// Unlike cereal's binary archive, the reader checks every encoded size against the
+/// remaining bytes, so that a corrupt frame can't cause a large allocation.
 class PackWriter : public cereal::OutputArchive<PackWriter, cereal::AllowEmptyClassElision> {
  public:
   explicit PackWriter(std::string& target)
@@ -36,6 +36,7 @@
  public:
   explicit PackReader(std::string_view source)
       : cereal::InputArchive<PackReader, cereal::AllowEmptyClassElision>(this), source_(source) {}
+  /// Throws std::out_of_range if fewer bytes are left; `unpack` turns that into an error.
   void take(void* data, std::size_t size) {
     if (size > source_.size()) {
       throw std::out_of_range("the frame ends too early");
@@ -93,6 +94,7 @@
   }
 }
 
+/// Serialises a generated structure.
 template <class Kind>
 [[nodiscard]] std::string pack(Kind const& entry) {
   std::string target;
@@ -101,6 +103,7 @@
   return target;
 }
 
+/// The reverse of pack(); bytes that are left over are an error.
 template <class Kind>
 [[nodiscard]] absl::StatusOr<Kind> unpack(std::string_view source) {
   try {
--- a/source/tests/common/asks_test.cpp
+++ b/source/tests/common/asks_test.cpp
@@ -6,46 +6,46 @@
 namespace finchlink::relay_test {
 namespace {
 
-/// Serves asks of up to a thousand bytes; scripted callers turn to it.
-struct Served {
-  Served() {
+/// Serves requests with bodies of up to a thousand bytes to scripted callers.
+struct TestServer {
+  TestServer() {
     address = fleet.next_address();
     EXPECT_TRUE(
-        common::serve_requests(*fleet.context, address, 16, 1000, [](common::Request const& ask, common::Yield) {
-          return common::text_response(http::status::ok, "got " + std::to_string(ask.body().size()));
+        common::serve_requests(*fleet.context, address, 16, 1000, [](common::Request const& request, common::Yield) {
+          return common::text_response(http::status::ok, "got " + std::to_string(request.body().size()));
         }).ok());
   }
   Fleet fleet;
   std::string address;
 };
 
-TEST(Asks, AnAnswerArrivesThoughBytesAreUnread) {
-  // An operator whose charter is too large must hear it, or sends it again.
+TEST(ServeRequests, AnAnswerArrivesThoughBytesAreUnread) {
+  // An operator whose routing configuration is too large must get the 413, or it retries.
   std::string const body(30000, 'x');
-  Served served;
+  TestServer server;
   std::shared_ptr<Line> const caller =
-      served.fleet.call("PUT /charter HTTP/1.1\r\nHost: any\r\nContent-Length: 30000\r\n\r\n" + body, served.address);
-  ASSERT_TRUE(served.fleet.until([&] { return caller->ended; }));
+      server.fleet.call("PUT /charter HTTP/1.1\r\nHost: any\r\nContent-Length: 30000\r\n\r\n" + body, server.address);
+  ASSERT_TRUE(server.fleet.until([&] { return caller->ended; }));
   EXPECT_FALSE(caller->was_reset);
-  std::optional<Response> const answer = served.fleet.answer_on(caller);
+  std::optional<Response> const answer = server.fleet.answer_on(caller);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->result_int(), 413u);
 }
 
-TEST(Asks, AHeadIsAnsweredWithoutABody) {
-  Served served;
-  std::shared_ptr<Line> const caller = served.fleet.call("HEAD /any HTTP/1.1\r\nHost: any\r\n\r\n", served.address);
-  ASSERT_TRUE(served.fleet.until([&] { return caller->got.find("\r\n\r\n") != std::string::npos; }));
+TEST(ServeRequests, AHeadIsAnsweredWithoutABody) {
+  TestServer server;
+  std::shared_ptr<Line> const caller = server.fleet.call("HEAD /any HTTP/1.1\r\nHost: any\r\n\r\n", server.address);
+  ASSERT_TRUE(server.fleet.until([&] { return caller->got.find("\r\n\r\n") != std::string::npos; }));
   EXPECT_NE(caller->got.find("\r\nContent-Length: 5\r\n"), std::string::npos) << caller->got;
   EXPECT_EQ(caller->got.find("\r\n\r\n") + 4, caller->got.size());
   caller->got.clear();
   caller->send("GET /any HTTP/1.1\r\nHost: any\r\n\r\n");
-  std::optional<Response> const answer = served.fleet.answer_on(caller);
+  std::optional<Response> const answer = server.fleet.answer_on(caller);
   ASSERT_TRUE(answer.has_value());
   EXPECT_EQ(answer->body(), "got 0");
 }
 
-TEST(Asks, AHandlerIsToldWhenItsCallerGoes) {
+TEST(ServeRequests, AHandlerIsToldWhenItsCallerGoes) {
   bool serving = false;
   bool there_at_first = false;
   bool gone_at_last = false;
--- a/source/tests/common/delta_test.cpp
+++ b/source/tests/common/delta_test.cpp
@@ -9,17 +9,17 @@
 
 using State = std::map<std::string, std::string>;
 
-TEST(Delta, AnAskerThatHoldsNothingIsToldAll) {
+TEST(Delta, AnEmptyReplicaGetsAllEntries) {
   DeltaSource source(8);
   source.take(State{{"a", "1"}, {"b", "2"}});
   std::optional<Delta> const delta = source.since(0);
   ASSERT_TRUE(delta.has_value());
   EXPECT_TRUE(delta->whole);
   EXPECT_EQ(delta->put.size(), 2u);
-  DeltaReplica copy;
-  EXPECT_TRUE(copy.apply(*delta));
-  EXPECT_EQ(copy.entries(), (State{{"a", "1"}, {"b", "2"}}));
-  EXPECT_FALSE(source.since(copy.digest()).has_value());
+  DeltaReplica replica;
+  EXPECT_TRUE(replica.apply(*delta));
+  EXPECT_EQ(replica.entries(), (State{{"a", "1"}, {"b", "2"}}));
+  EXPECT_FALSE(source.since(replica.digest()).has_value());
 }
 
 TEST(Delta, CarriesOnlyWhatChanged) {
@@ -29,20 +29,20 @@
     state["worker-" + std::to_string(index)] = "ready";
   }
   source.take(state);
-  DeltaReplica copy;
-  ASSERT_TRUE(copy.apply(*source.since(0)));
+  DeltaReplica replica;
+  ASSERT_TRUE(replica.apply(*source.since(0)));
   state["worker-7"] = "draining";
   state.erase("worker-9");
   state["worker-601"] = "ready";
   EXPECT_TRUE(source.take(state));
-  std::optional<Delta> const delta = source.since(copy.digest());
+  std::optional<Delta> const delta = source.since(replica.digest());
   ASSERT_TRUE(delta.has_value());
   EXPECT_FALSE(delta->whole);
   EXPECT_EQ(delta->put,
             (std::vector<std::pair<std::string, std::string>>{{"worker-601", "ready"}, {"worker-7", "draining"}}));
   EXPECT_EQ(delta->removed, (std::vector<std::string>{"worker-9"}));
-  EXPECT_TRUE(copy.apply(*delta));
-  EXPECT_EQ(copy.entries(), state);
+  EXPECT_TRUE(replica.apply(*delta));
+  EXPECT_EQ(replica.entries(), state);
 }
 
 TEST(Delta, TheSameStateIsNoChangeAndHasOneDigestEverywhere) {
@@ -79,33 +79,33 @@
 TEST(Delta, AnEntryThatWentAndCameBackIsNotRemoved) {
   DeltaSource source(8);
   source.take(State{{"a", "1"}, {"b", "2"}});
-  DeltaReplica copy;
-  ASSERT_TRUE(copy.apply(*source.since(0)));
+  DeltaReplica replica;
+  ASSERT_TRUE(replica.apply(*source.since(0)));
   source.take(State{{"a", "1"}});
   source.take(State{{"a", "1"}, {"b", "3"}});
-  ASSERT_TRUE(copy.apply(*source.since(copy.digest())));
-  EXPECT_EQ(copy.entries(), (State{{"a", "1"}, {"b", "3"}}));
-  // Back to a state that was: equal content, so nothing is told.
+  ASSERT_TRUE(replica.apply(*source.since(replica.digest())));
+  EXPECT_EQ(replica.entries(), (State{{"a", "1"}, {"b", "3"}}));
+  // Back to an earlier state: the content is equal, so there is no delta.
   source.take(State{{"a", "1"}, {"b", "2"}});
   source.take(State{{"a", "1"}, {"b", "3"}});
-  EXPECT_FALSE(source.since(copy.digest()).has_value());
+  EXPECT_FALSE(source.since(replica.digest()).has_value());
 }
 
-TEST(Delta, ADeltaThatLeadsElsewhereIsThrownAwayAndAllIsAskedAnew) {
+TEST(Delta, AWrongDeltaClearsTheReplicaAndAllIsRequestedAgain) {
   DeltaSource source(8);
   source.take(State{{"a", "1"}, {"b", "2"}});
-  DeltaReplica copy;
-  ASSERT_TRUE(copy.apply(*source.since(0)));
-  std::uint64_t const before = copy.digest();
+  DeltaReplica replica;
+  ASSERT_TRUE(replica.apply(*source.since(0)));
+  std::uint64_t const before = replica.digest();
   source.take(State{{"a", "1"}, {"b", "3"}});
   Delta wrong = *source.since(before);
   wrong.put[0].second = "4";
-  EXPECT_FALSE(copy.apply(wrong));
-  EXPECT_EQ(copy.digest(), 0u);
-  EXPECT_TRUE(copy.entries().empty());
-  ASSERT_TRUE(source.since(copy.digest()).has_value());
-  EXPECT_TRUE(copy.apply(*source.since(copy.digest())));
-  EXPECT_EQ(copy.entries(), (State{{"a", "1"}, {"b", "3"}}));
+  EXPECT_FALSE(replica.apply(wrong));
+  EXPECT_EQ(replica.digest(), 0u);
+  EXPECT_TRUE(replica.entries().empty());
+  ASSERT_TRUE(source.since(replica.digest()).has_value());
+  EXPECT_TRUE(replica.apply(*source.since(replica.digest())));
+  EXPECT_EQ(replica.entries(), (State{{"a", "1"}, {"b", "3"}}));
 }
 
 TEST(Delta, NameAndBytesDoNotRunIntoEachOther) {
@@ -116,11 +116,11 @@
   EXPECT_NE(one.digest(), other.digest());
 }
 
-TEST(Delta, CopiesThatAskNowAndThenAndElsewhereEndEqual) {
+TEST(Delta, ReplicasThatSwitchSendersEndEqual) {
   std::mt19937_64 random(7);
   for (int round = 0; round < 50; ++round) {
     DeltaSource sources[2] = {DeltaSource(6), DeltaSource(6)};
-    DeltaReplica copies[4];
+    DeltaReplica replicas[4];
     State state;
     for (int step = 0; step < 200; ++step) {
       std::string const name = "n" + std::to_string(random() % 12);
@@ -129,15 +129,15 @@
       } else {
         state[name] = std::to_string(random() % 3);
       }
-      // A teller may lag, and askers ask any of them, at any time.
+      // A sender may lag, and receivers ask any of them, at any time.
       DeltaSource& source = sources[random() % 2];
       source.take(state);
-      DeltaReplica& copy = copies[random() % 4];
-      std::optional<Delta> const delta = source.since(copy.digest());
+      DeltaReplica& replica = replicas[random() % 4];
+      std::optional<Delta> const delta = source.since(replica.digest());
       if (delta.has_value()) {
-        ASSERT_TRUE(copy.apply(*delta));
+        ASSERT_TRUE(replica.apply(*delta));
       }
-      ASSERT_EQ(copy.entries(), state);
+      ASSERT_EQ(replica.entries(), state);
     }
   }
 }
--- a/source/tests/common/fuzz_test.cpp
+++ b/source/tests/common/fuzz_test.cpp
@@ -19,14 +19,14 @@
 namespace finchlink {
 namespace {
 
-/// Rounds per test; more by command: FINCHLINK_FUZZ=100000 (docs/proofs.md).
+/// Rounds per test; set FINCHLINK_FUZZ for more, such as 100000 (docs/proofs.md).
 int rounds() {
-  char const* const wanted = std::getenv("FINCHLINK_FUZZ");
-  return wanted == nullptr ? 2000 : std::atoi(wanted);
+  char const* const value = std::getenv("FINCHLINK_FUZZ");
+  return value == nullptr ? 2000 : std::atoi(value);
 }
 
-/// Flips, cuts, doubles and overwrites parts, at times all over.
-std::string spoiled(std::string text, std::mt19937_64& random) {
+/// Flips bits, erases, duplicates, overwrites, truncates or inserts, at one to six random places.
+std::string corrupted(std::string text, std::mt19937_64& random) {
   for (std::uint64_t turn = random() % 6 + 1; turn > 0 && !text.empty(); --turn) {
     std::size_t const place = random() % text.size();
     std::size_t const length = std::min<std::size_t>(text.size() - place, random() % 24);
@@ -66,12 +66,12 @@
   std::mt19937_64 random(1);
   int refused = 0;
   for (int round = 0; round < rounds(); ++round) {
-    refused += common::unpack<schema::Message>(spoiled(good[random() % good.size()], random)).ok() ? 0 : 1;
+    refused += common::unpack<schema::Message>(corrupted(good[random() % good.size()], random)).ok() ? 0 : 1;
   }
   EXPECT_GT(refused, 0);
 }
 
-TEST(Fuzz, NewsThatLeadOnIsTakenOrLeft) {
+TEST(Fuzz, DeltasAreAppliedOrIgnored) {
   schema::PlatformList list;
   for (int index = 0; index < 12; ++index) {
     schema::WorkerEntry entry;
@@ -79,8 +79,8 @@
     entry.address = "10.0.0.1:80";
     list.workers.push_back(entry);
   }
-  membership::Listing teller;
-  ASSERT_TRUE(teller.store(list, 1000, 1000));
+  membership::Listing sender;
+  ASSERT_TRUE(sender.store(list, 1000, 1000));
   membership::Sessions sessions(schema::TrellisEntry{"t", 1, "h", "a", "", false, false, 0});
   membership::Sessions other(schema::TrellisEntry{"u", 2, "h", "b", "", false, false, 0});
   schema::Member member;
@@ -94,11 +94,11 @@
   sessions.fill_gossip(0, 1000, telling);
   std::uint64_t const known = other.receive_gossip(telling, 1000);
   ASSERT_NE(known, 0u);
-  std::uint64_t const list_digest = teller.digest();
+  std::uint64_t const list_digest = sender.digest();
   std::uint64_t const members_digest = sessions.digest();
   membership::ListReplica const list_before = [&] {
     membership::ListReplica copy;
-    (void)copy.take(teller.since(0), 0, 1000);
+    (void)copy.take(sender.since(0), 0, 1000);
     return copy;
   }();
   membership::MemberReplica const members_before = [&] {
@@ -110,15 +110,15 @@
     (void)copy.take(answer);
     return copy;
   }();
-  // What leads on from there: a worker drains, another is gone, a furrow came.
+  // The changes from there: a worker drains, another is removed, a proxy joins.
   list.workers[3].draining = true;
   list.workers.pop_back();
-  ASSERT_TRUE(teller.store(list, 2000, 2000));
+  ASSERT_TRUE(sender.store(list, 2000, 2000));
   member.name = "i";
   (void)sessions.record_request(member, 2000);
   schema::NewsAnswer good;
   good.confirmed = true;
-  membership::ListUpdate const update = teller.since(list_digest);
+  membership::ListUpdate const update = sender.since(list_digest);
   good.list_from = update.from;
   good.list = update.list;
   good.list_gone = update.gone;
@@ -140,13 +140,13 @@
   int left = 0;
   for (int round = 0; round < rounds(); ++round) {
     absl::StatusOr<schema::Message> const read =
-        common::unpack<schema::Message>(round == 0 ? answer_bytes : spoiled(answer_bytes, random));
+        common::unpack<schema::Message>(round == 0 ? answer_bytes : corrupted(answer_bytes, random));
     schema::NewsAnswer const* const answer = read.ok() ? std::get_if<schema::NewsAnswer>(&*read) : nullptr;
     if (answer != nullptr) {
       membership::ListReplica lists = list_before;
       bool const changed = lists.take(membership::list_update(*answer), answer->list_age, 2000);
       (changed ? taken : left) += 1;
-      // One that was led on is the one that was named.
+      // A list to which changes were applied has the digest that was named.
       if (changed && answer->list_from != 0) {
         EXPECT_EQ(membership::digest_of(lists.list()), answer->list_digest);
       }
@@ -156,7 +156,7 @@
         EXPECT_EQ(membership::digest_of(members.members()), answer->members_digest);
       }
     }
-    absl::StatusOr<schema::Message> const heard = common::unpack<schema::Message>(spoiled(tell_bytes, random));
+    absl::StatusOr<schema::Message> const heard = common::unpack<schema::Message>(corrupted(tell_bytes, random));
     schema::Tell const* const tell = heard.ok() ? std::get_if<schema::Tell>(&*heard) : nullptr;
     if (tell != nullptr) {
       membership::Sessions receiver = other;
@@ -171,7 +171,7 @@
 TEST(Frame, LargeOnesAreCompressedAndReadBackWhole) {
   std::mt19937_64 random(3);
   std::string content;
-  for (int route = 0; route < 1800; ++route) {  // as charters are: the same fields with other names
+  for (int route = 0; route < 1800; ++route) {  // like routing configurations: the same fields with other names
     content +=
         "{\"name\":\"r-" + std::to_string(random() % 100000000) + "\",\"host\":\"ficu" +
         std::to_string(random() % 100) + ".example\",\"path_prefix\":\"/lohu" + std::to_string(random() % 1000000) +
@@ -205,8 +205,8 @@
   std::mt19937_64 random(4);
   int refused = 0;
   for (int round = 0; round < rounds(); ++round) {
-    // The check made right again: what is behind it must stand by itself.
-    std::string payload = spoiled(good.substr(common::frame_header), random);
+    // With a valid checksum: decoding must be robust without its protection.
+    std::string payload = corrupted(good.substr(common::frame_header), random);
     boost::crc_32_type check;
     check.process_bytes(payload.data(), payload.size());
     std::uint32_t const words[3] = {common::constants::frame_magic_compressed,
@@ -217,23 +217,23 @@
   EXPECT_GT(refused, 0);
 }
 
-TEST(Fuzz, SpoiledDisksAreToldFromGoodOnes) {
+TEST(Fuzz, CorruptDisksAreDetected) {
   std::mt19937_64 random(2);
   int lost = 0;
   int read = 0;
   for (int round = 0; round < rounds() / 4; ++round) {
     simulator::MemoryDisk disk(3, 3000);
-    consensus::WriteAheadLog ring(disk.device(), 3, 3000);
-    ASSERT_TRUE(ring.recover().ok());
+    consensus::WriteAheadLog wal(disk.device(), 3, 3000);
+    ASSERT_TRUE(wal.recover().ok());
     std::uint64_t const last = random() % 40 + 1;
     for (std::uint64_t revision = 1; revision <= last; ++revision) {
       schema::Cell cell;
       cell.value = schema::Value{revision, std::string(random() % 60, 'x'), {}};
       std::vector<schema::Record> const records{schema::CellRecord{"setup", cell}};
-      ASSERT_TRUE(ring.append(records, [&records] { return records; }).ok());
+      ASSERT_TRUE(wal.append(records, [&records] { return records; }).ok());
     }
     std::size_t const file = random() % 3;
-    std::string bytes = spoiled(disk.cache[file], random);
+    std::string bytes = corrupted(disk.cache[file], random);
     bytes.resize(3000);
     disk.cache[file] = bytes;
     consensus::WriteAheadLog again(disk.device(), 3, 3000);
@@ -243,7 +243,7 @@
       continue;
     }
     ++read;
-    // What is read was written: no revision is made up, and their order holds.
+    // Only written records are read: no revision is invented, and their order is kept.
     std::uint64_t before = 0;
     for (schema::Record const& record : *found) {
       std::uint64_t const revision = std::get<schema::CellRecord>(record).cell.value.revision;
@@ -264,10 +264,10 @@
     std::stringstream text;
     text << file.rdbuf();
     for (int round = 0; round < rounds() / 2; ++round) {
-      std::string const document = spoiled(text.str(), random);
+      std::string const document = corrupted(text.str(), random);
       config::ParsedSetup const reading = config::read_setup(document);
       faulty += reading.good() ? 0 : 1;
-      if (reading.good()) {  // what is taken can be written and read again
+      if (reading.good()) {  // an accepted document can be written and read again
         absl::StatusOr<std::string> const canonical = config::canonical_json(document);
         ASSERT_TRUE(canonical.ok());
         EXPECT_TRUE(config::read_setup(*canonical).good());
@@ -286,11 +286,11 @@
   std::mt19937_64 random(4);
   int refused = 0;
   for (int round = 0; round < rounds(); ++round) {
-    std::string const bytes = spoiled(good, random);
+    std::string const bytes = corrupted(good, random);
     data_plane::EventReader reader(4);
     std::vector<data_plane::StreamEvent> events;
     bool well = true;
-    for (std::size_t place = 0; place < bytes.size() && well; place += 37) {  // in pieces, as they come
+    for (std::size_t place = 0; place < bytes.size() && well; place += 37) {  // in pieces, as they arrive
       well = reader.feed(std::string_view(bytes).substr(place, 37), events);
     }
     refused += well ? 0 : 1;
--- a/source/tests/common/gather_test.cpp
+++ b/source/tests/common/gather_test.cpp
@@ -6,50 +6,51 @@
 namespace finchlink::common {
 namespace {
 
-/// Two colleagues: one is silent, the other closes the first connections
-/// unanswered, as a process does that is just coming up.
-struct Pair {
+/// Two peers: one never responds, the other closes its first connections without
+/// a response, like a process that is starting.
+struct Peers {
   boost::asio::io_context context;
-  Caller caller{context};
+  FrameClient client{context};
   std::string const ip = own_ip();
   std::string const silent = ip + ":20001";
-  std::string const rising = ip + ":20002";
-  Bell never;
-  std::size_t asked_silent = 0;
-  std::size_t asked_rising = 0;
-  bool silent_late = false;  // its first connection closes, the next is held
-  Bell silent_asked;
-  std::vector<std::pair<std::size_t, bool>> handed;  // index, answered
+  std::string const starting = ip + ":20002";
+  Notifier never;
+  std::size_t requests_to_silent = 0;
+  std::size_t requests_to_starting = 0;
+  bool silent_fails_first = false;  // its first connection is closed, the next is kept open
+  Notifier silent_requested;
+  std::vector<std::pair<std::size_t, bool>> results;  // index, whether it responded
 
-  /// Both are asked; `answering` is the try that the rising one answers.
+  /// Calls both; `answering` is the number of the call to which the starting peer responds.
   void gather(std::size_t answering, Span deadline, Span again) {
     EXPECT_TRUE(
         serve_frames(context, silent, 8, [this](schema::Message const&, Yield yield) -> std::optional<schema::Message> {
-          ++asked_silent;
-          silent_asked.ring();
-          if (silent_late && asked_silent == 1) {
+          ++requests_to_silent;
+          silent_requested.notify_all();
+          if (silent_fails_first && requests_to_silent == 1) {
             return std::nullopt;
           }
           never.wait(never.count(), seconds(600), yield);
           return std::nullopt;
         }).ok());
-    EXPECT_TRUE(serve_frames(context, rising, 8,
+    EXPECT_TRUE(serve_frames(context, starting, 8,
                              [this, answering](schema::Message const&, Yield yield) -> std::optional<schema::Message> {
-                               ++asked_rising;
-                               while (silent_late && asked_silent < 2) {
-                                 silent_asked.wait(silent_asked.count(), seconds(600), yield);
+                               ++requests_to_starting;
+                               while (silent_fails_first && requests_to_silent < 2) {
+                                 silent_requested.wait(silent_requested.count(), seconds(600), yield);
                                }
-                               return asked_rising < answering ? std::nullopt
-                                                               : std::optional<schema::Message>(schema::Unknown{"up"});
+                               return requests_to_starting < answering
+                                          ? std::nullopt
+                                          : std::optional<schema::Message>(schema::Unknown{"up"});
                              })
                     .ok());
     start(context, [this, deadline, again](Yield yield) {
       std::vector<std::pair<std::string, schema::Message>> const calls = {{silent, schema::Read{}},
-                                                                          {rising, schema::Read{}}};
+                                                                          {starting, schema::Read{}}};
       Gather::run(
-          context, caller, calls, deadline,
+          context, client, calls, deadline,
           [this](std::size_t index, absl::StatusOr<schema::Message> const& answer) {
-            handed.emplace_back(index, answer.ok());
+            results.emplace_back(index, answer.ok());
             return answer.ok();
           },
           yield, again);
@@ -60,44 +61,44 @@
 };
 
 TEST(Gather, WhoFailedIsAskedAgainWhileAnotherIsSilent) {
-  Pair pair;
-  pair.gather(4, seconds(600), milliseconds(1));
-  EXPECT_EQ(pair.handed, (std::vector<std::pair<std::size_t, bool>>{{1, true}}));
-  EXPECT_EQ(pair.asked_rising, 4u);
-  EXPECT_EQ(pair.asked_silent, 1u);
+  Peers peers;
+  peers.gather(4, seconds(600), milliseconds(1));
+  EXPECT_EQ(peers.results, (std::vector<std::pair<std::size_t, bool>>{{1, true}}));
+  EXPECT_EQ(peers.requests_to_starting, 4u);
+  EXPECT_EQ(peers.requests_to_silent, 1u);
 }
 
 TEST(Gather, WhoFailedIsAskedAgainWhileARepeatIsHeld) {
-  Pair pair;
-  pair.silent_late = true;
-  pair.gather(4, seconds(600), milliseconds(1));
-  EXPECT_EQ(pair.handed, (std::vector<std::pair<std::size_t, bool>>{{1, true}}));
-  EXPECT_EQ(pair.asked_silent, 2u);
+  Peers peers;
+  peers.silent_fails_first = true;
+  peers.gather(4, seconds(600), milliseconds(1));
+  EXPECT_EQ(peers.results, (std::vector<std::pair<std::size_t, bool>>{{1, true}}));
+  EXPECT_EQ(peers.requests_to_silent, 2u);
 }
 
 TEST(Gather, WithoutAPauseAFailureIsHandedOverAtOnce) {
-  Pair pair;
-  pair.gather(2, milliseconds(200), 0);
-  EXPECT_EQ(pair.handed, (std::vector<std::pair<std::size_t, bool>>{{1, false}}));
-  EXPECT_EQ(pair.asked_rising, 1u);
+  Peers peers;
+  peers.gather(2, milliseconds(200), 0);
+  EXPECT_EQ(peers.results, (std::vector<std::pair<std::size_t, bool>>{{1, false}}));
+  EXPECT_EQ(peers.requests_to_starting, 1u);
 }
 
-TEST(Caller, AConnectionThatNobodyTakesIsGivenUp) {
+TEST(FrameClient, AConnectionThatNobodyTakesIsGivenUp) {
   boost::asio::io_context context;
-  Caller caller(context);
+  FrameClient client(context);
   std::string const address = own_ip() + ":20003";
   boost::asio::ip::tcp::endpoint const endpoint(boost::asio::ip::make_address(own_ip()), 20003);
   boost::asio::ip::tcp::acceptor acceptor(context);
   acceptor.open(endpoint.protocol());
   acceptor.set_option(boost::asio::socket_base::reuse_address(true));
   acceptor.bind(endpoint);
-  acceptor.listen(0);  // holds one connection; opening packets beyond are dropped
+  acceptor.listen(0);  // queues one connection; further SYNs are dropped
   boost::asio::ip::tcp::socket first(context);
   first.connect(endpoint);
   std::optional<bool> answered;
   start(context, [&](Yield yield) {
-    // Without a bound of its own the call would last as long as it may.
-    answered = caller.call(address, schema::Read{}, seconds(600), yield).ok();
+    // Without a time limit for connecting the call would take its whole deadline.
+    answered = client.call(address, schema::Read{}, seconds(600), yield).ok();
     context.stop();
   });
   context.run();
@@ -106,10 +107,10 @@
 
 TEST(Gather, WhenAllFailItEnds) {
   boost::asio::io_context context;
-  Caller caller(context);
+  FrameClient client(context);
   std::string const ip = own_ip();
   std::size_t asked = 0;
-  std::size_t handed = 0;
+  std::size_t results = 0;
   for (std::string const port : {":20001", ":20002"}) {
     EXPECT_TRUE(
         serve_frames(context, ip + port, 8, [&asked](schema::Message const&, Yield) -> std::optional<schema::Message> {
@@ -121,16 +122,16 @@
     std::vector<std::pair<std::string, schema::Message>> const calls = {{ip + ":20001", schema::Read{}},
                                                                         {ip + ":20002", schema::Read{}}};
     Gather::run(
-        context, caller, calls, seconds(600),
-        [&handed](std::size_t, absl::StatusOr<schema::Message> const& answer) {
-          handed += answer.ok() ? 0 : 1;
+        context, client, calls, seconds(600),
+        [&results](std::size_t, absl::StatusOr<schema::Message> const& answer) {
+          results += answer.ok() ? 0 : 1;
           return false;
         },
         yield, milliseconds(1));
     context.stop();
   });
   context.run();
-  EXPECT_EQ(handed, 2u);  // all failed: the caller turns to others
+  EXPECT_EQ(results, 2u);  // all failed, so that the caller can try others
   EXPECT_GE(asked, 2u);
 }
 
--- a/source/tests/common/invariant_test.cpp
+++ b/source/tests/common/invariant_test.cpp
@@ -16,7 +16,7 @@
 namespace finchlink::common {
 namespace {
 
-/// What the process writes to its log in the scope.
+/// Captures the process's log in its scope.
 class LogCapture {
  public:
   LogCapture() : before_(std::clog.rdbuf(text_.rdbuf())) { start_log("test", "invariants", "info"); }
@@ -33,13 +33,13 @@
   std::streambuf* before_;
 };
 
-TEST(Invariant, EachIsCountedToldWithItsNumberAndShownInMetrics) {
+TEST(Invariant, EachIsCountedLoggedWithItsNumberAndShownInMetrics) {
   for (InvariantEntry const& entry : invariant_catalogue()) {
     ExpectedViolations const expected({entry.invariant});
     LogCapture const log;
     std::uint64_t const before = violation_count();
     check(entry.invariant, false, [] { return std::string("made up"); });
-    note_violations();
+    log_violations();
     EXPECT_EQ(expected.count(entry.invariant), 1u);
     EXPECT_EQ(violation_count(), before + 1);
     EXPECT_NE(log.text().find("E1020 InvariantViolated test/invariants " + std::string(entry.name) + ": made up"),
@@ -61,7 +61,7 @@
   EXPECT_TRUE(take_violations().empty());
 }
 
-TEST(Invariant, NamesAreTheirOwn) {
+TEST(Invariant, NamesAreUnique) {
   std::set<std::string> names;
   for (InvariantEntry const& entry : invariant_catalogue()) {
     EXPECT_TRUE(names.insert(entry.name).second);
@@ -97,7 +97,7 @@
   EXPECT_EQ(expected.count(Invariant::reply_is_synced), 4 * each);
 }
 
-/// Prints what a check that holds costs; judged only against the gross.
+/// Prints the cost of a check that holds; the limit only catches gross regressions.
 TEST(Invariant, AHeldCheckCostsNextToNothing) {
   constexpr std::uint64_t rounds = 20'000'000;
   std::chrono::steady_clock::time_point const began = std::chrono::steady_clock::now();
--- a/source/tests/common/settings_watcher_test.cpp
+++ b/source/tests/common/settings_watcher_test.cpp
@@ -15,7 +15,7 @@
 namespace finchlink::relay_test {
 namespace {
 
-/// Settings as the tests' own reader takes them: our form, in a file.
+/// A settings file in the project's own format, as `read_own` reads it.
 class File {
  public:
   File() : path_(std::filesystem::temp_directory_path() / ("followed-" + std::to_string(getpid()) + ".json")) {}
@@ -46,13 +46,13 @@
                         : absl::InvalidArgumentError(common::describe(faults));
 }
 
-/// What is logged while it lives.
-class Heard {
+/// Captures what is logged during its lifetime.
+class LogCapture {
  public:
-  Heard()
+  LogCapture()
       : sink_(boost::log::add_console_log(text_, boost::log::keywords::format = "%Message%",
                                           boost::log::keywords::auto_flush = true)) {}
-  ~Heard() { boost::log::core::get()->remove_sink(sink_); }
+  ~LogCapture() { boost::log::core::get()->remove_sink(sink_); }
   [[nodiscard]] std::size_t count(std::string const& word) const {
     std::size_t found = 0;
     std::string const text = text_.str();
@@ -67,7 +67,7 @@
   boost::shared_ptr<boost::log::sinks::synchronous_sink<boost::log::sinks::text_ostream_backend>> sink_;
 };
 
-/// Bounds as they are where the settings are someone else's: they add up.
+/// Consistent wide-area bounds, as in settings that another system writes.
 schema::TimeBounds wide_bounds() {
   schema::TimeBounds bounds;
   bounds.ask_deadline_ms = 1700;
@@ -76,7 +76,7 @@
   bounds.stop_unvouched = false;
   return bounds;
 }
-schema::Settings wide() {
+schema::Settings wide_settings() {
   schema::Settings settings;
   settings.name = "one";
   settings.seeds = {"127.0.0.1:7000"};
@@ -84,32 +84,32 @@
   return settings;
 }
 
-TEST(Followed, ANewFileIsInForceAndABadOneIsNot) {
+TEST(SettingsWatcher, ANewFileIsInForceAndABadOneIsNot) {
   File file;
-  file.write(wide());
-  std::vector<schema::Settings> told;
-  common::Followed followed(file.path(), read_own,
-                            [&told](schema::Settings const& settings) { told.push_back(settings); });
+  file.write(wide_settings());
+  std::vector<schema::Settings> received;
+  common::SettingsWatcher watcher(file.path(), read_own,
+                                  [&received](schema::Settings const& settings) { received.push_back(settings); });
   schema::Settings given;
-  given.scaler = "on";  // an option, which no file of someone else's tells
-  ASSERT_TRUE(followed.begin(given).ok());
-  EXPECT_EQ(followed.settings().scaler, "on");
-  Heard heard;
-  followed.look();
-  followed.read();  // a signal, and nothing is new
-  EXPECT_TRUE(told.empty());
-  EXPECT_EQ(heard.count("E1006"), 0u);
-  schema::Settings next = wide();
+  given.scaler = "on";  // an option, which such a settings file can't hold
+  ASSERT_TRUE(watcher.begin(given).ok());
+  EXPECT_EQ(watcher.settings().scaler, "on");
+  LogCapture log;
+  watcher.poll();
+  watcher.read();  // after a signal, without a change
+  EXPECT_TRUE(received.empty());
+  EXPECT_EQ(log.count("E1006"), 0u);
+  schema::Settings next = wide_settings();
   next.seeds = {"127.0.0.1:7001", "127.0.0.1:7002"};
   next.bounds.grace_ms = 9000;
   file.write(next);
-  followed.look();  // without a signal
-  ASSERT_EQ(told.size(), 1u);
-  EXPECT_EQ(told[0].seeds, next.seeds);
-  EXPECT_EQ(told[0].bounds.grace_ms, 9000u);
-  EXPECT_EQ(told[0].scaler, "on");
-  EXPECT_EQ(heard.count("E1006"), 1u);
-  // No settings; bounds that don't add up; gone.
+  watcher.poll();  // without a signal
+  ASSERT_EQ(received.size(), 1u);
+  EXPECT_EQ(received[0].seeds, next.seeds);
+  EXPECT_EQ(received[0].bounds.grace_ms, 9000u);
+  EXPECT_EQ(received[0].scaler, "on");
+  EXPECT_EQ(log.count("E1006"), 1u);
+  // An invalid file, inconsistent bounds, and a missing file.
   schema::Settings short_bounds = next;
   short_bounds.bounds.apply_ms = 10;
   for (int how = 0; how < 3; ++how) {
@@ -120,39 +120,39 @@
     } else {
       std::filesystem::remove(file.path());
     }
-    followed.look();
-    EXPECT_EQ(heard.count("E1007"), static_cast<std::size_t>(how + 1));
-    followed.look();  // told once
-    EXPECT_EQ(heard.count("E1007"), static_cast<std::size_t>(how + 1));
-    EXPECT_EQ(followed.settings(), told[0]);
-    EXPECT_EQ(told.size(), 1u);
+    watcher.poll();
+    EXPECT_EQ(log.count("E1007"), static_cast<std::size_t>(how + 1));
+    watcher.poll();  // logged once
+    EXPECT_EQ(log.count("E1007"), static_cast<std::size_t>(how + 1));
+    EXPECT_EQ(watcher.settings(), received[0]);
+    EXPECT_EQ(received.size(), 1u);
   }
-  file.write(wide());  // good again
-  followed.look();
-  ASSERT_EQ(told.size(), 2u);
-  EXPECT_EQ(told[1].seeds, wide().seeds);
+  file.write(wide_settings());  // valid again
+  watcher.poll();
+  ASSERT_EQ(received.size(), 2u);
+  EXPECT_EQ(received[1].seeds, wide_settings().seeds);
 }
 
-TEST(Followed, AtTheStartABadFileIsNamed) {
+TEST(SettingsWatcher, AtTheStartABadFileIsNamed) {
   File file;
-  schema::Settings broken = wide();
+  schema::Settings broken = wide_settings();
   broken.bounds.apply_ms = 10;
   file.write(broken);
-  common::Followed followed(file.path(), read_own, nullptr);
-  absl::Status const status = followed.begin(schema::Settings());
+  common::SettingsWatcher watcher(file.path(), read_own, nullptr);
+  absl::Status const status = watcher.begin(schema::Settings());
   EXPECT_FALSE(status.ok());
   EXPECT_NE(status.message().find("apply_ms"), std::string::npos) << status;
 }
 
-TEST(Followed, ASignalDuringTheStartDoesNotEndTheProcess) {
+TEST(SettingsWatcher, ASignalDuringTheStartDoesNotEndTheProcess) {
   File file;
-  file.write(wide());
+  file.write(wide_settings());
   common::Daemon daemon;
   daemon.program = "one";
   daemon.settings_path = [&file] { return file.path(); };
   daemon.read_settings = read_own;
   daemon.begin = [](asio::io_context&, schema::Settings const&) -> absl::Status {
-    (void)raise(SIGHUP);  // nobody waits for it yet
+    (void)raise(SIGHUP);  // no handler is installed yet
     return absl::UnavailableError("no address");
   };
   char const* const values[] = {"one"};
@@ -160,32 +160,32 @@
   std::signal(SIGHUP, SIG_DFL);
 }
 
-TEST(Followed, ARelayTakesSeedsAndBoundsOnASignal) {
+TEST(SettingsWatcher, ARelayTakesSeedsAndBoundsOnASignal) {
   for (bool const in_touch : {true, false}) {
     Fleet fleet;
     fleet.worker("w1");
     fleet.settings.bounds = wide_bounds();
-    // The trellises it knows are gone, or answer.
+    // The known controllers respond or, without contact, are gone.
     std::string const before = fleet.controller_address;
     if (!in_touch) {
       fleet.settings.seeds = {fleet.next_address()};
     }
     File file;
     file.write(fleet.settings);
-    common::Followed followed(file.path(), read_own,
-                              [&fleet](schema::Settings const& settings) { fleet.server->update_settings(settings); });
-    ASSERT_TRUE(followed.begin(fleet.settings).ok());
+    common::SettingsWatcher watcher(
+        file.path(), read_own, [&fleet](schema::Settings const& settings) { fleet.server->update_settings(settings); });
+    ASSERT_TRUE(watcher.begin(fleet.settings).ok());
     fleet.begin(in_touch);
-    followed.run(*fleet.context, common::seconds(3600));  // it takes the signal
+    watcher.run(*fleet.context, common::seconds(3600));  // only signals trigger a reload
     EXPECT_EQ(fleet.server->ready(), in_touch);
     schema::Settings next = fleet.settings;
     next.bounds.directory_ttl_ms = 1500;
     next.seeds = {before};
     file.write(next);
     fleet.publish_routing_config(1);
-    Heard heard;
+    LogCapture log;
     ASSERT_EQ(raise(SIGHUP), 0);
-    ASSERT_TRUE(fleet.until([&] { return heard.count("E1006") == 1; }));
+    ASSERT_TRUE(fleet.until([&] { return log.count("E1006") == 1; }));
     ASSERT_TRUE(fleet.until([&] { return fleet.server->ready(); }));
     std::optional<Response> const answer =
         fleet.answer_on(fleet.call("GET /-/directory HTTP/1.1\r\nHost: any\r\n\r\n", fleet.settings.directory_address));
@@ -193,7 +193,7 @@
     EXPECT_NE(answer->body().find("\"seconds\":1.5"), std::string::npos) << answer->body();
     file.write("no settings");
     ASSERT_EQ(raise(SIGHUP), 0);
-    ASSERT_TRUE(fleet.until([&] { return heard.count("E1007") == 1; }));
+    ASSERT_TRUE(fleet.until([&] { return log.count("E1007") == 1; }));
     EXPECT_EQ(fleet.server->settings().bounds.directory_ttl_ms, 1500u);
     EXPECT_EQ(fleet.server->settings().seeds, next.seeds);
     fleet.context->stop();
--- a/source/tests/invariant_listener.cpp
+++ b/source/tests/invariant_listener.cpp
@@ -7,14 +7,14 @@
 
 using Counts = std::map<common::Invariant, std::uint64_t>;
 
-/// Violations of the running test that stood in a scope of ExpectedViolations.
+/// Violations of the running test that were counted in a scope of ExpectedViolations.
 Counts& expected() {
   static Counts counts;
   return counts;
 }
 
 /// Fails each test during which an invariant was violated outside such a scope.
-/// GoogleTest takes listeners as derived classes only.
+/// GoogleTest requires listeners to be derived classes.
 class InvariantListener : public testing::EmptyTestEventListener {
  public:
   void OnTestStart(testing::TestInfo const& /*test*/) override {
@@ -40,7 +40,7 @@
   Counts before_;
 };
 
-/// Before main: GoogleTest's own main() leaves no other place. It owns the listener.
+/// Registered before main(), since the tests use GoogleTest's own. GoogleTest owns the listener.
 bool const appended = [] {
   testing::UnitTest::GetInstance()->listeners().Append(new InvariantListener());
   return true;
--- a/source/tests/invariant_listener.hpp
+++ b/source/tests/invariant_listener.hpp
@@ -8,12 +8,12 @@
 
 namespace finchlink {
 
-/// In its scope these invariants may be violated, since a guard is switched off
-/// there or a violation is made up. A test during which any other violation is
+/// Allows violations of these invariants in its scope, for tests that disable a safety
+/// rule or report a violation themselves. A test during which any other violation is
 /// counted fails (invariant_listener.cpp).
 class ExpectedViolations {
  public:
-  /// Only `in_force` excuses: for loops with a guard on and off.
+  /// Violations are allowed only if `in_force`, for loops with a safety rule on and off.
   explicit ExpectedViolations(std::initializer_list<common::Invariant> invariants, bool in_force = true);
   ~ExpectedViolations();
   ExpectedViolations(ExpectedViolations const&) = delete;
--- a/source/tests/own_address_test.cpp
+++ b/source/tests/own_address_test.cpp
@@ -8,8 +8,8 @@
 namespace finchlink {
 namespace {
 
-// Tests of two processes once met at one address: numbers that end in 254 and 255,
-// or in 0 and 1, had the same, and listening there failed.
+// Guards against two test processes with one address: ids that end in 254 and 255, or
+// in 0 and 1, were mapped to the same one, and listening there failed.
 TEST(OwnAddress, NeighboursNeverShareOne) {
   std::set<std::string> seen;
   for (unsigned int first : {1u, 65000u, 4194304u - 3000u}) {
