--- a/source/simulator/control/checker.cpp
+++ b/source/simulator/control/checker.cpp
@@ -165,7 +165,7 @@
     write.revision = owner.first;
     history_.push_back(write);
   }
-  std::string const wrong = explain_history(history_);
+  std::string const wrong = check_history(history_);
   if (!wrong.empty()) {
     violate("no order explains what was told: " + wrong);
   }
--- a/source/simulator/history/history.cpp
+++ b/source/simulator/history/history.cpp
@@ -45,9 +45,9 @@
 }
 }  // namespace
 
-std::string explain_histories(Histories const& histories) {
+std::string check_histories(Histories const& histories) {
   for (std::pair<std::string const, History> const& history : histories) {
-    std::string const wrong = explain_history(history.second);
+    std::string const wrong = check_history(history.second);
     if (!wrong.empty()) {
       return history.first + ": " + wrong;
     }
@@ -55,7 +55,7 @@
   return "";
 }
 
-std::string explain_history(History const& entries) {
+std::string check_history(History const& entries) {
   for (std::string const& wrong : {explain_refusals(entries), explain_abandoned(entries)}) {
     if (!wrong.empty()) {
       return wrong;
--- a/source/simulator/history/history.hpp
+++ b/source/simulator/history/history.hpp
@@ -38,11 +38,11 @@
 /// - a change that was taken, before or after, is never refused;
 /// - an abandoned order has no effect behind an order about the same subject
 ///   that began after it was abandoned and was acknowledged.
-[[nodiscard]] std::string explain_history(History const& entries);
+[[nodiscard]] std::string check_history(History const& entries);
 
 /// Histories by register. An operation touches one register, and linearizability
 /// is local: if each register's history has an order, so have all together.
 using Histories = std::map<std::string, History>;
-[[nodiscard]] std::string explain_histories(Histories const& histories);
+[[nodiscard]] std::string check_histories(Histories const& histories);
 
 }  // namespace finchlink::simulator
--- a/source/simulator/main.cpp
+++ b/source/simulator/main.cpp
@@ -386,7 +386,7 @@
   }
   if (found.count("off") > 0) {
     for (std::string const& guard : found["off"].as<std::vector<std::string>>()) {
-      if (!simulator::membership_model::switch_off(scenario->bounds, guard)) {
+      if (!simulator::membership_model::disable_guard(scenario->bounds, guard)) {
         return usage("'" + guard + "' is not a guard of the membership model");
       }
     }
--- a/source/simulator/operators/order_ledger.cpp
+++ b/source/simulator/operators/order_ledger.cpp
@@ -183,7 +183,7 @@
   add_routing_config_history();
   add_evacuation_history();
   check_zones();
-  std::string const wrong = explain_histories(histories_);
+  std::string const wrong = check_histories(histories_);
   if (!wrong.empty()) {
     violate_("no order explains what operators were told: " + wrong);
   }
--- a/source/tests/simulator/history_test.cpp
+++ b/source/tests/simulator/history_test.cpp
@@ -14,9 +14,9 @@
 }
 
 TEST(History, ExplainsWhatIsRight) {
-  EXPECT_EQ(simulator::explain_history({}), "");
+  EXPECT_EQ(simulator::check_history({}), "");
   // Overlapping asks, a write whose end nobody heard, a race lost.
-  EXPECT_EQ(simulator::explain_history({
+  EXPECT_EQ(simulator::check_history({
                 entry(Kind::write, 1, 0, 10),
                 entry(Kind::read, 1, 5, 20),
                 entry(Kind::write, 2, 12, std::nullopt, 1),
@@ -49,8 +49,8 @@
        {entry(Kind::write, 1, 0, 10), entry(Kind::refused, 1, 20, 30), entry(Kind::write, 2, 40, 50)}},
   };
   for (std::pair<std::string, std::vector<HistoryEntry>> const& one : wrong) {
-    EXPECT_NE(simulator::explain_history(one.second).find(one.first), std::string::npos)
-        << one.first << ": '" << simulator::explain_history(one.second) << "'";
+    EXPECT_NE(simulator::check_history(one.second).find(one.first), std::string::npos)
+        << one.first << ": '" << simulator::check_history(one.second) << "'";
   }
 }
 
@@ -67,39 +67,39 @@
   write.change = "c";
   HistoryEntry refusal = entry(Kind::refused, HistoryEntry::no_revision, 500, 510);
   refusal.change = "other";
-  EXPECT_EQ(simulator::explain_history({write, refusal}), "");
+  EXPECT_EQ(simulator::check_history({write, refusal}), "");
   refusal.change = "c";
-  EXPECT_NE(simulator::explain_history({write, refusal}).find("refused a change that was taken"), std::string::npos);
+  EXPECT_NE(simulator::check_history({write, refusal}).find("refused a change that was taken"), std::string::npos);
   // Also where it was taken behind the no, by a node that was late.
   write.began = 0;
   write.ended = std::nullopt;
   refusal.ended = 5;
-  EXPECT_NE(simulator::explain_history({refusal, write}), "");
+  EXPECT_NE(simulator::check_history({refusal, write}), "");
 }
 
 TEST(History, AnAbandonedOrderDoesNotOvertakeAnAcknowledgedOne) {
   // Given up at 10; another one, begun at 20, was acknowledged and came first.
-  EXPECT_NE(simulator::explain_history({order(1, 20, 30, std::nullopt), order(2, 0, std::nullopt, 10)})
+  EXPECT_NE(simulator::check_history({order(1, 20, 30, std::nullopt), order(2, 0, std::nullopt, 10)})
                 .find("abandoned order about zone"),
             std::string::npos);
   // The operator gave up and turned to the other in one moment.
-  EXPECT_NE(simulator::explain_history({order(1, 10, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_NE(simulator::check_history({order(1, 10, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
   // It came first; it was not given up before the other began; nobody was told of the other; another subject.
-  EXPECT_EQ(simulator::explain_history({order(2, 20, 30, std::nullopt), order(1, 0, std::nullopt, 10)}), "");
-  EXPECT_EQ(simulator::explain_history({order(1, 5, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
-  EXPECT_EQ(simulator::explain_history({order(1, 20, std::nullopt, 30), order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::check_history({order(2, 20, 30, std::nullopt), order(1, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::check_history({order(1, 5, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::check_history({order(1, 20, std::nullopt, 30), order(2, 0, std::nullopt, 10)}), "");
   HistoryEntry elsewhere = order(1, 20, 30, std::nullopt);
   elsewhere.subject = "other zone";
-  EXPECT_EQ(simulator::explain_history({elsewhere, order(2, 0, std::nullopt, 10)}), "");
+  EXPECT_EQ(simulator::check_history({elsewhere, order(2, 0, std::nullopt, 10)}), "");
 }
 
 TEST(History, RegistersAreExplainedOneByOne) {
   simulator::Histories const good{{"charter", {entry(Kind::write, 1, 0, 10)}},
                                   {"holders", {entry(Kind::read, 0, 0, 10)}}};
-  EXPECT_EQ(simulator::explain_histories(good), "");
+  EXPECT_EQ(simulator::check_histories(good), "");
   simulator::Histories bad = good;
   bad["holders"] = {entry(Kind::write, 1, 0, 10), entry(Kind::read, 0, 20, 30)};
-  EXPECT_EQ(simulator::explain_histories(bad).find("holders: "), 0u);
+  EXPECT_EQ(simulator::check_histories(bad).find("holders: "), 0u);
 }
 
 }  // namespace
