--- a/source/simulator/disk/memory_disk.hpp
+++ b/source/simulator/disk/memory_disk.hpp
@@ -9,17 +9,19 @@
 
 namespace finchlink::simulator {
 
-/// A disk in memory. Writes last only once synced; a power loss keeps any
-/// part of the others.
+/// A disk in memory behind consensus::Device. A write is durable only after a sync; a power loss keeps an arbitrary
+/// part of the unsynced writes.
 struct MemoryDisk {
   explicit MemoryDisk(std::size_t files, std::size_t bytes)
-      : lasting(files, std::string(bytes, '\0')), cache(lasting), dirty(files) {}
-  std::vector<std::string> lasting;
-  std::vector<std::string> cache;
-  std::vector<std::vector<std::pair<std::size_t, std::size_t>>> dirty;  ///< per file, written since the last sync
-  bool full = false;
-  bool sync_fails = false;  ///< and what was written counts as clean from then on
+      : durable(files, std::string(bytes, '\0')), cache(durable), dirty(files) {}
+  std::vector<std::string> durable;  ///< per file: what survives a power loss
+  std::vector<std::string> cache;    ///< per file: what reads return
+  /// Per file: (offset, length) of what was written since the last sync.
+  std::vector<std::vector<std::pair<std::size_t, std::size_t>>> dirty;
+  bool full = false;        ///< writes fail with "no space"
+  bool sync_fails = false;  ///< syncs fail, and the unsynced ranges count as clean from then on
 
+  /// A device over this disk; the disk must outlive it.
   [[nodiscard]] consensus::Device device() {
     consensus::Device device;
     device.read = [this](std::size_t file) -> absl::StatusOr<std::string> { return cache[file]; };
@@ -34,7 +36,7 @@
     device.sync = [this](std::size_t file) -> absl::Status {
       for (std::pair<std::size_t, std::size_t> const& range : dirty[file]) {
         if (!sync_fails) {
-          lasting[file].replace(range.first, range.second, cache[file], range.first, range.second);
+          durable[file].replace(range.first, range.second, cache[file], range.first, range.second);
         }
       }
       dirty[file].clear();
@@ -42,17 +44,17 @@
     };
     return device;
   }
-  /// Of each unsynced file only the first `kept` bytes of the difference last.
-  void lose_power(std::size_t kept) {
+  /// Loses all unsynced writes but the first `kept_bytes` differing bytes of each file.
+  void lose_power(std::size_t kept_bytes) {
     for (std::size_t file = 0; file < cache.size(); ++file) {
       std::size_t changed = 0;
-      for (std::size_t place = 0; place < cache[file].size(); ++place) {
-        if (cache[file][place] != lasting[file][place] && changed++ < kept) {
-          lasting[file][place] = cache[file][place];
+      for (std::size_t index = 0; index < cache[file].size(); ++index) {
+        if (cache[file][index] != durable[file][index] && changed++ < kept_bytes) {
+          durable[file][index] = cache[file][index];
         }
       }
     }
-    cache = lasting;
+    cache = durable;
     dirty.assign(cache.size(), {});
   }
 };
--- a/source/simulator/kernel/kernel.cpp
+++ b/source/simulator/kernel/kernel.cpp
@@ -6,18 +6,18 @@
 namespace finchlink::simulator {
 
 void Kernel::at(common::Moment moment, std::function<void()> event) {
-  queue_.push(Entry{std::max(moment, now_), order_++, std::move(event)});
+  queue_.push(Entry{std::max(moment, now_), sequence_++, std::move(event)});
 }
 
-void Kernel::run(common::Moment until, std::function<void()> const& each) {
+void Kernel::run(common::Moment until, std::function<void()> const& after_event) {
   while (!queue_.empty() && queue_.top().moment <= until) {
     Entry entry = queue_.top();
     queue_.pop();
     now_ = entry.moment;
     ++events_;
     entry.event();
-    if (each) {
-      each();
+    if (after_event) {
+      after_event();
     }
   }
   now_ = until;
@@ -29,8 +29,8 @@
 
 void Kernel::trace(std::string const& text) {
   std::string const line = std::to_string(now_) + " " + text;
-  for (char const letter : line) {
-    hash_ = (hash_ ^ static_cast<unsigned char>(letter)) * 1099511628211u;
+  for (char const character : line) {
+    hash_ = (hash_ ^ static_cast<unsigned char>(character)) * 1099511628211u;
   }
   if (print_) {
     std::printf("%s\n", line.c_str());
--- a/source/simulator/membership_model/actions.cpp
+++ b/source/simulator/membership_model/actions.cpp
@@ -17,15 +17,15 @@
 using consensus::Acceptor;
 using consensus::Outcome;
 
-/// Rounds of messages after which a proposal that runs through is given up.
-constexpr int most_rounds = 8;
+/// Ballots after which run_through() gives up a proposal.
+constexpr int max_rounds = 8;
 
 std::uint64_t digest_of(schema::Message const& message) {
   return common::Digest().add(common::pack(message)).short_value();
 }
 
-/// The records of a file are folded, as the ring does when a file is full.
-std::vector<schema::Record> folded(World const& world, Machine const& machine, std::vector<schema::Record> records) {
+/// Compacts the records into a snapshot, as the write-ahead log does when a file is full.
+std::vector<schema::Record> compacted(World const& world, Machine const& machine, std::vector<schema::Record> records) {
   return Acceptor(records, machine.address, world.founder_addresses, 0).snapshot_records();
 }
 
@@ -35,14 +35,14 @@
   }
   std::vector<schema::Record> all = machine.synced;
   all.insert(all.end(), records.begin(), records.end());
-  machine.synced = folded(world, machine, std::move(all));
+  machine.synced = compacted(world, machine, std::move(all));
 }
 
-void note_answer(World& world, Acceptor const& acceptor, schema::Message const& answer) {
+void check_reply(World& world, Acceptor const& acceptor, schema::Message const& answer) {
   if (std::holds_alternative<schema::Promise>(answer) || std::holds_alternative<schema::Accepted>(answer)) {
-    check_entitled(world, acceptor);
-  } else if (schema::Image const* const image = std::get_if<schema::Image>(&answer)) {
-    check_image(world, *image);
+    check_vote(world, acceptor);
+  } else if (schema::Image const* const snapshot = std::get_if<schema::Image>(&answer)) {
+    check_snapshot(world, *snapshot);
   }
 }
 
@@ -52,8 +52,8 @@
   return found == cells.end() ? std::nullopt : std::optional<schema::Cell>(found->second);
 }
 
-/// A reader of this epoch that hears the same ballot from a majority takes it for chosen.
-void note_if_chosen(World& world, std::uint64_t epoch, std::string const& name, schema::Cell const& cell) {
+/// A reader of this epoch that gets the same ballot from a majority treats its value as chosen.
+void record_if_chosen(World& world, std::uint64_t epoch, std::string const& name, schema::Cell const& cell) {
   std::map<std::uint64_t, schema::VoterSet>::const_iterator const set = world.history.sets.find(epoch);
   if (set == world.history.sets.end()) {
     return;
@@ -71,21 +71,21 @@
     accepted += answers && same ? 1 : 0;
   }
   if (accepted >= consensus::majority(set->second.holders.size())) {
-    note_chosen(world, name, ChosenValue{cell.accepted, cell.value});
+    record_chosen(world, name, ChosenValue{cell.accepted, cell.value});
   }
 }
 
-/// What a reader of the epoch of this voter may be sure of, once this one holds it too.
-void note_readable(World& world, std::size_t index) {
+/// Records the values that a reader of this voter's epoch may treat as chosen now that this voter accepted them.
+void record_readable(World& world, std::size_t index) {
   std::map<std::string, schema::Cell> const cells = world.machine(index).acceptor->cells();
   for (std::pair<std::string const, schema::Cell> const& cell : cells) {
     if (!(cell.second.accepted == schema::Ballot{})) {
-      note_if_chosen(world, world.machine(index).acceptor->set().epoch, cell.first, cell.second);
+      record_if_chosen(world, world.machine(index).acceptor->set().epoch, cell.first, cell.second);
     }
   }
 }
 
-/// One step of the core of a machine, its records synced before the answer.
+/// Runs one step of a machine's core; its records are synced before the reply.
 Outcome step(World& world, Bounds const& bounds, std::size_t index, std::function<Outcome(Acceptor&)> const& action) {
   Machine machine = world.machine(index);
   std::uint64_t const epoch = machine.acceptor->set().epoch;
@@ -97,11 +97,11 @@
     machine.unsynced = outcome.records;
   }
   if (machine.acceptor->set().epoch != epoch) {
-    machine.images.clear();
+    machine.snapshots.clear();
   }
-  note_set(world, machine.acceptor->set());
+  record_set(world, machine.acceptor->set());
   if (outcome.reply.has_value()) {
-    note_answer(world, *machine.acceptor, *outcome.reply);
+    check_reply(world, *machine.acceptor, *outcome.reply);
   }
   if (bounds.guards.sync_before_reply && !outcome.records.empty() &&
       common::pack(machine.synced) != common::pack(machine.acceptor->snapshot_records())) {
@@ -109,7 +109,7 @@
   }
   world.put(index, std::move(machine));
   if (!outcome.records.empty()) {
-    note_readable(world, index);
+    record_readable(world, index);
   }
   return outcome;
 }
@@ -134,7 +134,7 @@
 }
 
 void keep_late(World& world, Bounds const& bounds, Operation const& operation) {
-  for (Request const& request : operation.waiting) {
+  for (Request const& request : operation.in_flight) {
     if (std::holds_alternative<schema::Accept>(request.message)) {
       world.late.push_back(request);
     }
@@ -154,7 +154,7 @@
   }
 }
 
-std::optional<std::size_t> place_of(World const& world, std::uint64_t identity) {
+std::optional<std::size_t> position_of(World const& world, std::uint64_t identity) {
   for (std::size_t index = 0; index < world.operations.size(); ++index) {
     if (world.operations[index]->identity == identity) {
       return index;
@@ -163,63 +163,63 @@
   return std::nullopt;
 }
 
-/// Sends replace what the last phase left waiting. The state of the core after
-/// a send is told by what it sends.
-void queue(Operation& operation, std::vector<consensus::ProposerAction> const& actions) {
-  operation.waiting.clear();
+/// Replaces the requests that the last phase left in flight. What the core sends determines its state, hence the
+/// digest.
+void replace_requests(Operation& operation, std::vector<consensus::ProposerAction> const& actions) {
+  operation.in_flight.clear();
   for (consensus::ProposerAction const& action : actions) {
     consensus::Send const& send = std::get<consensus::Send>(action);
-    operation.waiting.push_back(Request{send.to, send.message});
+    operation.in_flight.push_back(Request{send.to, send.message});
     operation.digest = digest_of(send.message);
   }
-  operation.resting = false;
+  operation.preempted = false;
 }
 
 void start(World& world, std::size_t machine, std::string const& name, std::string const& content,
            consensus::ProposalFunction propose, consensus::Guards const& guards) {
   Operation operation{machine, world.next_identity++, content, consensus::Proposer(name, 0, nullptr), {}, {}, false, 0};
   operation.core = consensus::Proposer(name, operation.identity, std::move(propose), guards);
-  queue(operation, operation.core.begin(world.machine(machine).known));
+  replace_requests(operation, operation.core.begin(world.machine(machine).known));
   world.operations.push_back(std::make_shared<Operation const>(std::move(operation)));
 }
 
-void take_chosen(World& world, std::string const& name, consensus::Chosen const& chosen) {
-  note_chosen(world, name, ChosenValue{chosen.ballot, chosen.value});
+void learn_chosen(World& world, std::string const& name, consensus::Chosen const& chosen) {
+  record_chosen(world, name, ChosenValue{chosen.ballot, chosen.value});
   std::optional<schema::VoterSet> const set =
       name == consensus::voter_set_register ? voter_set_in(chosen.value) : std::optional<schema::VoterSet>();
   if (set.has_value()) {
-    note_set(world, *set);
+    record_set(world, *set);
   }
 }
 
-/// What the core of a proposal wants after an answer.
-void follow(World& world, Bounds const& bounds, Operation operation, std::size_t place,
-            std::vector<consensus::ProposerAction> const& actions) {
+/// Carries out the actions that the core of a proposal requested after a reply.
+void handle_actions(World& world, Bounds const& bounds, Operation operation, std::size_t position,
+                    std::vector<consensus::ProposerAction> const& actions) {
   bool ended = false;
   std::optional<schema::VoterSet> newer;
   if (!actions.empty() && std::holds_alternative<consensus::Send>(actions.front())) {
     keep_late(world, bounds, operation);
-    queue(operation, actions);
+    replace_requests(operation, actions);
   } else if (!actions.empty()) {
     consensus::ProposerAction const& action = actions.front();
     if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&action)) {
-      take_chosen(world, operation.core.name(), *chosen);
+      learn_chosen(world, operation.core.name(), *chosen);
       ended = true;
     } else if (std::holds_alternative<consensus::Rejected>(action)) {
       if (!operation.content.empty()) {
-        note_rejected(world, operation.content);
+        record_rejected(world, operation.content);
       }
       ended = true;
     } else if (consensus::NewerVoterSet const* const set = std::get_if<consensus::NewerVoterSet>(&action)) {
       newer = set->set;
-      operation.resting = true;
+      operation.preempted = true;
     } else {
-      operation.resting = true;
+      operation.preempted = true;
     }
   }
   std::size_t const machine = operation.machine;
   std::uint64_t const identity = operation.identity;
-  world.operations[place] = std::make_shared<Operation const>(std::move(operation));
+  world.operations[position] = std::make_shared<Operation const>(std::move(operation));
   if (newer.has_value()) {
     learn(world, machine, *newer);
   }
@@ -228,23 +228,23 @@
   }
 }
 
-/// Three looks in a row, of which the last is answered by all but one.
-membership::VoterProbes look(World& world, Bounds const& bounds, schema::VoterSet const& set, std::string const& self,
-                             std::uint64_t seems_lost) {
-  membership::VoterProbes looks;
+/// Three probes in a row (join_misses); all voters but the suspected one answer the last.
+membership::VoterProbes probe_voters(World& world, Bounds const& bounds, schema::VoterSet const& set,
+                                     std::string const& self, std::uint64_t suspected) {
+  membership::VoterProbes probes;
   for (int count = 0; count < common::constants::max_missed_voter_probes; ++count) {
-    looks.begin(set);
+    probes.begin(set);
   }
   for (schema::Voter const& voter : set.holders) {
-    if (voter.incarnation == seems_lost || voter.address == self) {
+    if (voter.incarnation == suspected || voter.address == self) {
       continue;
     }
     std::optional<schema::Message> const answer = send(world, bounds, voter.address, schema::Adopt{set});
     if (answer.has_value()) {
-      looks.record_answer(voter.incarnation, std::get<schema::Adopted>(*answer));
+      probes.record_answer(voter.incarnation, std::get<schema::Adopted>(*answer));
     }
   }
-  return looks;
+  return probes;
 }
 
 }  // namespace
@@ -270,7 +270,7 @@
       bounds.guards);
 }
 
-bool join(World& world, Bounds const& bounds, std::size_t index, std::uint64_t seems_lost) {
+bool join(World& world, Bounds const& bounds, std::size_t index, std::uint64_t suspected) {
   schema::VoterSet const set = world.machine(index).known;
   std::string const address = world.machine(index).address;
   if (bounds.adopt_before_join) {
@@ -279,10 +279,10 @@
   if (bounds.complete_before_join && world.machine(index).acceptor->needs_snapshot()) {
     return false;
   }
-  membership::VoterProbes const looks = look(world, bounds, set, address, seems_lost);
+  membership::VoterProbes const probes = probe_voters(world, bounds, set, address, suspected);
   schema::Voter const self{world.machine(index).acceptor->incarnation(), address};
   std::optional<schema::VoterSet> const next =
-      membership::plan_joining(set, looks.misses(), self, bounds.wanted_voters);
+      membership::plan_joining(set, probes.misses(), self, bounds.wanted_voters);
   if (!next.has_value()) {
     return false;
   }
@@ -296,30 +296,30 @@
   }
   start(world, index, consensus::voter_set_register, "", propose, bounds.guards);
   Operation operation = *world.operations.back();
-  operation.proposes = *next;
+  operation.proposed_set = *next;
   world.operations.back() = std::make_shared<Operation const>(std::move(operation));
   return true;
 }
 
-void begin_again(World& world, Bounds const& bounds, std::size_t place) {
-  Operation operation = *world.operations[place];
+void retry_ballot(World& world, Bounds const& bounds, std::size_t position) {
+  Operation operation = *world.operations[position];
   keep_late(world, bounds, operation);
-  queue(operation, operation.core.begin(world.machine(operation.machine).known));
-  world.operations[place] = std::make_shared<Operation const>(std::move(operation));
+  replace_requests(operation, operation.core.begin(world.machine(operation.machine).known));
+  world.operations[position] = std::make_shared<Operation const>(std::move(operation));
 }
 
-void deliver(World& world, Bounds const& bounds, std::size_t place, std::size_t request) {
-  Operation operation = *world.operations[place];
-  Request const sent = operation.waiting[request];
-  operation.waiting.erase(operation.waiting.begin() + static_cast<std::ptrdiff_t>(request));
+void deliver(World& world, Bounds const& bounds, std::size_t position, std::size_t request) {
+  Operation operation = *world.operations[position];
+  Request const sent = operation.in_flight[request];
+  operation.in_flight.erase(operation.in_flight.begin() + static_cast<std::ptrdiff_t>(request));
   std::optional<schema::Message> const answer = send(world, bounds, sent.to.address, sent.message);
   std::vector<consensus::ProposerAction> actions;
   if (answer.has_value()) {
     actions = operation.core.receive(sent.to.incarnation, *answer);
-    // A sum: in which order the answers of a phase came doesn't matter.
+    // A sum, because the order of the replies of a phase doesn't matter.
     operation.digest += common::Digest().add(sent.to.incarnation).add(digest_of(*answer)).short_value();
   }
-  follow(world, bounds, std::move(operation), place, actions);
+  handle_actions(world, bounds, std::move(operation), position, actions);
 }
 
 void deliver_late(World& world, Bounds const& bounds, std::size_t request) {
@@ -328,30 +328,31 @@
   (void)send(world, bounds, sent.to.address, sent.message);
 }
 
-void abandon(World& world, Bounds const& bounds, std::size_t place) {
-  end(world, bounds, world.operations[place]->identity);
+void abandon(World& world, Bounds const& bounds, std::size_t position) {
+  end(world, bounds, world.operations[position]->identity);
 }
 
 void run_through(World& world, Bounds const& bounds, std::uint64_t identity) {
-  for (int round = 0; round < most_rounds; ++round) {
-    for (std::optional<std::size_t> place = place_of(world, identity);
-         place.has_value() && !world.operations[*place]->resting && !world.operations[*place]->waiting.empty();
-         place = place_of(world, identity)) {
-      deliver(world, bounds, *place, 0);
+  for (int round = 0; round < max_rounds; ++round) {
+    for (std::optional<std::size_t> position = position_of(world, identity);
+         position.has_value() && !world.operations[*position]->preempted &&
+         !world.operations[*position]->in_flight.empty();
+         position = position_of(world, identity)) {
+      deliver(world, bounds, *position, 0);
     }
-    std::optional<std::size_t> const place = place_of(world, identity);
-    if (!place.has_value()) {
+    std::optional<std::size_t> const position = position_of(world, identity);
+    if (!position.has_value()) {
       return;
     }
-    if (!world.operations[*place]->resting) {
+    if (!world.operations[*position]->preempted) {
       break;
     }
-    begin_again(world, bounds, *place);
+    retry_ballot(world, bounds, *position);
   }
   end(world, bounds, identity);
 }
 
-bool offers(World const& world, std::size_t from, std::size_t to, std::string const& name) {
+bool has_newer_ballot(World const& world, std::size_t from, std::size_t to, std::string const& name) {
   std::optional<schema::Cell> const theirs = cell_of(world, from, name);
   std::optional<schema::Cell> const own = cell_of(world, to, name);
   bool const voters = world.machine(from).acceptor->voting() && world.machine(to).acceptor->voting();
@@ -366,57 +367,57 @@
   if (outcome.records.empty()) {
     return;
   }
-  check_entitled(world, *world.machine(to).acceptor);
+  check_vote(world, *world.machine(to).acceptor);
 }
 
-void ask_image(World& world, Bounds const& bounds, std::size_t index, std::string const& source) {
+void request_snapshot(World& world, Bounds const& bounds, std::size_t index, std::string const& source) {
   std::optional<schema::Message> const answer =
       send(world, bounds, source, world.machine(index).acceptor->snapshot_request());
-  schema::Image const* const image = answer.has_value() ? std::get_if<schema::Image>(&*answer) : nullptr;
-  if (image == nullptr) {
+  schema::Image const* const snapshot = answer.has_value() ? std::get_if<schema::Image>(&*answer) : nullptr;
+  if (snapshot == nullptr) {
     return;
   }
   Machine machine = world.machine(index);
-  machine.images[image->incarnation] = *image;
-  std::vector<schema::Image> images;
-  for (std::pair<std::uint64_t const, schema::Image> const& each : machine.images) {
-    images.push_back(each.second);
+  machine.snapshots[snapshot->incarnation] = *snapshot;
+  std::vector<schema::Image> snapshots;
+  for (std::pair<std::uint64_t const, schema::Image> const& each : machine.snapshots) {
+    snapshots.push_back(each.second);
   }
   world.put(index, std::move(machine));
   std::uint64_t const complete = world.machine(index).acceptor->complete();
-  (void)step(world, bounds, index, [&images](Acceptor& acceptor) { return acceptor.join(images, 0); });
+  (void)step(world, bounds, index, [&snapshots](Acceptor& acceptor) { return acceptor.join(snapshots, 0); });
   machine = world.machine(index);
   if (machine.acceptor->complete() > complete) {
     std::uint64_t const incarnation = machine.acceptor->incarnation();
-    note_data(world, incarnation, first_named(world, incarnation, machine.acceptor->complete()));
-    machine.images.clear();
+    record_data(world, incarnation, first_epoch_naming(world, incarnation, machine.acceptor->complete()));
+    machine.snapshots.clear();
     world.put(index, std::move(machine));
   }
 }
 
-void ask_founding(World& world, Bounds const& bounds, std::size_t index, std::size_t founder) {
+void request_bootstrap_answer(World& world, Bounds const& bounds, std::size_t index, std::size_t founder) {
   std::string const address = world.founder_addresses[founder];
   std::optional<schema::Message> const answer =
       send(world, bounds, address, world.machine(index).acceptor->bootstrap_request());
   if (answer.has_value()) {
     Machine machine = world.machine(index);
-    machine.founding_answers[address] = std::get<schema::FoundingAnswer>(*answer);
+    machine.bootstrap_answers[address] = std::get<schema::FoundingAnswer>(*answer);
     world.put(index, std::move(machine));
   }
 }
 
-void conclude_founding(World& world, Bounds const& bounds, std::size_t index) {
+void conclude_bootstrap(World& world, Bounds const& bounds, std::size_t index) {
   Machine machine = world.machine(index);
   std::vector<schema::FoundingAnswer> answers;
-  for (std::pair<std::string const, schema::FoundingAnswer> const& answer : machine.founding_answers) {
+  for (std::pair<std::string const, schema::FoundingAnswer> const& answer : machine.bootstrap_answers) {
     answers.push_back(answer.second);
   }
-  machine.founding_answers.clear();
+  machine.bootstrap_answers.clear();
   world.put(index, std::move(machine));
   (void)step(world, bounds, index, [&answers](Acceptor& acceptor) { return acceptor.bootstrap(answers, 0); });
   Acceptor const& acceptor = *world.machine(index).acceptor;
   if (acceptor.voting()) {
-    note_data(world, acceptor.incarnation(), 1);
+    record_data(world, acceptor.incarnation(), 1);
   }
 }
 
--- a/source/simulator/membership_model/closing.cpp
+++ b/source/simulator/membership_model/closing.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// Rounds of all loops: founding takes three, a change of the set and an image
-/// one each, and several changes may be due.
-constexpr int closing_rounds = 10;
+/// Rounds of all loops: the bootstrap takes three, a change of the voter set and a snapshot one each, and several
+/// changes may be due.
+constexpr int max_recovery_rounds = 10;
 
-void end_and_restart(World& world, Bounds const& bounds) {
+void cancel_operations_and_restart(World& world, Bounds const& bounds) {
   world.operations.clear();
   world.late.clear();
   for (std::size_t index = 0; index < world.machines().size(); ++index) {
@@ -31,7 +31,7 @@
   return newest;
 }
 
-/// Clients learn the newest set from each other, acceptors from their client.
+/// Clients learn the newest voter set from each other, acceptors from their client.
 void spread(World& world, Bounds const& bounds, schema::VoterSet const& newest) {
   for (std::size_t index = 0; index < world.machines().size(); ++index) {
     learn(world, index, newest);
@@ -42,19 +42,19 @@
   }
 }
 
-void found_or_catch_up(World& world, Bounds const& bounds, std::size_t index) {
+void bootstrap_or_catch_up(World& world, Bounds const& bounds, std::size_t index) {
   if (world.machine(index).acceptor->needs_bootstrap()) {
     for (std::size_t founder = 0; founder < world.founder_addresses.size(); ++founder) {
       if (world.founder_addresses[founder] != world.machine(index).address) {
-        ask_founding(world, bounds, index, founder);
+        request_bootstrap_answer(world, bounds, index, founder);
       }
     }
-    conclude_founding(world, bounds, index);
+    conclude_bootstrap(world, bounds, index);
   }
   if (world.machine(index).acceptor->needs_snapshot()) {
     std::vector<schema::Voter> const sources = world.machine(index).acceptor->snapshot_sources();
     for (schema::Voter const& source : sources) {
-      ask_image(world, bounds, index, source.address);
+      request_snapshot(world, bounds, index, source.address);
     }
   }
 }
@@ -67,7 +67,7 @@
   return world.history.chosen[name].size() > before;
 }
 
-void join_if_left_out(World& world, Bounds const& bounds, std::size_t index) {
+void join_if_removed(World& world, Bounds const& bounds, std::size_t index) {
   Machine const& machine = world.machine(index);
   if (machine.known.epoch == 0 || consensus::contains_voter(machine.known.holders, machine.acceptor->incarnation())) {
     return;
@@ -78,7 +78,7 @@
   }
 }
 
-bool close_round(World& world, Bounds const& bounds) {
+bool run_recovery_round(World& world, Bounds const& bounds) {
   spread(world, bounds, newest_known(world));
   if (world.machine(0).known.epoch > 0 && settle(world, bounds, consensus::voter_set_register)) {
     schema::VoterSet const newest = world.history.sets.rbegin()->second;
@@ -88,15 +88,15 @@
     }
   }
   for (std::size_t index = 0; index < world.machines().size(); ++index) {
-    found_or_catch_up(world, bounds, index);
-    join_if_left_out(world, bounds, index);
+    bootstrap_or_catch_up(world, bounds, index);
+    join_if_removed(world, bounds, index);
   }
   return false;
 }
 
-/// A majority of the newest set votes or will after a restart, and no acceptor
-/// has seen a still newer set that may be chosen.
-bool majority_stands(World const& world) {
+/// Whether a majority of the newest voter set votes, or will after a restart, and no acceptor has seen a still newer
+/// set that may be chosen.
+bool majority_available(World const& world) {
   if (world.history.sets.empty()) {
     return false;
   }
@@ -117,13 +117,13 @@
 
 }  // namespace
 
-bool closes_with_choice(World& world, Bounds const& bounds) {
-  if (majority_stands(world)) {
+bool recovers_with_choice(World& world, Bounds const& bounds) {
+  if (majority_available(world)) {
     return true;
   }
-  end_and_restart(world, bounds);
-  for (int round = 0; round < closing_rounds; ++round) {
-    if (close_round(world, bounds)) {
+  cancel_operations_and_restart(world, bounds);
+  for (int round = 0; round < max_recovery_rounds; ++round) {
+    if (run_recovery_round(world, bounds)) {
       check_majorities(world);
       return true;
     }
--- a/source/simulator/membership_model/closing.hpp
+++ b/source/simulator/membership_model/closing.hpp
@@ -4,10 +4,9 @@
 
 namespace finchlink::simulator::membership_model {
 
-/// The fair end of a schedule: nothing fails any more, what crashed restarts,
-/// every process does in turn what its loops do. Whether the newest set then
-/// chooses a value; what it chose is noted as any other choice. The liveness
-/// check of each explored state.
-[[nodiscard]] bool closes_with_choice(World& world, Bounds const& bounds);
+/// The liveness check of each explored state: from here on nothing fails, crashed processes restart, and every process
+/// runs its periodic loops in turn (a fair continuation). Returns whether the newest voter set then chooses a value;
+/// the chosen value is recorded like any other.
+[[nodiscard]] bool recovers_with_choice(World& world, Bounds const& bounds);
 
 }  // namespace finchlink::simulator::membership_model
--- a/source/simulator/membership_model/invariants.cpp
+++ b/source/simulator/membership_model/invariants.cpp
@@ -18,17 +18,17 @@
   return std::get<schema::FoundingRecord>(machine.synced.front()).incarnation;
 }
 
-/// One whose disk is still there, were that of the machine `without` lost.
-bool disk_intact(World const& world, std::uint64_t incarnation, std::size_t without) {
+/// Whether the disk of this incarnation would still exist if that of machine `lost_machine` were lost.
+bool disk_intact(World const& world, std::uint64_t incarnation, std::size_t lost_machine) {
   for (std::size_t index = 0; index < world.machines().size(); ++index) {
-    if (index != without && incarnation_on_disk(world.machine(index)) == incarnation) {
+    if (index != lost_machine && incarnation_on_disk(world.machine(index)) == incarnation) {
       return true;
     }
   }
   return false;
 }
 
-bool on_a_disk(World const& world, schema::VoterSet const& set) {
+bool on_any_disk(World const& world, schema::VoterSet const& set) {
   for (std::shared_ptr<Machine const> const& machine : world.machines()) {
     for (schema::Record const& record : machine->synced) {
       schema::SetRecord const* const entry = std::get_if<schema::SetRecord>(&record);
@@ -40,8 +40,8 @@
   return false;
 }
 
-/// What a ballot finds at a majority: the value of the highest ballot.
-schema::Cell best_of(std::vector<consensus::Acceptor const*> const& members, std::string const& name) {
+/// What a ballot finds at these members: the cell with the highest accepted ballot.
+schema::Cell highest_accepted(std::vector<consensus::Acceptor const*> const& members, std::string const& name) {
   schema::Cell best;
   for (consensus::Acceptor const* const member : members) {
     std::map<std::string, schema::Cell>::const_iterator const cell = member->cells().find(name);
@@ -55,13 +55,13 @@
 void check_majority(World& world, std::vector<consensus::Acceptor const*> const& members) {
   for (std::pair<std::string const, std::vector<ChosenValue>> const& entry : world.history.chosen) {
     schema::Value const& acknowledged = entry.second.back().value;
-    schema::Value const found = best_of(members, entry.first).value;
+    schema::Value const found = highest_accepted(members, entry.first).value;
     if (found.revision < acknowledged.revision ||
         (found.revision == acknowledged.revision && found.content != acknowledged.content)) {
       world.history.violations.push_back("a majority that can choose lacks an acknowledged value of " + entry.first);
     }
   }
-  if (world.history.rejected.count(best_of(members, data_register).value.content) > 0) {
+  if (world.history.rejected.count(highest_accepted(members, data_register).value.content) > 0) {
     world.history.violations.push_back("a majority can choose a rejected value");
   }
 }
@@ -70,10 +70,11 @@
   return (set.holders.size() - 1) / 2;
 }
 
-std::size_t lost_disks(World const& world, schema::VoterSet const& set, std::size_t without) {
-  return static_cast<std::size_t>(std::count_if(
-      set.holders.begin(), set.holders.end(),
-      [&world, without](schema::Voter const& voter) { return !disk_intact(world, voter.incarnation, without); }));
+std::size_t lost_disks(World const& world, schema::VoterSet const& set, std::size_t lost_machine) {
+  return static_cast<std::size_t>(
+      std::count_if(set.holders.begin(), set.holders.end(), [&world, lost_machine](schema::Voter const& voter) {
+        return !disk_intact(world, voter.incarnation, lost_machine);
+      }));
 }
 
 void add_accepted(schema::Message const& message, std::vector<schema::VoterSet>& sets) {
@@ -84,12 +85,12 @@
   }
 }
 
-/// Sets beyond the newest that are being proposed, on their way or accepted somewhere.
+/// Voter sets newer than the newest that are proposed, in flight or accepted somewhere.
 std::vector<schema::VoterSet> proposed_sets(World const& world) {
   std::vector<schema::VoterSet> sets;
   for (std::shared_ptr<Operation const> const& operation : world.operations) {
-    sets.insert(sets.end(), operation->proposes.value_or(schema::VoterSet{}));
-    for (Request const& request : operation->waiting) {
+    sets.insert(sets.end(), operation->proposed_set.value_or(schema::VoterSet{}));
+    for (Request const& request : operation->in_flight) {
       add_accepted(request.message, sets);
     }
   }
@@ -111,18 +112,18 @@
   return sets;
 }
 
-std::optional<std::size_t> place_in(schema::VoterSet const& set, std::uint64_t incarnation) {
-  for (std::size_t place = 0; place < set.holders.size(); ++place) {
-    if (set.holders[place].incarnation == incarnation) {
-      return place;
+std::optional<std::size_t> position_in(schema::VoterSet const& set, std::uint64_t incarnation) {
+  for (std::size_t position = 0; position < set.holders.size(); ++position) {
+    if (set.holders[position].incarnation == incarnation) {
+      return position;
     }
   }
   return std::nullopt;
 }
 
-/// The place of an incarnation in the newest set that names it, also in one
-/// that is proposed and may yet be chosen.
-std::optional<std::size_t> place_in_sets(World const& world, std::uint64_t incarnation) {
+/// The position of an incarnation in the newest voter set that names it, including proposed sets that may yet be
+/// chosen.
+std::optional<std::size_t> position_in_sets(World const& world, std::uint64_t incarnation) {
   if (world.history.sets.empty()) {
     return std::nullopt;
   }
@@ -133,25 +134,25 @@
   std::vector<schema::VoterSet> const proposed = proposed_sets(world);
   sets.insert(sets.end(), proposed.begin(), proposed.end());
   for (std::vector<schema::VoterSet>::const_reverse_iterator set = sets.rbegin(); set != sets.rend(); ++set) {
-    std::optional<std::size_t> const place = place_in(*set, incarnation);
-    if (place.has_value()) {
-      return place;
+    std::optional<std::size_t> const position = position_in(*set, incarnation);
+    if (position.has_value()) {
+      return position;
     }
   }
   return std::nullopt;
 }
 
-/// First sets that may yet be founded: what a founder has pledged, and what a
-/// look that is not concluded may make it found.
-std::vector<schema::VoterSet> pledged_sets(World const& world) {
+/// First voter sets that may yet be bootstrapped: those that a founder gave its bootstrap vote to, and those that an
+/// unconcluded probe of the founders may lead to.
+std::vector<schema::VoterSet> bootstrap_vote_sets(World const& world) {
   std::vector<schema::VoterSet> sets;
   for (std::shared_ptr<Machine const> const& machine : world.machines()) {
     schema::FoundingRecord const& founding = std::get<schema::FoundingRecord>(machine->synced.front());
-    std::vector<schema::Voter> looked_at{schema::Voter{founding.incarnation, machine->address}};
-    for (std::pair<std::string const, schema::FoundingAnswer> const& answer : machine->founding_answers) {
-      looked_at.push_back(schema::Voter{answer.second.incarnation, answer.first});
+    std::vector<schema::Voter> probed{schema::Voter{founding.incarnation, machine->address}};
+    for (std::pair<std::string const, schema::FoundingAnswer> const& answer : machine->bootstrap_answers) {
+      probed.push_back(schema::Voter{answer.second.incarnation, answer.first});
     }
-    for (std::vector<schema::Voter> const& voters : {founding.pledge, looked_at}) {
+    for (std::vector<schema::Voter> const& voters : {founding.pledge, probed}) {
       if (voters.size() == world.founder_addresses.size()) {
         sets.push_back(schema::VoterSet{1, voters, voters});
       }
@@ -160,19 +161,19 @@
   return sets;
 }
 
-/// Disks of founders that were lost between the pledge and the first set.
-void note_lost_founders(World& world, schema::VoterSet const& set) {
-  for (std::size_t place = 0; place < set.holders.size(); ++place) {
-    std::uint64_t const incarnation = set.holders[place].incarnation;
+/// Records founders' disks that were lost between the bootstrap vote and the first voter set.
+void record_lost_founders(World& world, schema::VoterSet const& set) {
+  for (std::size_t position = 0; position < set.holders.size(); ++position) {
+    std::uint64_t const incarnation = set.holders[position].incarnation;
     if (!disk_intact(world, incarnation, world.machines().size())) {
-      world.history.lost_disks[incarnation] = place;
+      world.history.lost_disks[incarnation] = position;
     }
   }
 }
 
 }  // namespace
 
-void note_chosen(World& world, std::string const& name, ChosenValue const& chosen) {
+void record_chosen(World& world, std::string const& name, ChosenValue const& chosen) {
   std::vector<ChosenValue>& all = world.history.chosen[name];
   for (ChosenValue const& other : all) {
     bool const good =
@@ -184,19 +185,19 @@
   if (world.history.rejected.count(chosen.value.content) > 0) {
     world.history.violations.push_back("a rejected value of " + name + " is chosen");
   }
-  std::vector<ChosenValue>::iterator const place =
+  std::vector<ChosenValue>::iterator const position =
       std::find_if(all.begin(), all.end(),
                    [&chosen](ChosenValue const& other) { return !consensus::before(other.ballot, chosen.ballot); });
-  if (place == all.end() || !(place->ballot == chosen.ballot)) {
-    all.insert(place, chosen);
+  if (position == all.end() || !(position->ballot == chosen.ballot)) {
+    all.insert(position, chosen);
   }
 }
 
-void note_rejected(World& world, std::string const& content) {
+void record_rejected(World& world, std::string const& content) {
   world.history.rejected.insert(content);
 }
 
-void note_set(World& world, schema::VoterSet const& set) {
+void record_set(World& world, schema::VoterSet const& set) {
   if (set.epoch == 0) {
     return;
   }
@@ -204,9 +205,9 @@
       world.history.sets.emplace(set.epoch, set);
   schema::VoterSet& known = entry.first->second;
   if (entry.second && set.epoch == 1) {
-    note_lost_founders(world, set);
+    record_lost_founders(world, set);
   }
-  if (set.epoch == 1 && !(known == set) && !on_a_disk(world, known)) {
+  if (set.epoch == 1 && !(known == set) && !on_any_disk(world, known)) {
     known = set;
   }
   if (!(known == set)) {
@@ -228,7 +229,7 @@
   return true;
 }
 
-std::uint64_t first_named(World const& world, std::uint64_t incarnation, std::uint64_t last) {
+std::uint64_t first_epoch_naming(World const& world, std::uint64_t incarnation, std::uint64_t last) {
   std::uint64_t first = last;
   while (first > 1) {
     std::map<std::uint64_t, schema::VoterSet>::const_iterator const before = world.history.sets.find(first - 1);
@@ -240,21 +241,21 @@
   return first;
 }
 
-void check_entitled(World& world, consensus::Acceptor const& acceptor) {
+void check_vote(World& world, consensus::Acceptor const& acceptor) {
   if (!has_data(world, acceptor.incarnation(), acceptor.set().epoch)) {
     world.history.violations.push_back("a vote of one that lacks data of the epoch before");
   }
 }
 
-void check_image(World& world, schema::Image const& image) {
-  if (!has_data(world, image.incarnation, image.complete)) {
+void check_snapshot(World& world, schema::Image const& snapshot) {
+  if (!has_data(world, snapshot.incarnation, snapshot.complete)) {
     world.history.violations.push_back("an image from one that lacks data of the epoch before");
   }
   for (std::pair<std::string const, std::vector<ChosenValue>> const& entry : world.history.chosen) {
-    std::map<std::string, schema::Cell>::const_iterator const cell = image.cells.find(entry.first);
-    schema::Ballot const accepted = cell == image.cells.end() ? schema::Ballot{} : cell->second.accepted;
+    std::map<std::string, schema::Cell>::const_iterator const cell = snapshot.cells.find(entry.first);
+    schema::Ballot const accepted = cell == snapshot.cells.end() ? schema::Ballot{} : cell->second.accepted;
     for (ChosenValue const& chosen : entry.second) {
-      if (chosen.ballot.epoch <= image.whole && consensus::before(accepted, chosen.ballot)) {
+      if (chosen.ballot.epoch <= snapshot.whole && consensus::before(accepted, chosen.ballot)) {
         world.history.violations.push_back("an image that is called whole lacks an acknowledged value");
       }
     }
@@ -288,32 +289,33 @@
   }
 }
 
-void note_lost_disk(World& world, std::uint64_t incarnation) {
-  std::optional<std::size_t> const place = place_in_sets(world, incarnation);
-  if (place.has_value()) {
-    world.history.lost_disks[incarnation] = *place;
+void record_lost_disk(World& world, std::uint64_t incarnation) {
+  std::optional<std::size_t> const position = position_in_sets(world, incarnation);
+  if (position.has_value()) {
+    world.history.lost_disks[incarnation] = *position;
   }
   world.history.data_since.erase(incarnation);
 }
 
-void note_data(World& world, std::uint64_t incarnation, std::uint64_t epoch) {
+void record_data(World& world, std::uint64_t incarnation, std::uint64_t epoch) {
   world.history.data_since[incarnation] = epoch;
   if (world.history.sets.empty() ||
       !consensus::contains_voter(world.history.sets.rbegin()->second.holders, incarnation)) {
-    return;  // it has the data, and no vote
+    return;  // it has the data but no vote
   }
-  std::optional<std::size_t> const place = place_in_sets(world, incarnation);
-  std::erase_if(world.history.lost_disks,
-                [&place](std::pair<std::uint64_t const, std::size_t> const& lost) { return place == lost.second; });
+  std::optional<std::size_t> const position = position_in_sets(world, incarnation);
+  std::erase_if(world.history.lost_disks, [&position](std::pair<std::uint64_t const, std::size_t> const& lost) {
+    return position == lost.second;
+  });
 }
 
-bool bears_loss(World const& world, std::size_t machine) {
+bool disk_loss_tolerated(World const& world, std::size_t machine) {
   if (!world.history.sets.empty()) {
-    bool const named = place_in_sets(world, incarnation_on_disk(world.machine(machine))).has_value();
+    bool const named = position_in_sets(world, incarnation_on_disk(world.machine(machine))).has_value();
     std::ptrdiff_t const before =
         std::count_if(world.history.lost_disks.begin(), world.history.lost_disks.end(),
                       [&world](std::pair<std::uint64_t const, std::size_t> const& disk) {
-                        return place_in_sets(world, disk.first).has_value();  // else its set was never chosen
+                        return position_in_sets(world, disk.first).has_value();  // else its set was never chosen
                       });
     std::size_t const lost = static_cast<std::size_t>(before) + (named ? 1 : 0);
     if (lost > tolerated(world.history.sets.rbegin()->second)) {
@@ -323,8 +325,8 @@
   if (!world.history.sets.empty() && world.history.sets.rbegin()->first > 1) {
     return true;
   }
-  std::vector<schema::VoterSet> const pledged = pledged_sets(world);
-  return std::all_of(pledged.begin(), pledged.end(), [&world, machine](schema::VoterSet const& set) {
+  std::vector<schema::VoterSet> const bootstrap_sets = bootstrap_vote_sets(world);
+  return std::all_of(bootstrap_sets.begin(), bootstrap_sets.end(), [&world, machine](schema::VoterSet const& set) {
     return lost_disks(world, set, machine) <= tolerated(set);
   });
 }
--- a/source/simulator/membership_model/scenario.cpp
+++ b/source/simulator/membership_model/scenario.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// More than any schedule uses.
+/// A budget larger than any schedule uses.
 constexpr std::size_t no_bound = 1000000;
 
 Bounds ballots() {
@@ -69,7 +69,7 @@
   return bounds;
 }
 
-Bounds left_out_and_back() {
+Bounds removed_and_back() {
   Bounds bounds;
   bounds.single_messages = false;
   bounds.founders = 5;
@@ -80,10 +80,9 @@
   return bounds;
 }
 
-/// A voter is only unreachable and its place is taken; then disks are lost, of
-/// which no more than tolerated.
+/// A voter is only unreachable and gets replaced; then disks are lost, no more than tolerated.
 Bounds unreachable_of_five() {
-  Bounds bounds = left_out_and_back();
+  Bounds bounds = removed_and_back();
   bounds.suspicions = 1;
   bounds.lost_disks = 2;
   bounds.crashes = 0;
@@ -100,7 +99,7 @@
   return bounds;
 }
 
-/// Changes half done that voters take from each other, while the set changes.
+/// Voters copy half-done changes from each other while the voter set changes.
 Bounds taken_over() {
   Bounds bounds = joining();
   bounds.writes = 2;
@@ -154,7 +153,7 @@
           {"membership-three", "changes of a set of three, whole rounds", rounds_of_three()},
           {"membership-growth", "a set that grows from three to five, whole rounds", rounds_of_growth()},
           {"membership-five", "lost disks of a set of five, whole rounds", rounds_of_five()},
-          {"membership-back", "voters of five that are left out and come back, whole rounds", left_out_and_back()},
+          {"membership-back", "voters of five that are left out and come back, whole rounds", removed_and_back()},
           {"membership-unreachable-five", "five voters, one out of reach, two disks lost, whole rounds",
            unreachable_of_five()},
           {"membership-unreachable-three", "three voters, one out of reach, one disk lost, whole rounds",
@@ -172,7 +171,7 @@
   return std::nullopt;
 }
 
-bool switch_off(Bounds& bounds, std::string const& guard) {
+bool disable_guard(Bounds& bounds, std::string const& guard) {
   consensus::Guards& guards = bounds.guards;
   std::map<std::string, bool*> const names{{"sync_before_reply", &guards.sync_before_reply},
                                            {"blank_has_no_vote", &guards.blank_has_no_vote},
@@ -197,7 +196,7 @@
 }
 
 Bounds without_budgets(Bounds bounds) {
-  // All founders are needed where they are until they have founded (section 5.4).
+  // All founders must keep their addresses until the bootstrap is complete (section 5.4).
   bounds.replaced = bounds.founded ? no_bound : 0;
   bounds.writes = bounds.settles = bounds.lost_disks = no_bound;
   bounds.crashes = bounds.suspicions = bounds.joins = bounds.retries = no_bound;
--- a/source/simulator/membership_model/scenario.hpp
+++ b/source/simulator/membership_model/scenario.hpp
@@ -6,29 +6,31 @@
 
 namespace finchlink::simulator::membership_model {
 
-/// One exploration that can be asked for by name.
+/// An exploration that can be run by name.
 struct Scenario {
   std::string name;
   std::string about;
   Bounds bounds;
 };
+/// All scenarios, in the order in which they are listed.
 [[nodiscard]] std::vector<Scenario> scenarios();
+/// The scenario of this name, if there is one.
 [[nodiscard]] std::optional<Scenario> scenario(std::string const& name);
 
-/// Switches a guard of the bounds off; false for a name that is none.
-[[nodiscard]] bool switch_off(Bounds& bounds, std::string const& guard);
+/// Disables a guard of the bounds by name; returns false if there is no such guard.
+[[nodiscard]] bool disable_guard(Bounds& bounds, std::string const& guard);
 
-/// Budgets for a schedule of any length.
+/// The same bounds with practically unlimited budgets, for schedules of any length.
 [[nodiscard]] Bounds without_budgets(Bounds bounds);
 
-/// Runs a search, or random walks of so many steps, and prints what came of it.
+/// Options of run_scenario().
 struct RunOptions {
   SearchLimits limits;
   std::size_t walk_steps = 0;  ///< 0: the exhaustive search
   std::uint64_t first_seed = 1;
   std::uint64_t last_seed = 1;
 };
-/// Whether no invariant was broken.
+/// Runs a search or random walks and prints the result. Returns whether no invariant was violated.
 [[nodiscard]] bool run_scenario(Scenario const& scenario, RunOptions const& options, std::ostream& out);
 
 }  // namespace finchlink::simulator::membership_model
--- a/source/simulator/membership_model/search.cpp
+++ b/source/simulator/membership_model/search.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// How a state was reached; shared by all that were reached from it.
+/// How a state was reached; shared by all states reached from it.
 struct Path {
   std::shared_ptr<Path const> before;
   std::string step;
@@ -35,27 +35,27 @@
   for (Step const& step : steps) {
     sum += weight(step);
   }
-  std::uint64_t lot = random() % sum;
+  std::uint64_t remaining = random() % sum;
   for (Step const& step : steps) {
-    if (lot < weight(step)) {
+    if (remaining < weight(step)) {
       return step;
     }
-    lot -= weight(step);
+    remaining -= weight(step);
   }
   return steps.back();
 }
 
-/// What is wrong with a state, or with what it can still become.
+/// The violation of a state or of its fair continuation, if any.
 std::optional<std::string> violation_of(World const& world, Bounds const& bounds) {
   if (!world.history.violations.empty()) {
     return world.history.violations.front();
   }
-  World closing = world;
-  if (!closes_with_choice(closing, bounds)) {
+  World recovered = world;
+  if (!recovers_with_choice(recovered, bounds)) {
     return "no majority for good";
   }
-  if (!closing.history.violations.empty()) {
-    return closing.history.violations.front();
+  if (!recovered.history.violations.empty()) {
+    return recovered.history.violations.front();
   }
   return std::nullopt;
 }
@@ -97,7 +97,7 @@
   }
 
   void add(World world, std::shared_ptr<Path const> const& path, std::vector<Entry>& frontier) {
-    // A violation is no part of the digest: it is looked at before.
+    // Violations are not part of the digest, so they are checked first.
     if (world.history.violations.empty() && !seen_.insert(world.digest()).second) {
       return;
     }
--- a/source/simulator/membership_model/steps.cpp
+++ b/source/simulator/membership_model/steps.cpp
@@ -11,12 +11,12 @@
 
 using Steps = std::vector<Step>;
 
-bool stands_at(std::vector<schema::Voter> const& voters, std::string const& address) {
+bool has_address(std::vector<schema::Voter> const& voters, std::string const& address) {
   return std::any_of(voters.begin(), voters.end(),
                      [&address](schema::Voter const& voter) { return voter.address == address; });
 }
 
-bool proposes(World const& world, std::size_t machine) {
+bool has_proposal(World const& world, std::size_t machine) {
   return std::any_of(
       world.operations.begin(), world.operations.end(),
       [machine](std::shared_ptr<Operation const> const& operation) { return operation->machine == machine; });
@@ -30,7 +30,7 @@
 
 void add_joins(World const& world, std::size_t index, Steps& steps) {
   Machine const& machine = world.machine(index);
-  if (world.budget.joins == 0 || proposes(world, index) ||
+  if (world.budget.joins == 0 || has_proposal(world, index) ||
       consensus::contains_voter(machine.known.holders, machine.acceptor->incarnation())) {
     return;
   }
@@ -49,7 +49,7 @@
   bool const first =
       std::none_of(world.machines().begin(), world.machines().begin() + static_cast<std::ptrdiff_t>(index),
                    [](std::shared_ptr<Machine const> const& other) { return other->running; });
-  // A write that runs through at once does the same whoever begins it.
+  // A write that completes in one step has the same effect whichever machine starts it.
   if (world.budget.writes > 0 && (bounds.single_messages || first)) {
     steps.push_back(Step{StepKind::StartWrite, index, 0});
   }
@@ -64,7 +64,7 @@
   Machine const& machine = world.machine(index);
   for (std::pair<std::uint64_t const, schema::VoterSet> const& entry : world.history.sets) {
     bool const addressed =
-        stands_at(entry.second.holders, machine.address) || stands_at(entry.second.previous, machine.address);
+        has_address(entry.second.holders, machine.address) || has_address(entry.second.previous, machine.address);
     bool const newest = entry.first == world.history.sets.rbegin()->first;
     if (bounds.single_messages && addressed && machine.acceptor->set().epoch < entry.first) {
       steps.push_back(Step{StepKind::Tell, index, entry.first});
@@ -75,8 +75,8 @@
   }
 }
 
-/// Whether anyone that runs has not heard of the newest set.
-bool lags(World const& world) {
+/// Whether any running machine has not received the newest voter set.
+bool any_lagging(World const& world) {
   std::uint64_t const newest = world.history.sets.empty() ? 0 : world.history.sets.rbegin()->first;
   return std::any_of(
       world.machines().begin(), world.machines().end(), [newest](std::shared_ptr<Machine const> const& machine) {
@@ -95,7 +95,7 @@
   }
 }
 
-void add_images(World const& world, Bounds const& bounds, std::size_t index, Steps& steps) {
+void add_snapshot_requests(World const& world, Bounds const& bounds, std::size_t index, Steps& steps) {
   Machine const& machine = world.machine(index);
   if (!machine.acceptor->needs_snapshot()) {
     return;
@@ -105,40 +105,40 @@
     return;
   }
   for (schema::Voter const& source : machine.acceptor->snapshot_sources()) {
-    if (machine.images.count(source.incarnation) == 0 && source.address != machine.address) {
+    if (machine.snapshots.count(source.incarnation) == 0 && source.address != machine.address) {
       steps.push_back(Step{StepKind::AskImage, index, source.incarnation});
     }
   }
 }
 
-/// What others accepted and this one lacks.
-void add_half_done(World const& world, std::size_t index, Steps& steps) {
+/// Steps by which this machine copies values that others accepted and it lacks.
+void add_take_overs(World const& world, std::size_t index, Steps& steps) {
   if (world.budget.taken_over == 0) {
     return;
   }
   for (std::size_t other = 0; other < world.machines().size(); ++other) {
     bool const answers = other != index && world.machine(other).running;
-    if (answers && offers(world, other, index, data_register)) {
+    if (answers && has_newer_ballot(world, other, index, data_register)) {
       steps.push_back(Step{StepKind::TakeOver, index, other * 2});
     }
-    if (answers && offers(world, other, index, consensus::voter_set_register)) {
+    if (answers && has_newer_ballot(world, other, index, consensus::voter_set_register)) {
       steps.push_back(Step{StepKind::TakeOver, index, other * 2 + 1});
     }
   }
 }
 
-void add_founding(World const& world, std::size_t index, Steps& steps) {
+void add_bootstrap(World const& world, std::size_t index, Steps& steps) {
   Machine const& machine = world.machine(index);
   if (!machine.acceptor->needs_bootstrap() || world.history.sets.size() > 1) {
     return;
   }
   for (std::size_t founder = 0; founder < world.founder_addresses.size(); ++founder) {
     std::string const& address = world.founder_addresses[founder];
-    if (address != machine.address && machine.founding_answers.count(address) == 0) {
+    if (address != machine.address && machine.bootstrap_answers.count(address) == 0) {
       steps.push_back(Step{StepKind::AskFounding, index, founder});
     }
   }
-  if (!machine.founding_answers.empty()) {
+  if (!machine.bootstrap_answers.empty()) {
     steps.push_back(Step{StepKind::ConcludeFounding, index, 0});
   }
 }
@@ -150,7 +150,7 @@
   if (!world.machine(index).running) {
     steps.push_back(Step{StepKind::Restart, index, 0});
   }
-  if ((world.budget.lost_disks > 0 || world.budget.replaced > 0) && bears_loss(world, index)) {
+  if ((world.budget.lost_disks > 0 || world.budget.replaced > 0) && disk_loss_tolerated(world, index)) {
     if (world.budget.lost_disks > 0) {
       steps.push_back(Step{StepKind::LoseDisk, index, 0});
     }
@@ -163,8 +163,8 @@
 void add_requests(World const& world, Steps& steps) {
   for (std::size_t index = 0; index < world.operations.size(); ++index) {
     Operation const& operation = *world.operations[index];
-    if (!operation.resting) {
-      for (std::size_t request = 0; request < operation.waiting.size(); ++request) {
+    if (!operation.preempted) {
+      for (std::size_t request = 0; request < operation.in_flight.size(); ++request) {
         steps.push_back(Step{StepKind::Deliver, index, request});
       }
     }
@@ -199,16 +199,16 @@
   run_newest(world, bounds, before);
 }
 
-void ask_images(World& world, Bounds const& bounds, Step const& step) {
+void request_snapshots(World& world, Bounds const& bounds, Step const& step) {
   std::vector<schema::Voter> const sources = world.machine(step.subject).acceptor->snapshot_sources();
   for (schema::Voter const& source : sources) {
     if (step.object == 0 || source.incarnation == step.object) {
-      ask_image(world, bounds, step.subject, source.address);
+      request_snapshot(world, bounds, step.subject, source.address);
     }
   }
 }
 
-void strike(World& world, Bounds const& bounds, Step const& step) {
+void apply_fault(World& world, Bounds const& bounds, Step const& step) {
   if (step.kind == StepKind::Crash) {
     --world.budget.crashes;
     crash(world, bounds, step.subject);
@@ -232,7 +232,7 @@
       break;
     case StepKind::BeginAgain:
       --world.budget.retries;
-      begin_again(world, bounds, step.subject);
+      retry_ballot(world, bounds, step.subject);
       break;
     case StepKind::Deliver:
       deliver(world, bounds, step.subject, step.object);
@@ -253,13 +253,13 @@
       learn(world, step.subject, world.history.sets.at(step.object));
       break;
     case StepKind::AskImage:
-      ask_images(world, bounds, step);
+      request_snapshots(world, bounds, step);
       break;
     case StepKind::AskFounding:
-      ask_founding(world, bounds, step.subject, step.object);
+      request_bootstrap_answer(world, bounds, step.subject, step.object);
       break;
     case StepKind::ConcludeFounding:
-      conclude_founding(world, bounds, step.subject);
+      conclude_bootstrap(world, bounds, step.subject);
       break;
     case StepKind::TakeOver:
       --world.budget.taken_over;
@@ -267,7 +267,7 @@
                 step.object % 2 == 0 ? data_register : consensus::voter_set_register);
       break;
     default:
-      strike(world, bounds, step);
+      apply_fault(world, bounds, step);
   }
 }
 
@@ -316,17 +316,17 @@
 std::vector<Step> enabled_steps(World const& world, Bounds const& bounds) {
   Steps steps;
   add_requests(world, steps);
-  if (!bounds.single_messages && lags(world)) {
+  if (!bounds.single_messages && any_lagging(world)) {
     steps.push_back(Step{StepKind::Spread, 0, 0});
   }
   for (std::size_t index = 0; index < world.machines().size(); ++index) {
     if (world.machine(index).running) {
       add_sets(world, bounds, index, steps);
-      add_half_done(world, index, steps);
-      add_images(world, bounds, index, steps);
+      add_take_overs(world, index, steps);
+      add_snapshot_requests(world, bounds, index, steps);
       add_proposals(world, bounds, index, steps);
       if (!bounds.founded) {
-        add_founding(world, index, steps);
+        add_bootstrap(world, index, steps);
       }
     }
     add_faults(world, index, steps);
@@ -378,7 +378,7 @@
     std::string const of = "proposal " + std::to_string(operation.identity) + " of " +
                            world.machine(operation.machine).address + " (" + operation.core.name() + ")";
     if (step.kind == StepKind::Deliver) {
-      return of + ": " + describe(operation.waiting[step.object]);
+      return of + ": " + describe(operation.in_flight[step.object]);
     }
     return of + (step.kind == StepKind::Abandon ? " is given up" : " begins its next ballot");
   }
--- a/source/simulator/membership_model/world.cpp
+++ b/source/simulator/membership_model/world.cpp
@@ -16,9 +16,9 @@
 std::uint64_t digest_of(Machine const& machine) {
   common::Digest digest;
   digest.add(machine.address).add(machine.running ? 1u : 0u).add(packed_digest(machine.known));
-  digest.add(packed_digest(machine.synced)).add(packed_digest(machine.founding_answers));
+  digest.add(packed_digest(machine.synced)).add(packed_digest(machine.bootstrap_answers));
   digest.add(packed_digest(machine.unsynced));
-  digest.add(packed_digest(machine.images));
+  digest.add(packed_digest(machine.snapshots));
   if (machine.acceptor.has_value()) {
     digest.add(packed_digest(machine.acceptor->snapshot_records()));
     for (char const* const name : {data_register, consensus::voter_set_register}) {
@@ -46,8 +46,8 @@
   return digest.short_value();
 }
 
-/// The founders, founded: what section 5.4 ends with, without its schedules.
-void found(World& world, consensus::Guards const& guards) {
+/// Puts the founders into the state after the bootstrap of section 5.4, without exploring its schedules.
+void bootstrap(World& world, consensus::Guards const& guards) {
   std::vector<schema::Voter> voters;
   for (std::size_t index = 0; index < world.founder_addresses.size(); ++index) {
     voters.push_back(schema::Voter{world.machine(index).acceptor->incarnation(), world.founder_addresses[index]});
@@ -84,7 +84,7 @@
     put(index, *machines_[index]);
   }
   if (bounds.founded) {
-    found(*this, bounds.guards);
+    bootstrap(*this, bounds.guards);
   }
 }
 
@@ -111,9 +111,9 @@
     digest.add(machine->digest);
   }
   for (std::shared_ptr<Operation const> const& operation : operations) {
-    digest.add(operation->machine).add(operation->identity).add(operation->resting ? 1u : 0u);
+    digest.add(operation->machine).add(operation->identity).add(operation->preempted ? 1u : 0u);
     digest.add(operation->digest);
-    for (Request const& request : operation->waiting) {
+    for (Request const& request : operation->in_flight) {
       digest.add(request.to.incarnation);
     }
   }
--- a/source/simulator/membership_model/world.hpp
+++ b/source/simulator/membership_model/world.hpp
@@ -12,31 +12,31 @@
 
 namespace finchlink::simulator::membership_model {
 
-/// Bounds of one exploration, and the guards that it runs without. The budgets
-/// count over the whole of a schedule.
+/// Bounds of one exploration, and the guards (safety rules that a test can disable) it runs with. The budgets count
+/// over a whole schedule.
 struct Bounds {
   consensus::Guards guards;
-  bool adopt_before_join = true;     ///< guard: one that was left out knows it before it asks for a place again
-  bool complete_before_join = true;  ///< guard: one that was left out without data gets them before it asks again
+  bool adopt_before_join = true;     ///< guard: a removed voter learns of its removal before it asks to join
+  bool complete_before_join = true;  ///< guard: a voter removed without data gets the data before it asks to join
   std::size_t founders = 3;
   std::size_t wanted_voters = 3;
   std::size_t spares = 1;      ///< blank machines beside the founders
-  bool founded = true;         ///< the schedule begins with the founders voting
+  bool founded = true;         ///< the schedule begins after the bootstrap, with the founders voting
   std::size_t writes = 0;      ///< compare-and-set writes of the data register
-  std::size_t settles = 0;     ///< reads that settle the register of voters
-  std::size_t lost_disks = 0;  ///< a blank disk at the same address
-  std::size_t replaced = 0;    ///< a machine gone for good, a blank one at a new address
-  std::size_t crashes = 0;     ///< a process that ends and restarts from its disk
-  std::size_t suspicions = 0;  ///< voters taken for lost although they vote
-  std::size_t joins = 2;       ///< changes of the set that are proposed
+  std::size_t settles = 0;     ///< reads that settle a register
+  std::size_t lost_disks = 0;  ///< disks replaced by a blank one at the same address
+  std::size_t replaced = 0;    ///< machines replaced by a blank one at a new address
+  std::size_t crashes = 0;     ///< processes that end and restart from their disk
+  std::size_t suspicions = 0;  ///< voters suspected although they vote
+  std::size_t joins = 2;       ///< proposed changes of the voter set
   std::size_t open_proposals = 2;
-  std::size_t retries = 1;     ///< ballots begun again
-  std::size_t taken_over = 0;  ///< half-done changes that voters take from each other (section 5.10)
-  std::size_t late_requests = 3;
-  bool single_messages = true;  ///< false: a proposal or a transfer runs through in one step
+  std::size_t retries = 1;        ///< ballots that are retried
+  std::size_t taken_over = 0;     ///< half-done changes that voters copy from each other (section 5.10)
+  std::size_t late_requests = 3;  ///< most late requests kept; the oldest are dropped
+  bool single_messages = true;    ///< false: a proposal or a snapshot transfer completes in one step
 };
 
-/// What remains of each budget.
+/// What remains of each budget of Bounds.
 struct Budget {
   std::size_t writes = 0;
   std::size_t settles = 0;
@@ -49,56 +49,56 @@
   std::size_t taken_over = 0;
 };
 
-/// A process with a disk: the acceptor, and the set that its client knows.
+/// A process with a disk: its acceptor, and the voter set that its client knows.
 struct Machine {
   std::string address;
   bool running = true;
   std::optional<consensus::Acceptor> acceptor;
-  std::vector<schema::Record> synced;    ///< what a restart finds
-  std::vector<schema::Record> unsynced;  ///< only without the guard sync_before_reply
+  std::vector<schema::Record> synced;    ///< records on disk, which a restart reads
+  std::vector<schema::Record> unsynced;  ///< used only if the guard sync_before_reply is disabled
   schema::VoterSet known;
-  std::map<std::string, schema::FoundingAnswer> founding_answers;
-  std::map<std::uint64_t, schema::Image> images;
-  mutable std::uint64_t digest = 0;  ///< of all of the above, once it was asked for; reset by World::put
+  std::map<std::string, schema::FoundingAnswer> bootstrap_answers;  ///< by founder address, not concluded yet
+  std::map<std::uint64_t, schema::Image> snapshots;  ///< received in this epoch, by the sender's incarnation
+  mutable std::uint64_t digest = 0;  ///< of all of the above, computed on demand; 0 (World::put) means not computed
 };
 
-/// A request on its way.
+/// A request in flight.
 struct Request {
   schema::Voter to;
   schema::Message message;
 };
 
-/// A proposer that runs on one machine.
+/// A proposal that runs on one machine.
 struct Operation {
   std::size_t machine = 0;
   std::uint64_t identity = 0;
-  std::string content;  ///< of a write: unlike that of any other
+  std::string content;  ///< of a write: unique among all writes
   consensus::Proposer core;
-  std::optional<schema::VoterSet> proposes;  ///< of a change of the set
-  std::vector<Request> waiting;
-  bool resting = false;      ///< lost its ballot, or met a newer set
+  std::optional<schema::VoterSet> proposed_set;  ///< of a change of the voter set
+  std::vector<Request> in_flight;
+  bool preempted = false;    ///< it lost its ballot or met a newer voter set; continues only with a new ballot
   std::uint64_t digest = 0;  ///< of the state of `core`
 };
 
-/// One value that was chosen, as a proposer learned it.
+/// A chosen value and the ballot under which a proposer learned of it.
 struct ChosenValue {
   schema::Ballot ballot;
   schema::Value value;
 };
 
-/// What the checker remembers and no process knows.
+/// What the checker remembers, and no process knows.
 struct History {
-  std::map<std::uint64_t, schema::VoterSet> sets;     ///< per epoch
-  std::map<std::uint64_t, std::uint64_t> data_since;  ///< per incarnation: the epoch it was founded or admitted in
-  std::map<std::string, std::vector<ChosenValue>> chosen;
-  std::set<std::string> rejected;  ///< contents whose writers were told no
-  /// Disks that were lost, and the place in the set that each stood at. One
-  /// counts until a voter that came to that place after it has its data.
+  std::map<std::uint64_t, schema::VoterSet> sets;          ///< voter set per epoch
+  std::map<std::uint64_t, std::uint64_t> data_since;       ///< per incarnation: the epoch of its bootstrap or join
+  std::map<std::string, std::vector<ChosenValue>> chosen;  ///< per register, in the order of ballots
+  std::set<std::string> rejected;                          ///< contents whose writers got a rejection
+  /// Lost disks by incarnation, with its position in the voter set. A lost disk counts until a later voter in that
+  /// position has its data.
   std::map<std::uint64_t, std::size_t> lost_disks;
   std::vector<std::string> violations;
 };
 
-/// A state of the model. Copies share what no step changed.
+/// A state of the model. Copies share the machines and operations that no step changed.
 class World {
  public:
   explicit World(Bounds const& bounds);
@@ -110,7 +110,7 @@
   [[nodiscard]] std::uint64_t digest() const;
 
   std::vector<std::shared_ptr<Operation const>> operations;
-  std::vector<Request> late;  ///< requests whose proposer has gone on
+  std::vector<Request> late;  ///< requests whose proposal has moved on or ended
   Budget budget;
   History history;
   std::uint64_t next_identity = 1;
@@ -124,9 +124,9 @@
 inline constexpr char const* data_register = "data";
 
 [[nodiscard]] std::uint64_t digest_of(Request const& request);
-/// The set that a value of the register of voters holds.
+/// The voter set that a value of the voter register holds; empty if it holds none.
 [[nodiscard]] std::optional<schema::VoterSet> voter_set_in(schema::Value const& value);
-/// A blank disk at an address, with an incarnation of its own.
+/// A machine with a blank disk and a new incarnation at this address.
 [[nodiscard]] Machine blank_machine(World& world, std::string const& address, consensus::Guards const& guards);
 
 }  // namespace finchlink::simulator::membership_model
--- a/source/tests/simulator/history_test.cpp
+++ b/source/tests/simulator/history_test.cpp
@@ -2,6 +2,7 @@
 
 #include "simulator/history/history.hpp"
 
+/// Tests of the simulator's linearizability check.
 namespace finchlink {
 namespace {
 
@@ -13,9 +14,9 @@
   return HistoryEntry{kind, revision, began, ended, expected};
 }
 
-TEST(History, ExplainsWhatIsRight) {
+TEST(History, AcceptsLinearizableHistories) {
   EXPECT_EQ(simulator::check_history({}), "");
-  // Overlapping asks, a write whose end nobody heard, a race lost.
+  // Overlapping requests, a write without a response, and a lost race.
   EXPECT_EQ(simulator::check_history({
                 entry(Kind::write, 1, 0, 10),
                 entry(Kind::read, 1, 5, 20),
@@ -28,22 +29,22 @@
             "");
 }
 
-TEST(History, SeesEachKindOfWrong) {
+TEST(History, RejectsEachKindOfViolation) {
   std::vector<std::pair<std::string, std::vector<HistoryEntry>>> const wrong{
       {"two writes", {entry(Kind::write, 1, 0, 10), entry(Kind::write, 1, 0, 12)}},
       {"that expected", {entry(Kind::write, 3, 0, 10, 1)}},
-      // A read after the yes shows the older one: a lost write, or a slip back.
+      // A read after the acknowledgement returns the older value: a lost write, or a register that went back.
       {"told too early", {entry(Kind::write, 1, 0, 10), entry(Kind::write, 2, 20, 30), entry(Kind::read, 1, 40, 50)}},
       {"told too early",
        {entry(Kind::write, 1, 0, 10), entry(Kind::write, 2, 12, std::nullopt), entry(Kind::write, 3, 14, 20),
         entry(Kind::read, 2, 25, 30)}},
-      // Two reads one after the other go back.
+      // The second of two consecutive reads returns an older revision.
       {"not there yet",
        {entry(Kind::write, 1, 0, 10), entry(Kind::write, 2, 11, std::nullopt), entry(Kind::read, 1, 40, 50),
         entry(Kind::read, 2, 20, 30)}},
-      // Seen before its write had begun.
+      // Read before its write began.
       {"not there yet", {entry(Kind::write, 1, 20, 30), entry(Kind::read, 1, 0, 10)}},
-      // Revisions against the order of time.
+      // Revisions in the reverse order of time.
       {"told too early", {entry(Kind::write, 2, 0, 10), entry(Kind::write, 1, 20, 30)}},
       {"refused though",
        {entry(Kind::write, 1, 0, 10), entry(Kind::refused, 1, 20, 30), entry(Kind::write, 2, 40, 50)}},
@@ -70,7 +71,7 @@
   EXPECT_EQ(simulator::check_history({write, refusal}), "");
   refusal.change = "c";
   EXPECT_NE(simulator::check_history({write, refusal}).find("refused a change that was taken"), std::string::npos);
-  // Also where it was taken behind the no, by a node that was late.
+  // Also if a late node applied it after the refusal.
   write.began = 0;
   write.ended = std::nullopt;
   refusal.ended = 5;
@@ -78,13 +79,14 @@
 }
 
 TEST(History, AnAbandonedOrderDoesNotOvertakeAnAcknowledgedOne) {
-  // Given up at 10; another one, begun at 20, was acknowledged and came first.
+  // Abandoned at 10; another command, begun at 20, was acknowledged and took effect first.
   EXPECT_NE(simulator::check_history({order(1, 20, 30, std::nullopt), order(2, 0, std::nullopt, 10)})
                 .find("abandoned order about zone"),
             std::string::npos);
-  // The operator gave up and turned to the other in one moment.
+  // The operator abandoned one and began the other at the same time.
   EXPECT_NE(simulator::check_history({order(1, 10, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
-  // It came first; it was not given up before the other began; nobody was told of the other; another subject.
+  // Allowed: it took effect first; it was not abandoned before the other began; the other was not acknowledged; the
+  // subjects differ.
   EXPECT_EQ(simulator::check_history({order(2, 20, 30, std::nullopt), order(1, 0, std::nullopt, 10)}), "");
   EXPECT_EQ(simulator::check_history({order(1, 5, 30, std::nullopt), order(2, 0, std::nullopt, 10)}), "");
   EXPECT_EQ(simulator::check_history({order(1, 20, std::nullopt, 30), order(2, 0, std::nullopt, 10)}), "");
@@ -93,7 +95,7 @@
   EXPECT_EQ(simulator::check_history({elsewhere, order(2, 0, std::nullopt, 10)}), "");
 }
 
-TEST(History, RegistersAreExplainedOneByOne) {
+TEST(History, RegistersAreCheckedOneByOne) {
   simulator::Histories const good{{"charter", {entry(Kind::write, 1, 0, 10)}},
                                   {"holders", {entry(Kind::read, 0, 0, 10)}}};
   EXPECT_EQ(simulator::check_histories(good), "");
--- a/source/tests/simulator/membership_model_test.cpp
+++ b/source/tests/simulator/membership_model_test.cpp
@@ -7,6 +7,7 @@
 #include "simulator/membership_model/scenario.hpp"
 #include "tests/invariant_listener.hpp"
 
+/// Explores the membership model: no schedule violates an invariant, and each guard is needed.
 namespace finchlink {
 namespace {
 
@@ -18,7 +19,7 @@
   return scenario("membership-" + name)->bounds;
 }
 
-std::string told(std::optional<Counterexample> const& counterexample) {
+std::string to_text(std::optional<Counterexample> const& counterexample) {
   if (!counterexample.has_value()) {
     return "nothing is wrong";
   }
@@ -29,24 +30,24 @@
   return text;
 }
 
-/// All states to this depth are good, and there are at least so many.
+/// Expects that no state up to this depth violates an invariant, and that there are at least `states` of them.
 void expect_good(Bounds const& bounds, std::size_t depth, std::size_t states) {
   SearchReport const report = search(bounds, SearchLimits{depth, 1000000});
-  EXPECT_FALSE(report.counterexample.has_value()) << told(report.counterexample);
+  EXPECT_FALSE(report.counterexample.has_value()) << to_text(report.counterexample);
   EXPECT_TRUE(report.exhausted || report.depth == depth);
   EXPECT_GE(report.states, states);
 }
 
-/// Without the guard a schedule of at most so many steps breaks an invariant.
+/// Expects that with the guard disabled a schedule of at most `steps` steps leads to this violation.
 void expect_broken(Bounds bounds, std::string const& guard, std::size_t steps, std::string const& violation) {
-  ASSERT_TRUE(switch_off(bounds, guard));
+  ASSERT_TRUE(disable_guard(bounds, guard));
   SearchReport const report = search(bounds, SearchLimits{steps, 1000000});
   ASSERT_TRUE(report.counterexample.has_value()) << guard << ": " << report.states << " states, none of them wrong";
   EXPECT_LE(report.counterexample->steps.size(), steps);
-  EXPECT_EQ(report.counterexample->violation, violation) << told(report.counterexample);
+  EXPECT_EQ(report.counterexample->violation, violation) << to_text(report.counterexample);
 }
 
-/// A schedule told step by step, for the long ones.
+/// A schedule written out step by step, for those too long for the search.
 struct Schedule {
   Bounds bounds;
   World world;
@@ -54,9 +55,9 @@
   void take(StepKind kind, std::size_t subject = 0, std::uint64_t object = 0) {
     world = after(world, bounds, Step{kind, subject, object});
   }
-  bool closes() const {
-    World closing = world;
-    return closes_with_choice(closing, bounds) && closing.history.violations.empty();
+  bool recovers() const {
+    World recovered = world;
+    return recovers_with_choice(recovered, bounds) && recovered.history.violations.empty();
   }
 };
 
@@ -72,16 +73,16 @@
   expect_good(bounds_of("five"), 5, 2000);
 }
 
-/// Two half-done writes of epoch 1; a newcomer's images carry the elder of them as accepted, and the promise of the
-/// younger. A reader of epoch 2 must not be sure of the elder: a voter of epoch 2 has the younger.
-TEST(MembershipModel, ACopyFromAnImageIsNoVoteForAHalfDoneChange) {
+/// Two half-done writes of epoch 1: a joining member's snapshots carry the older as accepted, and the promise of the
+/// newer. A reader of epoch 2 must not treat the older as chosen, because a voter of epoch 2 has the newer.
+TEST(MembershipModel, AValueCopiedFromASnapshotIsNoVoteForAHalfDoneChange) {
   Bounds bounds = bounds_of("taken-over");
   bounds.taken_over = 0;
   Schedule schedule(bounds);
   std::size_t const first = 0;
   std::size_t const second = 1;
   std::size_t const third = 2;
-  std::size_t const newcomer = 3;
+  std::size_t const joining = 3;
   std::uint64_t const first_voter = schedule.world.machine(first).acceptor->incarnation();
   std::uint64_t const second_voter = schedule.world.machine(second).acceptor->incarnation();
   schedule.take(StepKind::StartWrite, first);
@@ -94,18 +95,18 @@
   schedule.take(StepKind::Deliver, 0, 1);  // the third promises
   schedule.take(StepKind::Deliver, 0, 2);  // the third accepts
   schedule.take(StepKind::Abandon, 0);
-  schedule.take(StepKind::Learn, newcomer, 1);
-  schedule.take(StepKind::Join, newcomer, first_voter);
+  schedule.take(StepKind::Learn, joining, 1);
+  schedule.take(StepKind::Join, joining, first_voter);
   for (int message = 0; message < 4; ++message) {  // the second and the third promise, then both accept
     schedule.take(StepKind::Deliver, 0, 1);
   }
   ASSERT_EQ(schedule.world.history.sets.size(), 2u);
-  for (std::size_t const each : {first, second, newcomer}) {
+  for (std::size_t const each : {first, second, joining}) {
     schedule.take(StepKind::Tell, each, 2);
   }
-  schedule.take(StepKind::AskImage, newcomer, first_voter);
-  schedule.take(StepKind::AskImage, newcomer, second_voter);
-  ASSERT_TRUE(schedule.world.machine(newcomer).acceptor->voting());
+  schedule.take(StepKind::AskImage, joining, first_voter);
+  schedule.take(StepKind::AskImage, joining, second_voter);
+  ASSERT_TRUE(schedule.world.machine(joining).acceptor->voting());
   schedule.take(StepKind::Tell, third, 2);
   EXPECT_TRUE(schedule.world.history.violations.empty()) << schedule.world.history.violations.front();
 }
@@ -115,7 +116,8 @@
     Bounds const bounds = without_budgets(each.bounds);
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       WalkReport const report = random_walk(bounds, seed, 400);
-      EXPECT_FALSE(report.counterexample.has_value()) << each.name << " seed " << seed << told(report.counterexample);
+      EXPECT_FALSE(report.counterexample.has_value())
+          << each.name << " seed " << seed << to_text(report.counterexample);
     }
   }
 }
@@ -139,7 +141,7 @@
   expect_broken(one_write, "sync_before_reply", 7, "a majority that can choose lacks an acknowledged value of data");
 }
 
-TEST(MembershipModel, GuardsOfBlankOnesAndLearnersAreEachNeeded) {
+TEST(MembershipModel, GuardsOfBlankDisksAndLearnersAreEachNeeded) {
   Bounds bounds = bounds_of("join");
   expect_broken(bounds, "blank_has_no_vote", 3, "a vote of one that lacks data of the epoch before");
   {
@@ -165,18 +167,17 @@
                 "an acknowledged value of holders is lost or has a second one beside it");
 }
 
-/// Two founders that took the first set from a newcomer's look, before they had
-/// founded it themselves, had no vote, and nobody could give them an image.
-TEST(MembershipModel, ANewcomersLookDoesNotKeepFoundersFromFounding) {
+/// Two founders that installed the first voter set from a joining member's probe, before they had bootstrapped it
+/// themselves, had no vote, and nobody could give them a snapshot.
+TEST(MembershipModel, AJoiningMembersProbeDoesNotKeepFoundersFromBootstrapping) {
   Bounds bounds = bounds_of("founding");
   bounds.lost_disks = 0;
   expect_broken(bounds, "first_set_only_founded", 14, "no majority for good");
 }
 
-/// Five voters: one is down while two changes of the set are made, then a disk
-/// is lost before the second newcomer has its image. Two disks are lost, which
-/// five bear; the one that was down has all its data.
-Schedule one_missed_two_sets(bool guard, bool earlier_sets) {
+/// Five voters: one is down during two changes of the voter set, then a disk is lost before the second joining member
+/// has its snapshot. Two disks are lost, which five voters tolerate; the one that was down has all its data.
+Schedule voter_missed_two_sets(bool guard, bool earlier_sets) {
   Bounds bounds = bounds_of("five");
   bounds.guards.vote_kept_over_missed = guard;
   bounds.guards.earlier_sets_give_images = earlier_sets;
@@ -197,32 +198,32 @@
   return schedule;
 }
 
-TEST(MembershipModel, OneThatMissedTwoSetsStillGivesItsImage) {
+TEST(MembershipModel, AVoterThatMissedTwoSetsStillGivesItsSnapshot) {
   for (bool const earlier_sets : {true, false}) {
-    Schedule const schedule = one_missed_two_sets(true, earlier_sets);
+    Schedule const schedule = voter_missed_two_sets(true, earlier_sets);
     EXPECT_EQ(schedule.world.history.sets.rbegin()->first, 3u);
     EXPECT_TRUE(schedule.world.history.violations.empty());
-    EXPECT_TRUE(schedule.closes());
+    EXPECT_TRUE(schedule.recovers());
   }
-  // The images of earlier sets would do as well: each alone is enough here.
-  EXPECT_TRUE(one_missed_two_sets(false, true).closes());
-  Schedule const without = one_missed_two_sets(false, false);
+  // The snapshots of earlier voter sets would do as well: each guard alone is enough here.
+  EXPECT_TRUE(voter_missed_two_sets(false, true).recovers());
+  Schedule const without = voter_missed_two_sets(false, false);
   EXPECT_TRUE(without.world.history.violations.empty());
-  EXPECT_FALSE(without.closes()) << "the guard is not needed";
+  EXPECT_FALSE(without.recovers()) << "the guard is not needed";
 }
 
-/// Among five, one is left out, asks for a place again without having taken
-/// notice, and misses the very set that names it again.
-Schedule left_out_and_back(bool guard) {
+/// One of five voters is removed, asks to join again without having learned of its removal, and misses the voter set
+/// that names it again.
+Schedule removed_and_back(bool guard) {
   Bounds bounds = bounds_of("back");
   bounds.adopt_before_join = guard;
-  bounds.complete_before_join = false;  // a rule for those who lack data; it would hide this one
+  bounds.complete_before_join = false;  // this guard concerns members that lack data; it would mask the one under test
   Schedule schedule(bounds);
   std::uint64_t const third = schedule.world.machine(2).acceptor->incarnation();
-  std::uint64_t const newcomer = schedule.world.machine(5).acceptor->incarnation();
+  std::uint64_t const joining = schedule.world.machine(5).acceptor->incarnation();
   schedule.take(StepKind::Join, 5, third);
   schedule.take(StepKind::Learn, 2, 2);
-  schedule.take(StepKind::Join, 2, newcomer);
+  schedule.take(StepKind::Join, 2, joining);
   schedule.take(StepKind::Crash, 2);
   schedule.take(StepKind::Learn, 5, 3);
   schedule.take(StepKind::Join, 5, schedule.world.machine(4).acceptor->incarnation());
@@ -231,20 +232,19 @@
   return schedule;
 }
 
-TEST(MembershipModel, OneThatWasLeftOutKnowsItBeforeItAsksForAPlace) {
-  Schedule const schedule = left_out_and_back(true);
+TEST(MembershipModel, ARemovedVoterLearnsOfItBeforeItAsksToJoin) {
+  Schedule const schedule = removed_and_back(true);
   EXPECT_EQ(schedule.world.history.sets.rbegin()->first, 4u);
   EXPECT_FALSE(schedule.world.machine(2).acceptor->voting());
-  EXPECT_TRUE(schedule.closes());
-  Schedule const without = left_out_and_back(false);
+  EXPECT_TRUE(schedule.recovers());
+  Schedule const without = removed_and_back(false);
   EXPECT_EQ(without.world.history.sets.rbegin()->first, 4u);
   EXPECT_TRUE(without.world.machine(2).acceptor->voting()) << "the guard is not needed";
 }
 
-/// The first schedule to look at: the newcomer of the first change has no image
-/// yet when the second is asked for. It does not count as voting, so the second
-/// change may only take its own place, never that of one that has the data.
-TEST(MembershipModel, ASecondChangeNeverTakesThePlaceOfOneThatIsNeededForTheFirst) {
+/// The joining member of the first change has no snapshot yet when the second change is requested. It does not count as
+/// voting, so the second change may replace only that member, never a voter that has the data.
+TEST(MembershipModel, ASecondChangeNeverReplacesAVoterThatTheFirstNeeds) {
   Bounds bounds = bounds_of("three");
   bounds.suspicions = 2;
   Schedule schedule(bounds);
@@ -253,13 +253,12 @@
   ASSERT_EQ(schedule.world.history.sets.rbegin()->first, 2u);
   schedule.take(StepKind::Join, 4, schedule.world.machine(1).acceptor->incarnation());
   EXPECT_EQ(schedule.world.history.sets.rbegin()->first, 2u);
-  EXPECT_TRUE(schedule.closes());
+  EXPECT_TRUE(schedule.recovers());
 }
 
-/// Five voters: the second is only out of reach, a spare takes its place; two
-/// disks are lost before the spare has its images, the first of which is already
-/// replaced by a blank one. The one that was left out has all its data.
-Schedule one_left_out_and_two_disks_lost(bool guard) {
+/// Five voters: the second is only unreachable, and a spare replaces it; two disks are lost before the spare has its
+/// snapshots, the first of which is already replaced by a blank one. The removed voter has all its data.
+Schedule voter_removed_and_two_disks_lost(bool guard) {
   Bounds bounds = bounds_of("unreachable-five");
   bounds.guards.earlier_sets_give_images = guard;
   Schedule schedule(bounds);
@@ -272,10 +271,9 @@
   return schedule;
 }
 
-/// Three voters: a spare takes the place of the first, which was only out of
-/// reach, and dies before it has its images; the first takes its place back. It
-/// has its data and counts for nothing. Then one disk is lost.
-Schedule one_left_out_and_back_and_a_disk_lost(bool guard) {
+/// Three voters: a spare replaces the first, which was only unreachable, and crashes before it has its snapshots; the
+/// first rejoins. It has its data, but its data does not count. Then one disk is lost.
+Schedule voter_removed_and_back_and_a_disk_lost(bool guard) {
   Bounds bounds = bounds_of("unreachable-three");
   bounds.guards.earlier_sets_give_images = guard;
   Schedule schedule(bounds);
@@ -288,25 +286,24 @@
   return schedule;
 }
 
-TEST(MembershipModel, OneThatWasOnlyOutOfReachStillGivesItsData) {
+TEST(MembershipModel, AVoterThatWasOnlyUnreachableStillGivesItsData) {
   for (bool const guard : {true, false}) {
-    Schedule const five = one_left_out_and_two_disks_lost(guard);
+    Schedule const five = voter_removed_and_two_disks_lost(guard);
     EXPECT_EQ(five.world.history.sets.rbegin()->first, 3u);
     EXPECT_EQ(five.world.history.lost_disks.size(), 2u);
     EXPECT_TRUE(five.world.history.violations.empty());
-    EXPECT_EQ(five.closes(), guard);
-    Schedule const three = one_left_out_and_back_and_a_disk_lost(guard);
+    EXPECT_EQ(five.recovers(), guard);
+    Schedule const three = voter_removed_and_back_and_a_disk_lost(guard);
     EXPECT_EQ(three.world.history.sets.rbegin()->first, 3u);
     EXPECT_EQ(three.world.history.lost_disks.size(), 1u);
     EXPECT_TRUE(three.world.history.violations.empty());
-    EXPECT_EQ(three.closes(), guard);
+    EXPECT_EQ(three.recovers(), guard);
   }
 }
 
-/// Among five, a spare that has no data yet is left out for another one, and
-/// named again in the place of that: each then needs the other's data. Two disks
-/// are lost, and the voter whose place it was is only out of reach.
-Schedule left_out_without_data(bool guard) {
+/// Five voters: a spare that has no data yet is replaced by another spare and then replaces that one in turn, so that
+/// each needs the other's data. Two disks are lost, and the voter that was replaced first is only unreachable.
+Schedule removed_without_data(bool guard) {
   Bounds bounds = bounds_of("unreachable-five");
   bounds.spares = 2;
   bounds.crashes = 2;
@@ -326,14 +323,14 @@
   return schedule;
 }
 
-TEST(MembershipModel, OneThatWasLeftOutWithoutDataGetsThemBeforeItAsksForAPlace) {
-  Schedule const schedule = left_out_without_data(true);
+TEST(MembershipModel, AVoterRemovedWithoutDataGetsItBeforeItAsksToJoin) {
+  Schedule const schedule = removed_without_data(true);
   EXPECT_EQ(schedule.world.history.sets.rbegin()->first, 3u);
-  EXPECT_TRUE(schedule.closes());
-  Schedule const without = left_out_without_data(false);
+  EXPECT_TRUE(schedule.recovers());
+  Schedule const without = removed_without_data(false);
   EXPECT_EQ(without.world.history.sets.rbegin()->first, 4u);
   EXPECT_TRUE(without.world.history.violations.empty());
-  EXPECT_FALSE(without.closes()) << "the guard is not needed";
+  EXPECT_FALSE(without.recovers()) << "the guard is not needed";
 }
 
 TEST(MembershipModel, AScenarioPrintsWhatItFound) {
@@ -343,10 +340,10 @@
   options.limits = SearchLimits{3, 1000};
   EXPECT_TRUE(run_scenario(each, options, out));
   EXPECT_NE(out.str().find("whole to depth 3"), std::string::npos) << out.str();
-  ASSERT_TRUE(switch_off(each.bounds, "blank_has_no_vote"));
+  ASSERT_TRUE(disable_guard(each.bounds, "blank_has_no_vote"));
   EXPECT_FALSE(run_scenario(each, options, out));
   EXPECT_NE(out.str().find("loses its disk"), std::string::npos) << out.str();
-  EXPECT_FALSE(switch_off(each.bounds, "no_such_guard"));
+  EXPECT_FALSE(disable_guard(each.bounds, "no_such_guard"));
   EXPECT_FALSE(scenario("membership-nothing").has_value());
 }
 
