--- a/source/simulator/operators/order_ledger.cpp
+++ b/source/simulator/operators/command_history.cpp
@@ -1,4 +1,4 @@
-#include "simulator/operators/order_ledger.hpp"
+#include "simulator/operators/command_history.hpp"
 
 #include <algorithm>
 #include <set>
--- a/source/simulator/operators/operators.cpp
+++ b/source/simulator/operators/operators.cpp
@@ -2,7 +2,7 @@
 
 #include "common/constants.hpp"
 #include "config/routing/proposal.hpp"
-#include "simulator/operators/order_ledger.hpp"
+#include "simulator/operators/command_history.hpp"
 
 namespace finchlink::simulator {
 
