--- a/source/simulator/main.cpp
+++ b/source/simulator/main.cpp
@@ -1,3 +1,4 @@
+// Program `almanac`, the simulator: runs a scenario over a range of seeds, prints counts and violations.
 #include <boost/program_options.hpp>
 #include <chrono>
 #include <iostream>
@@ -14,18 +15,20 @@
 using namespace finchlink;
 namespace options = boost::program_options;
 
+/// Prints a usage error and returns its exit code.
 int usage(std::string const& fault) {
   std::cerr << "almanac: " << fault << "\n";
   return common::exit_usage;
 }
 
-/// A run fails also when an invariant of the running code was violated in it.
+/// Adds the invariants that the running code violated: a run fails for those as well.
 void add_invariants(std::vector<std::string>& violations) {
   static simulator::InvariantWatch watch;
   std::vector<std::string> const violated = watch.take();
   violations.insert(violations.end(), violated.begin(), violated.end());
 }
 
+/// Parses "7" or "1..20" into a range of seeds, both ends included; returns false for other text.
 bool read_seeds(std::string const& text, std::uint64_t& first, std::uint64_t& last) {
   try {
     std::size_t const dots = text.find("..");
@@ -45,7 +48,7 @@
   }
 }
 
-/// Switches one guard off, to show that a checker sees what it prevents.
+/// Switches one safety rule off, to show that a checker finds what the rule prevents; returns false for an unknown one.
 bool switch_off(simulator::ControlOptions& run, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"sync_before_reply", &run.guards.sync_before_reply},
                                             {"blank_has_no_vote", &run.guards.blank_has_no_vote},
@@ -78,7 +81,8 @@
   *found->second = false;
   return true;
 }
-bool switch_off_field(simulator::QueryPathOptions& run, std::string const& guard) {
+/// The same for the safety rules of the query path model.
+bool switch_off_query_path(simulator::QueryPathOptions& run, std::string const& guard) {
   std::map<std::string, bool*> const guards{{"tend_cold", &run.ramp_cold_workers},
                                             {"doubt", &run.placement.distrust_after_missed_probe},
                                             {"finish_begun", &run.placement.finish_begun},
@@ -98,7 +102,8 @@
   return true;
 }
 
-void add_orders(simulator::OperatorCounts& sum, simulator::OperatorCounts const& report) {
+/// Adds the counts of one run to the sum over all seeds.
+void add_operator_counts(simulator::OperatorCounts& sum, simulator::OperatorCounts const& report) {
   sum.orders += report.orders;
   sum.attempts += report.attempts;
   sum.acknowledged += report.acknowledged;
@@ -113,7 +118,7 @@
   sum.explained += report.explained;
 }
 
-void print_orders(simulator::OperatorCounts const& sum) {
+void print_operator_counts(simulator::OperatorCounts const& sum) {
   std::cout << "  orders of charters and evacuations: " << sum.orders << ", sent " << sum.attempts
             << " times, acknowledged " << sum.acknowledged << " (again " << sum.acknowledged_again << "), refused "
             << sum.refused << ", forgotten " << sum.forgotten << ", superseded " << sum.superseded << ", caller gone "
@@ -121,6 +126,7 @@
             << sum.reads << "; explained " << sum.explained << "\n";
 }
 
+/// Runs scenario `walls` for all seeds; returns the exit code.
 int run_isolation_scenario(std::uint64_t first, std::uint64_t last, options::variables_map const& found) {
   simulator::IsolationReport sum;
   std::uint64_t failed = 0;
@@ -156,7 +162,7 @@
     sum.misdirected += report.misdirected;
     sum.rotations += report.rotations;
     sum.faults += report.faults;
-    sum.named += report.named;
+    sum.detected += report.detected;
     sum.least_own = std::min(sum.least_own, report.least_own);
     if (first == last) {
       std::cout << "trace " << std::hex << report.trace_hash << std::dec << "\n";
@@ -172,11 +178,12 @@
             << ", of other weights " << sum.old_hits << ", own " << sum.own_hits << ", public " << sum.public_hits
             << ", cold " << sum.cold << ", less kept than recorded " << sum.evicted << ", moved " << sum.moved
             << ", misdirected " << sum.misdirected << ", rotations " << sum.rotations << ", faults " << sum.faults
-            << ", crossings named " << sum.named << ", least share of a steady tenant's prompts with own hits "
+            << ", crossings named " << sum.detected << ", least share of a steady tenant's prompts with own hits "
             << sum.least_own << "\n";
   return failed == 0 ? 0 : 1;
 }
 
+/// Runs a query path scenario for all seeds and variants; returns the exit code.
 int run_query_path_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
                             options::variables_map const& found) {
   std::optional<simulator::QueryPathFaults> const faults =
@@ -231,7 +238,7 @@
       std::string off;
       if (found.count("off") > 0) {
         for (std::string const& guard : found["off"].as<std::vector<std::string>>()) {
-          if (!switch_off_field(run, guard) && !(run.control.has_value() && switch_off(*run.control, guard))) {
+          if (!switch_off_query_path(run, guard) && !(run.control.has_value() && switch_off(*run.control, guard))) {
             return usage("'" + guard + "' is not a guard of the field");
           }
           off += " --off " + guard;
@@ -314,6 +321,7 @@
   }
   return code;
 }
+/// Runs a relay scenario for all seeds; returns the exit code.
 int run_relay_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
                        options::variables_map const& found) {
   std::optional<simulator::RelayFaults> const faults = simulator::relay_scenario(name);
@@ -347,18 +355,18 @@
     sum.sent += report.sent;
     sum.good += report.good;
     sum.refused += report.refused;
-    sum.apologies += report.apologies;
+    sum.failed_uncertain += report.failed_uncertain;
     sum.broken += report.broken;
     sum.retries += report.retries;
     sum.resumed += report.resumed;
     sum.misdirected += report.misdirected;
-    sum.turned_away += report.turned_away;
-    sum.met_ill += report.met_ill;
-    sum.troubles += report.troubles;
+    sum.rejected_by_workers += report.rejected_by_workers;
+    sum.faulty_dispatches += report.faulty_dispatches;
+    sum.faults += report.faults;
     sum.worst_retries = std::max(sum.worst_retries, report.worst_retries);
     sum.worst_cold = std::max(sum.worst_cold, report.worst_cold);
     sum.worst_drain = std::max(sum.worst_drain, report.worst_drain);
-    sum.worst_resting = std::max(sum.worst_resting, report.worst_resting);
+    sum.worst_ejected = std::max(sum.worst_ejected, report.worst_ejected);
     if (!report.violations.empty()) {
       code = 1;
       if (++failed <= 3) {
@@ -370,14 +378,15 @@
   }
   std::cout << name << " x" << found["scale"].as<double>() << ": " << last - first + 1 << " seeds, " << failed
             << " failed; sent " << sum.sent << ", good " << sum.good << ", refused " << sum.refused << ", apologies "
-            << sum.apologies << ", broken " << sum.broken << ", retries " << sum.retries << ", taken up " << sum.resumed
-            << ", misdirected " << sum.misdirected << ", turned away " << sum.turned_away << ", met an ill worker "
-            << sum.met_ill << ", troubles " << sum.troubles << "; at worst of their bounds: retries "
-            << sum.worst_retries << ", cold " << sum.worst_cold << ", drain " << sum.worst_drain / 1000
-            << " ms, part of a pool at rest " << sum.worst_resting << "\n";
+            << sum.failed_uncertain << ", broken " << sum.broken << ", retries " << sum.retries << ", taken up "
+            << sum.resumed << ", misdirected " << sum.misdirected << ", turned away " << sum.rejected_by_workers
+            << ", met an ill worker " << sum.faulty_dispatches << ", troubles " << sum.faults
+            << "; at worst of their bounds: retries " << sum.worst_retries << ", cold " << sum.worst_cold << ", drain "
+            << sum.worst_drain / 1000 << " ms, part of a pool at rest " << sum.worst_ejected << "\n";
   return code;
 }
 
+/// Explores a scenario of the membership model; returns the exit code.
 int run_membership_scenario(std::string const& name, std::uint64_t first, std::uint64_t last,
                             options::variables_map const& found) {
   std::optional<simulator::membership_model::Scenario> scenario = simulator::membership_model::scenario(name);
@@ -540,7 +549,7 @@
       sum.grace_ends += report.grace_ends;
       sum.worst_departure = std::max(sum.worst_departure, report.worst_departure);
       sum.events += report.events;
-      add_orders(sum.orders, report.orders);
+      add_operator_counts(sum.orders, report.orders);
       sum.worst_acknowledge = std::max(sum.worst_acknowledge, report.worst_acknowledge);
       sum.worst_recovery = std::max(sum.worst_recovery, report.worst_recovery);
       if (first == last) {
@@ -566,7 +575,7 @@
               << " ms, worst recovery " << sum.worst_recovery / 1000 << " ms; " << sum.events << " events in " << took
               << " s\n";
     if (sum.orders.orders > 0) {
-      print_orders(sum.orders);
+      print_operator_counts(sum.orders);
     }
   }
   return code;
--- a/source/simulator/operators/command_history.cpp
+++ b/source/simulator/operators/command_history.cpp
@@ -12,12 +12,12 @@
 using Kind = HistoryEntry::Kind;
 
 namespace {
-/// Owners of revisions are told by marks that the simulator adds to evacuations; so many are kept.
+/// The simulator adds marks to evacuations that attribute each revision to its attempt; this many are kept.
 constexpr std::size_t owner_marks_kept = 64;
 constexpr char owner_mark = '#';
 }  // namespace
 
-schema::Value without_owners(schema::Value value, std::vector<schema::ChangeMark>* owners) {
+schema::Value remove_owner_marks(schema::Value value, std::vector<schema::ChangeMark>* owners) {
   std::vector<schema::ChangeMark> kept;
   for (schema::ChangeMark const& mark : value.marks) {
     if (!mark.id.empty() && mark.id.front() == owner_mark) {
@@ -32,10 +32,10 @@
   return value;
 }
 
-consensus::ProposalFunction with_owner(consensus::ProposalFunction propose, std::uint64_t attempt) {
+consensus::ProposalFunction add_owner_mark(consensus::ProposalFunction propose, std::uint64_t attempt) {
   return [propose = std::move(propose), attempt](schema::Value const& found) -> consensus::Proposal {
     std::vector<schema::ChangeMark> owners;
-    consensus::Proposal proposal = propose(without_owners(found, &owners));
+    consensus::Proposal proposal = propose(remove_owner_marks(found, &owners));
     if (schema::Value* const next = std::get_if<schema::Value>(&proposal)) {
       owners.push_back(schema::ChangeMark{owner_mark + std::to_string(attempt), next->revision});
       if (owners.size() > owner_marks_kept) {
@@ -47,7 +47,7 @@
   };
 }
 
-void OrderLedger::observe(std::string const& name, schema::Value const& value) {
+void CommandHistory::observe(std::string const& name, schema::Value const& value) {
   if (value.revision > 0 && name == config::routing_config_register) {
     observe_routing_config(value);
   } else if (value.revision > 0 && name == config::drained_zones_register) {
@@ -55,53 +55,53 @@
   }
 }
 
-void OrderLedger::observe_routing_config(schema::Value const& value) {
+void CommandHistory::observe_routing_config(schema::Value const& value) {
   std::uint64_t revision = config::dropped_marks(value);
   for (schema::ChangeMark const& mark : value.marks) {
     std::string& owner = routing_config_of_[++revision];
     if (!owner.empty() && owner != mark.id) {
-      violate_("charter revision " + std::to_string(revision) + " is of two changes");
+      report_violation_("charter revision " + std::to_string(revision) + " is of two changes");
     }
     owner = mark.id;
     number_at_[revision] = mark.revision;
   }
 }
 
-void OrderLedger::observe_zones(schema::Value const& value) {
+void CommandHistory::observe_zones(schema::Value const& value) {
   std::vector<schema::ChangeMark> owners;
-  (void)without_owners(value, &owners);
+  (void)remove_owner_marks(value, &owners);
   for (schema::ChangeMark const& mark : owners) {
     std::uint64_t const attempt = std::stoull(mark.id.substr(1));
-    std::uint64_t& owner = zone_order_of_[mark.revision];
+    std::uint64_t& owner = zone_attempt_of_[mark.revision];
     if (owner != 0 && owner != attempt) {
-      violate_("evacuations revision " + std::to_string(mark.revision) + " is of two orders");
+      report_violation_("evacuations revision " + std::to_string(mark.revision) + " is of two orders");
     }
     owner = attempt;
   }
   zones_at_[value.revision] = value.content;
 }
 
-void OrderLedger::close_zone_order(std::uint64_t attempt, common::Moment now) {
-  std::map<std::uint64_t, ZoneRecord>::iterator const found = zone_orders_.find(attempt);
-  if (found != zone_orders_.end()) {
+void CommandHistory::close_zone_attempt(std::uint64_t attempt, common::Moment now) {
+  std::map<std::uint64_t, ZoneRecord>::iterator const found = zone_attempts_.find(attempt);
+  if (found != zone_attempts_.end()) {
     found->second.closed = now;
   }
 }
 
-void OrderLedger::acknowledge_zone(std::uint64_t attempt, std::uint64_t revision, common::Moment now) {
-  ZoneRecord& record = zone_orders_[attempt];
-  std::map<std::uint64_t, std::uint64_t>::const_iterator const owner = zone_order_of_.find(revision);
-  if (owner != zone_order_of_.end() && owner->second == attempt) {
+void CommandHistory::acknowledge_zone(std::uint64_t attempt, std::uint64_t revision, common::Moment now) {
+  ZoneRecord& record = zone_attempts_[attempt];
+  std::map<std::uint64_t, std::uint64_t>::const_iterator const owner = zone_attempt_of_.find(revision);
+  if (owner != zone_attempt_of_.end() && owner->second == attempt) {
     record.ended = now;
     return;
   }
-  // It found the zone as wanted and wrote nothing: a read.
+  // It found the zone in the requested state and wrote nothing, which counts as a read.
   HistoryEntry read{Kind::read, revision, record.began, now};
   read.subject = record.zone;
   histories_[config::drained_zones_register].push_back(read);
 }
 
-void OrderLedger::add_routing_config_history() {
+void CommandHistory::add_routing_config_history() {
   History& history = histories_[config::routing_config_register];
   std::map<std::uint64_t, std::uint64_t> revision_of;
   for (std::pair<std::uint64_t const, std::uint64_t> const& number : number_at_) {
@@ -132,21 +132,21 @@
                      [&change](std::pair<std::uint64_t const, std::string> const& owner) {
                        return owner.second == change.first;
                      })) {
-      violate_("an acknowledged change of the charter is in no revision");
+      report_violation_("an acknowledged change of the charter is in no revision");
     }
   }
 }
 
-void OrderLedger::add_evacuation_history() {
+void CommandHistory::add_evacuation_history() {
   History& history = histories_[config::drained_zones_register];
   std::map<std::string, bool> evacuated;
-  for (std::pair<std::uint64_t const, std::uint64_t> const& owner : zone_order_of_) {
-    ZoneRecord const& record = zone_orders_[owner.second];
+  for (std::pair<std::uint64_t const, std::uint64_t> const& owner : zone_attempt_of_) {
+    ZoneRecord const& record = zone_attempts_[owner.second];
     HistoryEntry write{Kind::write, owner.first, record.began, record.ended};
     write.subject = record.zone;
     bool const changed = evacuated[record.zone] != record.evacuated;
     evacuated[record.zone] = record.evacuated;
-    // One that found the zone as wanted harms nobody, however late it is.
+    // A command that found the zone in the requested state has no effect, however late it arrives.
     if (changed && !record.ended.has_value()) {
       write.abandoned = record.closed;
     }
@@ -154,16 +154,16 @@
   }
 }
 
-void OrderLedger::check_zones() {
-  // Each content is what the orders up to its revision make of it.
+void CommandHistory::check_zones() {
+  // Each content must equal the result of all commands up to its revision.
   std::set<std::string> expected;
   std::uint64_t revision = 0;
-  for (std::pair<std::uint64_t const, std::uint64_t> const& owner : zone_order_of_) {
+  for (std::pair<std::uint64_t const, std::uint64_t> const& owner : zone_attempt_of_) {
     if (owner.first != ++revision) {
-      violate_("nobody saw whose evacuations revision " + std::to_string(revision) + " is");
+      report_violation_("nobody saw whose evacuations revision " + std::to_string(revision) + " is");
       return;
     }
-    ZoneRecord const& record = zone_orders_[owner.second];
+    ZoneRecord const& record = zone_attempts_[owner.second];
     if (record.evacuated) {
       expected.insert(record.zone);
     } else {
@@ -173,25 +173,25 @@
     if (seen != zones_at_.end()) {
       std::vector<std::string> const zones = config::parse_drained_zones(seen->second);
       if (std::set<std::string>(zones.begin(), zones.end()) != expected) {
-        violate_("evacuations revision " + std::to_string(revision) + " is not what was ordered");
+        report_violation_("evacuations revision " + std::to_string(revision) + " is not what was ordered");
       }
     }
   }
 }
 
-std::uint64_t OrderLedger::explain() {
+std::uint64_t CommandHistory::check() {
   add_routing_config_history();
   add_evacuation_history();
   check_zones();
-  std::string const wrong = check_histories(histories_);
-  if (!wrong.empty()) {
-    violate_("no order explains what operators were told: " + wrong);
+  std::string const contradiction = check_histories(histories_);
+  if (!contradiction.empty()) {
+    report_violation_("no order explains what operators were told: " + contradiction);
   }
-  std::uint64_t explained = 0;
+  std::uint64_t checked = 0;
   for (std::pair<std::string const, History> const& history : histories_) {
-    explained += history.second.size();
+    checked += history.second.size();
   }
-  return explained;
+  return checked;
 }
 
 }  // namespace finchlink::simulator
--- a/source/simulator/operators/operators.cpp
+++ b/source/simulator/operators/operators.cpp
@@ -11,35 +11,35 @@
 using Kind = HistoryEntry::Kind;
 
 namespace {
-/// A caller turns to another node after this long without an answer.
-constexpr Span patience_least = common::milliseconds(700);
-constexpr Span patience_most = common::milliseconds(1500);
-constexpr Span retry_pause_most = common::milliseconds(1000);
-/// An order about a zone is sent again for this long.
-constexpr Span evacuation_order_span = common::seconds(5);
-constexpr Span routing_config_order_span = common::seconds(8);
-/// A charter is sent once more up to this long after its end.
-constexpr Span late_repeat_most = common::seconds(15);
-constexpr Span way_least = 200;
-constexpr Span way_most = common::milliseconds(30);
+/// A caller retries at another node after this long without a response.
+constexpr Span min_attempt_timeout = common::milliseconds(700);
+constexpr Span max_attempt_timeout = common::milliseconds(1500);
+constexpr Span max_retry_pause = common::milliseconds(1000);
+/// A zone command is retried for this long.
+constexpr Span evacuation_retry_span = common::seconds(5);
+constexpr Span routing_config_retry_span = common::seconds(8);
+/// A routing configuration is sent again up to this long after it ended.
+constexpr Span max_late_repeat = common::seconds(15);
+constexpr Span min_network_delay = 200;
+constexpr Span max_network_delay = common::milliseconds(30);
 enum class AttemptEnd { acknowledged, refused, unclear };
 
-/// One order of one operator, until it has a clear answer or is given up.
-struct Order {
-  std::function<void(std::shared_ptr<Order> const&)> send_attempt;
+/// One command of one operator, until it has a definite response or is given up.
+struct Command {
+  std::function<void(std::shared_ptr<Command> const&)> send_attempt;
   Moment until = 0;
   bool over = false;
   std::function<void(AttemptEnd end)> done;
 };
 
-/// One sending of an order to one node.
+/// One attempt to execute a command at one node.
 struct Attempt {
-  std::shared_ptr<Order> order;
+  std::shared_ptr<Command> command;
   std::uint64_t number = 0;
   std::size_t node = 0;
   Moment began = 0;
-  bool open = true;         ///< its caller waits
-  bool close_heard = true;  ///< the node hears when its caller goes
+  bool open = true;           ///< its caller still waits
+  bool close_noticed = true;  ///< the node notices when its caller disconnects
   std::optional<Moment> closed;
 };
 
@@ -57,30 +57,32 @@
 class OperatorModel::State {
  public:
   State(OperatorLoad const& load, Kernel& kernel, ClusterAccess access)
-      : load_(load), kernel_(kernel), access_(std::move(access)), ledger_(access_.violate) {}
+      : load_(load), kernel_(kernel), access_(std::move(access)), history_(access_.violate) {}
   void begin();
   void stop() { stopped_ = true; }
-  OrderLedger& ledger() { return ledger_; }
+  CommandHistory& history() { return history_; }
   OperatorCounts finish();
 
  private:
-  using Answer = std::function<void(AttemptEnd)>;
+  using OnAttemptEnd = std::function<void(AttemptEnd)>;
 
   void operate();
-  void order_routing_config();
-  void order_evacuation(std::string const& zone, bool evacuated);
+  void change_routing_config();
+  void change_evacuation(std::string const& zone, bool evacuated);
   void read_all();
   // --- attempts ---
-  void send(std::shared_ptr<Order> const& order, std::function<void(std::shared_ptr<Attempt> const&, Answer)> serve);
+  void send(std::shared_ptr<Command> const& command,
+            std::function<void(std::shared_ptr<Attempt> const&, OnAttemptEnd)> serve);
   void close(std::shared_ptr<Attempt> const& attempt);
   void end_attempt(std::shared_ptr<Attempt> const& attempt, AttemptEnd end);
   void serve_routing_config(std::shared_ptr<Attempt> const& attempt, config::RoutingChangeRequest const& wanted,
-                            Answer const& answer);
+                            OnAttemptEnd const& answer);
   void serve_evacuation(std::shared_ptr<Attempt> const& attempt, std::string const& zone, bool evacuated,
-                        Answer const& answer);
+                        OnAttemptEnd const& answer);
   void send_routing_config(config::RoutingChangeRequest const& wanted, bool again);
-  void judge_routing_config(std::shared_ptr<Attempt> const& attempt, config::RoutingChangeRequest const& wanted,
-                            config::RoutingProposalReport const& report, ChangeEnd const& end, Answer const& answer);
+  void finish_routing_config(std::shared_ptr<Attempt> const& attempt, config::RoutingChangeRequest const& wanted,
+                             config::RoutingProposalReport const& report, ChangeEnd const& end,
+                             OnAttemptEnd const& answer);
   OperatorLoad load_;
   Kernel& kernel_;
   ClusterAccess access_;
@@ -88,7 +90,7 @@
   OperatorCounts counts_;
   std::uint64_t next_attempt_ = 1;
   std::uint64_t next_tag_ = 1;
-  OrderLedger ledger_;
+  CommandHistory history_;
 };
 
 void OperatorModel::State::begin() {
@@ -105,9 +107,9 @@
     operate();
     double const kind = kernel_.uniform();
     if (kind < 0.4) {
-      order_routing_config();
+      change_routing_config();
     } else if (kind < 0.7) {
-      order_evacuation("zone-" + std::to_string(kernel_.below(load_.zones)), kernel_.chance(0.5));
+      change_evacuation("zone-" + std::to_string(kernel_.below(load_.zones)), kernel_.chance(0.5));
     } else {
       read_all();
     }
@@ -119,7 +121,7 @@
 void OperatorModel::State::close(std::shared_ptr<Attempt> const& attempt) {
   attempt->open = false;
   attempt->closed = kernel_.now();
-  ledger_.close_zone_order(attempt->number, kernel_.now());
+  history_.close_zone_attempt(attempt->number, kernel_.now());
 }
 
 void OperatorModel::State::end_attempt(std::shared_ptr<Attempt> const& attempt, AttemptEnd end) {
@@ -127,57 +129,58 @@
     return;
   }
   close(attempt);
-  std::shared_ptr<Order> const order = attempt->order;
-  if (order->over) {
+  std::shared_ptr<Command> const command = attempt->command;
+  if (command->over) {
     return;
   }
-  if (end != AttemptEnd::unclear || kernel_.now() >= order->until) {
-    order->over = true;
+  if (end != AttemptEnd::unclear || kernel_.now() >= command->until) {
+    command->over = true;
     counts_.abandoned += end == AttemptEnd::unclear ? 1 : 0;
-    order->done(end);
+    command->done(end);
     return;
   }
-  kernel_.after(kernel_.between(0, retry_pause_most), [order] {
-    if (!order->over) {
-      order->send_attempt(order);
+  kernel_.after(kernel_.between(0, max_retry_pause), [command] {
+    if (!command->over) {
+      command->send_attempt(command);
     }
   });
 }
 
-void OperatorModel::State::send(std::shared_ptr<Order> const& order,
-                                std::function<void(std::shared_ptr<Attempt> const&, Answer)> serve) {
+void OperatorModel::State::send(std::shared_ptr<Command> const& command,
+                                std::function<void(std::shared_ptr<Attempt> const&, OnAttemptEnd)> serve) {
   std::shared_ptr<Attempt> const attempt = std::make_shared<Attempt>();
-  attempt->order = order;
+  attempt->command = command;
   attempt->number = next_attempt_++;
   attempt->node = kernel_.below(access_.nodes());
   attempt->began = kernel_.now();
-  attempt->close_heard = !kernel_.chance(load_.close_unheard);
+  attempt->close_noticed = !kernel_.chance(load_.close_unnoticed);
   ++counts_.attempts;
-  kernel_.after(kernel_.between(patience_least, patience_most),
+  kernel_.after(kernel_.between(min_attempt_timeout, max_attempt_timeout),
                 [this, attempt] { end_attempt(attempt, AttemptEnd::unclear); });
-  Span const way =
-      kernel_.chance(load_.request_late) ? kernel_.between(0, 2 * patience_most) : kernel_.between(way_least, way_most);
-  kernel_.after(way, [this, attempt, serve = std::move(serve)] {
+  Span const network_delay = kernel_.chance(load_.request_late) ? kernel_.between(0, 2 * max_attempt_timeout)
+                                                                : kernel_.between(min_network_delay, max_network_delay);
+  kernel_.after(network_delay, [this, attempt, serve = std::move(serve)] {
     if (!access_.alive(attempt->node)) {
       end_attempt(attempt, AttemptEnd::unclear);
       return;
     }
     access_.deliver(attempt->node, [this, attempt, serve] {
-      // Read from the socket: the end of a caller that has gone lies right behind.
-      attempt->close_heard = attempt->close_heard || !attempt->open;
+      // The node reads the request from the socket; the close of a caller that has disconnected follows directly.
+      attempt->close_noticed = attempt->close_noticed || !attempt->open;
       serve(attempt, [this, attempt](AttemptEnd end) {
         if (!kernel_.chance(load_.answer_lost)) {
-          kernel_.after(kernel_.between(way_least, way_most), [this, attempt, end] { end_attempt(attempt, end); });
+          kernel_.after(kernel_.between(min_network_delay, max_network_delay),
+                        [this, attempt, end] { end_attempt(attempt, end); });
         }
       });
     });
   });
 }
 
-// --- charters ---
+// --- routing configurations ---
 
-void OperatorModel::State::order_routing_config() {
-  // Built on what some node says is in force; at times on an older one, or on none.
+void OperatorModel::State::change_routing_config() {
+  // Based on what some node reports to be in force; at times on an older one, or on none.
   std::size_t const node = kernel_.below(access_.nodes());
   if (!access_.alive(node)) {
     return;
@@ -195,132 +198,134 @@
   config::RoutingChangeRequest const wanted{
       patch ? routing_config_patch(number, tag) : routing_config_text(number, tag), patch, current};
   ++counts_.orders;
-  ChangeRecord& change = ledger_.change(config::change_id_of(wanted));
+  ChangeRecord& change = history_.change(config::change_id_of(wanted));
   change.began = kernel_.now();
   change.expected = current;
   send_routing_config(wanted, false);
 }
 
 void OperatorModel::State::send_routing_config(config::RoutingChangeRequest const& wanted, bool again) {
-  std::shared_ptr<Order> const order = std::make_shared<Order>();
-  order->until = kernel_.now() + routing_config_order_span;
-  order->send_attempt = [this, wanted](std::shared_ptr<Order> const& own) {
-    send(own, [this, wanted](std::shared_ptr<Attempt> const& attempt, Answer const& answer) {
+  std::shared_ptr<Command> const command = std::make_shared<Command>();
+  command->until = kernel_.now() + routing_config_retry_span;
+  command->send_attempt = [this, wanted](std::shared_ptr<Command> const& own) {
+    send(own, [this, wanted](std::shared_ptr<Attempt> const& attempt, OnAttemptEnd const& answer) {
       serve_routing_config(attempt, wanted, answer);
     });
   };
-  order->done = [this, wanted, again](AttemptEnd) {
-    ledger_.change(config::change_id_of(wanted)).closed = kernel_.now();
+  command->done = [this, wanted, again](AttemptEnd) {
+    history_.change(config::change_id_of(wanted)).closed = kernel_.now();
     if (!again && kernel_.chance(load_.repeated_late)) {
-      kernel_.after(kernel_.between(0, late_repeat_most), [this, wanted] {
+      kernel_.after(kernel_.between(0, max_late_repeat), [this, wanted] {
         if (!stopped_) {
-          ledger_.change(config::change_id_of(wanted)).closed.reset();
+          history_.change(config::change_id_of(wanted)).closed.reset();
           send_routing_config(wanted, true);
         }
       });
     }
   };
-  order->send_attempt(order);
+  command->send_attempt(command);
 }
 
 void OperatorModel::State::serve_routing_config(std::shared_ptr<Attempt> const& attempt,
-                                                config::RoutingChangeRequest const& wanted, Answer const& answer) {
+                                                config::RoutingChangeRequest const& wanted,
+                                                OnAttemptEnd const& answer) {
   std::shared_ptr<config::RoutingProposalReport> const report = std::make_shared<config::RoutingProposalReport>();
   access_.change(attempt->node, config::routing_config_register,
                  config::routing_proposal(wanted, config::native_format(), report, load_.marks),
                  [this, attempt, wanted, report, answer](ChangeEnd const& end) {
-                   judge_routing_config(attempt, wanted, *report, end, answer);
+                   finish_routing_config(attempt, wanted, *report, end, answer);
                  });
 }
 
-void OperatorModel::State::judge_routing_config(std::shared_ptr<Attempt> const& attempt,
-                                                config::RoutingChangeRequest const& wanted,
-                                                config::RoutingProposalReport const& report, ChangeEnd const& end,
-                                                Answer const& answer) {
+void OperatorModel::State::finish_routing_config(std::shared_ptr<Attempt> const& attempt,
+                                                 config::RoutingChangeRequest const& wanted,
+                                                 config::RoutingProposalReport const& report, ChangeEnd const& end,
+                                                 OnAttemptEnd const& answer) {
   std::string const id = config::change_id_of(wanted);
   consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end);
   consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&end);
   if (chosen != nullptr) {
-    ledger_.observe(config::routing_config_register, chosen->value);
+    history_.observe(config::routing_config_register, chosen->value);
   } else if (rejected != nullptr) {
-    ledger_.observe(config::routing_config_register, rejected->current);
+    history_.observe(config::routing_config_register, rejected->current);
   }
-  AttemptEnd told = AttemptEnd::unclear;
+  AttemptEnd outcome = AttemptEnd::unclear;
   if (chosen != nullptr || (rejected != nullptr && report.end == config::RoutingProposalOutcome::done)) {
-    told = AttemptEnd::acknowledged;
+    outcome = AttemptEnd::acknowledged;
     counts_.acknowledged_again += chosen == nullptr ? 1 : 0;
   } else if (rejected == nullptr) {
     ++counts_.unknown;
   } else if (report.end == config::RoutingProposalOutcome::forgotten) {
     ++counts_.forgotten;
   } else {
-    told = AttemptEnd::refused;
+    outcome = AttemptEnd::refused;
   }
-  if (told == AttemptEnd::acknowledged) {
+  if (outcome == AttemptEnd::acknowledged) {
     ++counts_.acknowledged;
-    ChangeRecord& change = ledger_.change(id);
-    if (attempt->open && !change.ended.has_value()) {  // somebody may hear it
+    ChangeRecord& change = history_.change(id);
+    if (attempt->open && !change.ended.has_value()) {  // the caller may receive it
       change.ended = kernel_.now();
     }
-  } else if (told == AttemptEnd::refused) {
+  } else if (outcome == AttemptEnd::refused) {
     ++counts_.refused;
     HistoryEntry refusal{Kind::refused, HistoryEntry::no_revision, attempt->began, kernel_.now()};
     refusal.change = id;
     if (report.end == config::RoutingProposalOutcome::base_mismatch) {
       refusal.expected = wanted.expected;
     }
-    ledger_.add(config::routing_config_register, refusal);
+    history_.add(config::routing_config_register, refusal);
   }
-  answer(told);
+  answer(outcome);
 }
 
 // --- evacuations ---
 
-void OperatorModel::State::order_evacuation(std::string const& zone, bool evacuated) {
+void OperatorModel::State::change_evacuation(std::string const& zone, bool evacuated) {
   ++counts_.orders;
-  std::shared_ptr<Order> const order = std::make_shared<Order>();
-  order->until = kernel_.now() + (kernel_.chance(load_.impatient) ? 0 : evacuation_order_span);
-  order->send_attempt = [this, zone, evacuated](std::shared_ptr<Order> const& own) {
-    send(own, [this, zone, evacuated](std::shared_ptr<Attempt> const& attempt, Answer const& answer) {
+  std::shared_ptr<Command> const command = std::make_shared<Command>();
+  command->until = kernel_.now() + (kernel_.chance(load_.impatient) ? 0 : evacuation_retry_span);
+  command->send_attempt = [this, zone, evacuated](std::shared_ptr<Command> const& own) {
+    send(own, [this, zone, evacuated](std::shared_ptr<Attempt> const& attempt, OnAttemptEnd const& answer) {
       serve_evacuation(attempt, zone, evacuated, answer);
     });
   };
-  order->done = [this, zone, evacuated](AttemptEnd) {
-    if (!stopped_ && kernel_.chance(0.6)) {  // taken back at once
-      order_evacuation(zone, !evacuated);
+  command->done = [this, zone, evacuated](AttemptEnd) {
+    if (!stopped_ && kernel_.chance(0.6)) {  // reverted at once
+      change_evacuation(zone, !evacuated);
     }
   };
-  order->send_attempt(order);
+  command->send_attempt(command);
 }
 
 void OperatorModel::State::serve_evacuation(std::shared_ptr<Attempt> const& attempt, std::string const& zone,
-                                            bool evacuated, Answer const& answer) {
-  ledger_.zone_order(attempt->number) = ZoneRecord{zone, evacuated, attempt->began, std::nullopt, attempt->closed};
-  schema::Value const known = without_owners(access_.value(attempt->node, config::drained_zones_register));
-  config::ZoneDrainCommand const order{zone, evacuated,
-                                       config::newest_command(known, zone, load_.evacuation.marks_kept)};
+                                            bool evacuated, OnAttemptEnd const& answer) {
+  history_.zone_attempt(attempt->number) = ZoneRecord{zone, evacuated, attempt->began, std::nullopt, attempt->closed};
+  schema::Value const known = remove_owner_marks(access_.value(attempt->node, config::drained_zones_register));
+  config::ZoneDrainCommand const command{zone, evacuated,
+                                         config::newest_command(known, zone, load_.evacuation.marks_kept)};
   std::shared_ptr<config::ZoneDrainReport> const report = std::make_shared<config::ZoneDrainReport>();
-  std::function<bool()> const caller_gone = [attempt] { return !attempt->open && attempt->close_heard; };
-  access_.change(attempt->node, config::drained_zones_register,
-                 with_owner(config::zone_drain_proposal(order, caller_gone, report, load_.evacuation), attempt->number),
-                 [this, attempt, report, answer](ChangeEnd const& end) {
-                   if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end)) {
-                     ledger_.observe(config::drained_zones_register, chosen->value);
-                     ++counts_.acknowledged;
-                     if (attempt->open) {  // somebody may hear it
-                       ledger_.acknowledge_zone(attempt->number, chosen->value.revision, kernel_.now());
-                     }
-                     answer(AttemptEnd::acknowledged);
-                     return;
-                   }
-                   if (consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&end)) {
-                     ledger_.observe(config::drained_zones_register, rejected->current);
-                   }
-                   counts_.superseded += report->end == config::ZoneDrainOutcome::superseded ? 1 : 0;
-                   counts_.caller_gone += report->end == config::ZoneDrainOutcome::caller_gone ? 1 : 0;
-                   counts_.unknown += std::holds_alternative<std::monostate>(end) ? 1 : 0;
-                   answer(AttemptEnd::unclear);
-                 });
+  std::function<bool()> const caller_gone = [attempt] { return !attempt->open && attempt->close_noticed; };
+  access_.change(
+      attempt->node, config::drained_zones_register,
+      add_owner_mark(config::zone_drain_proposal(command, caller_gone, report, load_.evacuation), attempt->number),
+      [this, attempt, report, answer](ChangeEnd const& end) {
+        if (consensus::Chosen const* const chosen = std::get_if<consensus::Chosen>(&end)) {
+          history_.observe(config::drained_zones_register, chosen->value);
+          ++counts_.acknowledged;
+          if (attempt->open) {  // the caller may receive it
+            history_.acknowledge_zone(attempt->number, chosen->value.revision, kernel_.now());
+          }
+          answer(AttemptEnd::acknowledged);
+          return;
+        }
+        if (consensus::Rejected const* const rejected = std::get_if<consensus::Rejected>(&end)) {
+          history_.observe(config::drained_zones_register, rejected->current);
+        }
+        counts_.superseded += report->end == config::ZoneDrainOutcome::superseded ? 1 : 0;
+        counts_.caller_gone += report->end == config::ZoneDrainOutcome::caller_gone ? 1 : 0;
+        counts_.unknown += std::holds_alternative<std::monostate>(end) ? 1 : 0;
+        answer(AttemptEnd::unclear);
+      });
 }
 
 // --- reads ---
@@ -337,14 +342,14 @@
          {std::string(config::routing_config_register), std::string(config::drained_zones_register),
           std::string(consensus::voter_set_register)}) {
       schema::Value const value = access_.value(node, name);
-      ledger_.observe(name, value);
-      ledger_.add(name, HistoryEntry{Kind::read, value.revision, began, kernel_.now()});
+      history_.observe(name, value);
+      history_.add(name, HistoryEntry{Kind::read, value.revision, began, kernel_.now()});
     }
   });
 }
 
 OperatorCounts OperatorModel::State::finish() {
-  counts_.explained = ledger_.explain();
+  counts_.explained = history_.check();
   return counts_;
 }
 
@@ -358,10 +363,10 @@
   state_->stop();
 }
 void OperatorModel::observe(std::string const& name, schema::Value const& value) {
-  state_->ledger().observe(name, value);
+  state_->history().observe(name, value);
 }
 void OperatorModel::record(std::string const& name, HistoryEntry const& entry) {
-  state_->ledger().add(name, entry);
+  state_->history().add(name, entry);
 }
 OperatorCounts OperatorModel::finish() {
   return state_->finish();
--- a/source/simulator/prompt_isolation/prompt_isolation.cpp
+++ b/source/simulator/prompt_isolation/prompt_isolation.cpp
@@ -19,8 +19,9 @@
 constexpr double part_tokens = 600;
 constexpr double public_tokens = 120;
 constexpr double own_tokens = 40;
-constexpr int tries_most = 4;
+constexpr int max_tries = 4;
 
+/// The true state of a worker.
 struct SimWorker {
   std::string id;
   std::string address;
@@ -31,38 +32,39 @@
   bool up = true;
   bool draining = false;
   common::Moment cold_until = 0;
-  std::uint64_t life = 1;
+  std::uint64_t start_id = 1;
   std::uint64_t running = 0;
 };
 
+/// A simulated proxy with its real isolation and load balancer.
 struct SimProxy {
   std::string name;
   std::string hall;
   std::string region;
   bool up = true;
-  std::uint64_t life = 1;
+  std::uint64_t start_id = 1;
   std::unique_ptr<scheduling::PromptIsolation> isolation;
   std::unique_ptr<scheduling::LoadBalancer> balancer;
-  /// What each tenant was sent from here in this life: nothing else may be predicted for it.
+  /// Tenants whose prompts were sent from here since the last start; no cached tokens may be predicted for others.
   std::set<std::string> known;
 };
 
 struct SimQuery {
   std::uint64_t number = 0;
-  std::string tenant;  ///< as named; empty: none
-  std::string reader;  ///< who truly reads
+  std::string tenant;  ///< as the caller names it; empty: none
+  std::string reader;  ///< the true sender; unique for a query without tenant
   std::vector<scheduling::NamedPart> parts;
-  bool open = false;  ///< its first part is public
+  bool has_public_part = false;  ///< its first part is public
   double tokens = 0;
   int tries = 0;
   std::vector<std::string> avoid;
 };
 
 /// One dispatch on its way to a worker and back.
-struct Flight {
+struct Dispatch {
   std::shared_ptr<SimQuery> query;
   std::size_t proxy = 0;
-  std::uint64_t proxy_life = 0;
+  std::uint64_t proxy_start_id = 0;
   scheduling::Prompt prompt;
   scheduling::PlacementRequest wanted;
   scheduling::Assignment assignment;
@@ -74,9 +76,9 @@
   std::uint64_t with_own = 0;
 };
 
-class World {
+class IsolationSimulation {
  public:
-  explicit World(IsolationOptions const& options) : options_(options), kernel_(options.seed) {
+  explicit IsolationSimulation(IsolationOptions const& options) : options_(options), kernel_(options.seed) {
     kernel_.print_trace(options.print);
     std::vector<std::pair<std::string, std::string>> const halls{{"one", "east"}, {"two", "east"}, {"three", "west"}};
     for (std::size_t index = 0; index < 6; ++index) {
@@ -99,12 +101,12 @@
     arrive();
     publish();
     if (options_.faults) {
-      befall();
+      inject_fault();
       rotate();
     }
     kernel_.run(options_.length, nullptr);
     for (SimProxy const& proxy : proxies_) {
-      report_.named += proxy.isolation->crossings();
+      report_.detected += proxy.isolation->crossings();
     }
     for (std::pair<std::string const, TenantCount> const& entry : counts_) {
       if (entry.second.prompts < steady_prompts) {
@@ -116,8 +118,8 @@
         violate(entry.first + " hit its own parts in " + std::to_string(share) + " of its prompts only");
       }
     }
-    if (report_.named > 0) {
-      violate("furrows named " + std::to_string(report_.named) + " crossings");
+    if (report_.detected > 0) {
+      violate("furrows named " + std::to_string(report_.detected) + " crossings");
     }
     report_.trace_hash = kernel_.trace_hash();
     return report_;
@@ -130,39 +132,39 @@
       report_.violations.push_back(text);
     }
   }
-  [[nodiscard]] common::Span way(std::string const& from, std::string const& to) {
+  [[nodiscard]] common::Span network_delay(std::string const& from, std::string const& to) {
     return from == to ? kernel_.between(300, 2000) : kernel_.between(12000, 30000);
   }
 
-  // --- furrows ---
+  // --- proxies ---
 
   void start(std::size_t index) {
     SimProxy& proxy = proxies_[index];
     proxy.up = true;
-    ++proxy.life;
-    report_.named += proxy.isolation == nullptr ? 0 : proxy.isolation->crossings();
+    ++proxy.start_id;
+    report_.detected += proxy.isolation == nullptr ? 0 : proxy.isolation->crossings();
     proxy.isolation = std::make_unique<scheduling::PromptIsolation>(options_.guards);
     proxy.balancer = std::make_unique<scheduling::LoadBalancer>();
     proxy.known.clear();
-    follow_list(index, proxy.life);
-    follow_secrets(index, proxy.life);
+    follow_list(index, proxy.start_id);
+    follow_secrets(index, proxy.start_id);
   }
 
-  /// Each looks at the secrets file at moments of its own.
-  void follow_secrets(std::size_t index, std::uint64_t life) {
-    kernel_.after(kernel_.between(50000, 1000000), [this, index, life] {
+  /// Each proxy reads the secrets file at times of its own.
+  void follow_secrets(std::size_t index, std::uint64_t start_id) {
+    kernel_.after(kernel_.between(50000, 1000000), [this, index, start_id] {
       SimProxy& proxy = proxies_[index];
-      if (!proxy.up || proxy.life != life) {
+      if (!proxy.up || proxy.start_id != start_id) {
         return;
       }
       proxy.isolation->set_secrets(secrets_);
-      follow_secrets(index, life);
+      follow_secrets(index, start_id);
     });
   }
 
-  void follow_list(std::size_t index, std::uint64_t life) {
+  void follow_list(std::size_t index, std::uint64_t start_id) {
     SimProxy& proxy = proxies_[index];
-    if (!proxy.up || proxy.life != life) {
+    if (!proxy.up || proxy.start_id != start_id) {
       return;
     }
     scheduling::LoadBalancerContext terms;
@@ -181,10 +183,10 @@
     }
     proxy.balancer->update(specs, terms, kernel_.now());
     proxy.isolation->keep_only([&listed](std::string const& worker) { return listed.count(worker) > 0; });
-    kernel_.after(kernel_.between(200000, 500000), [this, index, life] { follow_list(index, life); });
+    kernel_.after(kernel_.between(200000, 500000), [this, index, start_id] { follow_list(index, start_id); });
   }
 
-  /// The list shows what workers were a moment ago.
+  /// Publishes the worker list; it shows the state of a moment ago.
   void publish() {
     list_.clear();
     for (SimWorker const& worker : workers_) {
@@ -214,15 +216,15 @@
     kernel_.after(static_cast<common::Span>(kernel_.exponential(1e6 / options_.rate)) + 1, [this] {
       std::shared_ptr<SimQuery> const query = std::make_shared<SimQuery>();
       query->number = ++report_.sent;
-      bool const nobody = kernel_.chance(0.03);
+      bool const no_tenant = kernel_.chance(0.03);
       std::uint64_t const tenant = kernel_.chance(options_.flood) ? 0 : kernel_.below(options_.tenants);
-      query->tenant = nobody ? "" : "t" + std::to_string(tenant);
-      query->reader = nobody ? "nobody-" + std::to_string(query->number) : query->tenant;
-      query->open = kernel_.chance(0.5);
-      if (query->open) {
+      query->tenant = no_tenant ? "" : "t" + std::to_string(tenant);
+      query->reader = no_tenant ? "nobody-" + std::to_string(query->number) : query->tenant;
+      query->has_public_part = kernel_.chance(0.5);
+      if (query->has_public_part) {
         query->parts.push_back(scheduling::NamedPart{public_part, public_tokens});
       }
-      // The same prompts for all; only the last part is a query's own.
+      // All tenants send the same prompts; only the last part is unique to a query.
       query->parts.push_back(
           scheduling::NamedPart{"a" + std::to_string(kernel_.below(tenant == 0 ? 12 : 2)), part_tokens});
       query->parts.push_back(scheduling::NamedPart{"b" + std::to_string(kernel_.below(3)), part_tokens / 3});
@@ -236,53 +238,55 @@
   }
 
   void enter(std::shared_ptr<SimQuery> const& query, std::size_t index) {
-    if (++query->tries > tries_most) {
+    if (++query->tries > max_tries) {
       ++report_.unplaced;
       return;
     }
     report_.moved += query->tries > 1 ? 1 : 0;
     SimProxy& proxy = proxies_[index];
     if (!proxy.up) {
-      elsewhere(query);
+      retry_elsewhere(query);
       return;
     }
-    std::shared_ptr<Flight> const flight = std::make_shared<Flight>();
-    flight->query = query;
-    flight->proxy = index;
-    flight->proxy_life = proxy.life;
-    flight->prompt = scheduling::Prompt{
+    std::shared_ptr<Dispatch> const dispatch = std::make_shared<Dispatch>();
+    dispatch->query = query;
+    dispatch->proxy = index;
+    dispatch->proxy_start_id = proxy.start_id;
+    dispatch->prompt = scheduling::Prompt{
         query->tenant, "m", query->parts,
-        query->open ? std::vector<std::string>{public_part} : std::vector<std::string>(), "header customer"};
-    flight->wanted.shares.push_back(schema::Share{"model", 1});
-    flight->wanted.parts = proxy.isolation->placement_parts(flight->prompt);
-    flight->wanted.tokens = query->tokens;
-    flight->wanted.outputs = 12;
-    flight->wanted.avoid = query->avoid;
-    flight->wanted.draw = kernel_.uniform();
+        query->has_public_part ? std::vector<std::string>{public_part} : std::vector<std::string>(), "header customer"};
+    dispatch->wanted.shares.push_back(schema::Share{"model", 1});
+    dispatch->wanted.parts = proxy.isolation->placement_parts(dispatch->prompt);
+    dispatch->wanted.tokens = query->tokens;
+    dispatch->wanted.outputs = 12;
+    dispatch->wanted.avoid = query->avoid;
+    dispatch->wanted.draw = kernel_.uniform();
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
-        proxy.balancer->choose(flight->wanted, kernel_.now());
+        proxy.balancer->choose(dispatch->wanted, kernel_.now());
     if (std::holds_alternative<scheduling::NoAssignment>(found)) {
-      elsewhere(query);
+      retry_elsewhere(query);
       return;
     }
-    flight->assignment = std::get<scheduling::Assignment>(found);
-    double const predicted = query->tokens - flight->assignment.uncached;
-    double const allowed = proxy.known.count(query->reader) > 0 ? query->tokens : query->open ? public_tokens : 0;
+    dispatch->assignment = std::get<scheduling::Assignment>(found);
+    double const predicted = query->tokens - dispatch->assignment.uncached;
+    double const allowed = proxy.known.count(query->reader) > 0 ? query->tokens
+                           : query->has_public_part             ? public_tokens
+                                                                : 0;
     if (options_.guards.tenant_in_key && predicted > allowed + 0.5) {
       violate("furrow " + proxy.name + " predicts " + std::to_string(predicted) + " kept tokens for " + query->reader +
               ", which sent none from there");
     }
-    SimWorker const* const worker = holder(flight->assignment.worker);
-    kernel_.after(worker == nullptr ? common::milliseconds(1) : way(proxy.region, worker->region),
-                  [this, flight] { send(flight); });
+    SimWorker const* const worker = find_worker(dispatch->assignment.worker);
+    kernel_.after(worker == nullptr ? common::milliseconds(1) : network_delay(proxy.region, worker->region),
+                  [this, dispatch] { send(dispatch); });
   }
 
-  /// The caller asks another furrow, maybe in another region.
-  void elsewhere(std::shared_ptr<SimQuery> const& query) {
+  /// The caller retries at another proxy, possibly in another region.
+  void retry_elsewhere(std::shared_ptr<SimQuery> const& query) {
     kernel_.after(kernel_.between(1000, 200000), [this, query] { enter(query, kernel_.below(proxies_.size())); });
   }
 
-  [[nodiscard]] SimWorker* holder(std::string const& id) {
+  [[nodiscard]] SimWorker* find_worker(std::string const& id) {
     for (SimWorker& worker : workers_) {
       if (worker.id == id) {
         return &worker;
@@ -290,143 +294,144 @@
     }
     return nullptr;
   }
-  /// The furrow of a flight, if it still lives; its caller asks another one if not.
-  [[nodiscard]] SimProxy* home(Flight const& flight) {
-    SimProxy& proxy = proxies_[flight.proxy];
-    return proxy.up && proxy.life == flight.proxy_life ? &proxy : nullptr;
+  /// The proxy of a dispatch, or nullptr if it has restarted; its caller then retries at another one.
+  [[nodiscard]] SimProxy* find_proxy(Dispatch const& dispatch) {
+    SimProxy& proxy = proxies_[dispatch.proxy];
+    return proxy.up && proxy.start_id == dispatch.proxy_start_id ? &proxy : nullptr;
   }
 
-  void send(std::shared_ptr<Flight> const& flight) {
-    SimProxy* const proxy = home(*flight);
+  void send(std::shared_ptr<Dispatch> const& dispatch) {
+    SimProxy* const proxy = find_proxy(*dispatch);
     if (proxy == nullptr) {
-      elsewhere(flight->query);
+      retry_elsewhere(dispatch->query);
       return;
     }
-    SimWorker* const worker = holder(flight->assignment.worker);
+    SimWorker* const worker = find_worker(dispatch->assignment.worker);
     if (worker == nullptr || !worker->up) {
-      end(*flight, *proxy, false, scheduling::Outcome::unreachable);
-      again(flight);
+      end(*dispatch, *proxy, false, scheduling::Outcome::unreachable);
+      retry(dispatch);
       return;
     }
-    if (!proxy->balancer->usable(flight->assignment.worker)) {
-      proxy->balancer->ended(flight->assignment, false, scheduling::Outcome::abandoned, kernel_.now());
-      again(flight);
+    if (!proxy->balancer->usable(dispatch->assignment.worker)) {
+      proxy->balancer->ended(dispatch->assignment, false, scheduling::Outcome::abandoned, kernel_.now());
+      retry(dispatch);
       return;
     }
-    flight->isolated =
-        proxy->isolation->isolate(flight->prompt, flight->assignment.worker, {kernel_.draw(), kernel_.draw()});
-    report_.cold += flight->isolated.cold ? 1 : 0;
-    proxy->known.insert(flight->query->reader);
-    kernel_.after(way(proxy->region, worker->region), [this, flight] { reach(flight); });
+    dispatch->isolated =
+        proxy->isolation->isolate(dispatch->prompt, dispatch->assignment.worker, {kernel_.draw(), kernel_.draw()});
+    report_.cold += dispatch->isolated.cold ? 1 : 0;
+    proxy->known.insert(dispatch->query->reader);
+    kernel_.after(network_delay(proxy->region, worker->region), [this, dispatch] { arrive_at_worker(dispatch); });
   }
 
-  void reach(std::shared_ptr<Flight> const& flight) {
-    SimWorker* const worker = holder(flight->assignment.worker);
-    SimProxy* const proxy = home(*flight);
-    if (worker == nullptr || !worker->up) {  // it left, or has another id by now
+  void arrive_at_worker(std::shared_ptr<Dispatch> const& dispatch) {
+    SimWorker* const worker = find_worker(dispatch->assignment.worker);
+    SimProxy* const proxy = find_proxy(*dispatch);
+    if (worker == nullptr || !worker->up) {  // the worker left, or has another id by now
       if (proxy != nullptr) {
-        end(*flight, *proxy, false,
+        end(*dispatch, *proxy, false,
             worker == nullptr ? scheduling::Outcome::misdirected : scheduling::Outcome::unreachable);
       }
-      again(flight);
+      retry(dispatch);
       return;
     }
-    if (!flight->isolated.version.empty() && flight->isolated.version != worker->weights) {
+    if (!dispatch->isolated.version.empty() && dispatch->isolated.version != worker->weights) {
       ++report_.misdirected;
       if (proxy != nullptr) {
-        hear(*flight, *proxy, *worker, std::nullopt);
-        end(*flight, *proxy, false, scheduling::Outcome::refused);
+        handle_response(*dispatch, *proxy, *worker, std::nullopt);
+        end(*dispatch, *proxy, false, scheduling::Outcome::refused);
       }
-      again(flight);
+      retry(dispatch);
       return;
     }
     std::vector<fake_workers::RequestPart> parts;
-    for (scheduling::NamedPart const& part : scheduling::parse_parts(flight->isolated.header)) {
-      parts.push_back(fake_workers::RequestPart{part.id, part.tokens, flight->query->open && parts.empty()});
+    for (scheduling::NamedPart const& part : scheduling::parse_parts(dispatch->isolated.header)) {
+      parts.push_back(
+          fake_workers::RequestPart{part.id, part.tokens, dispatch->query->has_public_part && parts.empty()});
     }
     fake_workers::CacheResult const reading =
-        worker->cache.look_up_and_store(flight->query->reader, worker->weights, parts);
-    judge(*flight, *worker, reading);
+        worker->cache.look_up_and_store(dispatch->query->reader, worker->weights, parts);
+    check_reading(*dispatch, *worker, reading);
     ++worker->running;
-    std::uint64_t const life = worker->life;
+    std::uint64_t const start_id = worker->start_id;
     std::string const weights = worker->weights;
     common::Span const took = 4000 + static_cast<common::Span>((reading.tokens - reading.cached_tokens) * 18) +
                               static_cast<common::Span>(worker->running) * 500;
-    kernel_.after(took, [this, flight, life, weights, reading] {
-      SimWorker* const there = holder(flight->assignment.worker);
-      SimProxy* const origin = home(*flight);
-      bool const cut = there == nullptr || there->life != life;
+    kernel_.after(took, [this, dispatch, start_id, weights, reading] {
+      SimWorker* const there = find_worker(dispatch->assignment.worker);
+      SimProxy* const origin = find_proxy(*dispatch);
+      bool const cut = there == nullptr || there->start_id != start_id;
       if (!cut) {
         --there->running;
       }
-      if (origin == nullptr) {  // a resumed stream: another furrow takes it up
-        elsewhere(flight->query);
+      if (origin == nullptr) {  // a resumed stream: another proxy continues it
+        retry_elsewhere(dispatch->query);
         return;
       }
       if (cut) {
-        end(*flight, *origin, false, scheduling::Outcome::failure);
-        again(flight);
+        end(*dispatch, *origin, false, scheduling::Outcome::failure);
+        retry(dispatch);
         return;
       }
-      double const predicted = flight->query->tokens - flight->assignment.uncached;
+      double const predicted = dispatch->query->tokens - dispatch->assignment.uncached;
       report_.evicted += reading.cached_tokens < predicted ? 1 : 0;
-      hear(*flight, *origin, *there, reading.cached_tokens, weights);
+      handle_response(*dispatch, *origin, *there, reading.cached_tokens, weights);
       origin->balancer->first_token(
-          flight->assignment,
-          flight->isolated.version.empty() ? std::vector<scheduling::PromptPart>() : flight->wanted.parts, 0.02);
-      end(*flight, *origin, true, scheduling::Outcome::success);
+          dispatch->assignment,
+          dispatch->isolated.version.empty() ? std::vector<scheduling::PromptPart>() : dispatch->wanted.parts, 0.02);
+      end(*dispatch, *origin, true, scheduling::Outcome::success);
     });
   }
 
-  void judge(Flight const& flight, SimWorker const& worker, fake_workers::CacheResult const& reading) {
+  void check_reading(Dispatch const& dispatch, SimWorker const& worker, fake_workers::CacheResult const& reading) {
     ++report_.ran;
     report_.own_hits += reading.own_hits;
     report_.public_hits += reading.public_hits;
     report_.crossed_hits += reading.crossed_hits;
     report_.old_hits += reading.old_hits;
-    kernel_.trace("read " + std::to_string(flight.query->number) + " " + flight.query->reader + " at " + worker.id +
+    kernel_.trace("read " + std::to_string(dispatch.query->number) + " " + dispatch.query->reader + " at " + worker.id +
                   " " + worker.weights + " reused " +
                   std::to_string(static_cast<std::uint64_t>(reading.cached_tokens)));
     for (std::string const& crossing : reading.crossings) {
       violate("hit across a wall at " + worker.id + ": " + crossing);
     }
     if (reading.old_hits > 0) {
-      violate("at " + worker.id + " " + flight.query->reader + " read what other weights computed");
+      violate("at " + worker.id + " " + dispatch.query->reader + " read what other weights computed");
     }
-    if (!flight.query->tenant.empty()) {
-      TenantCount& count = counts_[flight.query->tenant];
+    if (!dispatch.query->tenant.empty()) {
+      TenantCount& count = counts_[dispatch.query->tenant];
       ++count.prompts;
       count.with_own += reading.own_hits > 0 ? 1 : 0;
     }
   }
 
-  void hear(Flight const& flight, SimProxy& proxy, SimWorker const& worker, std::optional<double> reused,
-            std::string const& weights = "") {
-    scheduling::IsolationAnswer const answer{flight.assignment.worker, weights.empty() ? worker.weights : weights,
+  void handle_response(Dispatch const& dispatch, SimProxy& proxy, SimWorker const& worker, std::optional<double> reused,
+                       std::string const& weights = "") {
+    scheduling::IsolationAnswer const answer{dispatch.assignment.worker, weights.empty() ? worker.weights : weights,
                                              reused, reused.has_value()};
-    for (scheduling::IsolationAction const& action :
-         proxy.isolation->handle_answer(answer, flight.isolated, flight.query->tokens - flight.assignment.uncached)) {
+    for (scheduling::IsolationAction const& action : proxy.isolation->handle_answer(
+             answer, dispatch.isolated, dispatch.query->tokens - dispatch.assignment.uncached)) {
       if (scheduling::ForgetWorker const* const forget = std::get_if<scheduling::ForgetWorker>(&action)) {
         proxy.balancer->forget_isolated(forget->worker);
-      } else if (scheduling::PartsEvicted const* const gave_up = std::get_if<scheduling::PartsEvicted>(&action)) {
-        proxy.balancer->mark_evicted(gave_up->worker, flight.wanted.parts, gave_up->tokens);
+      } else if (scheduling::PartsEvicted const* const evicted = std::get_if<scheduling::PartsEvicted>(&action)) {
+        proxy.balancer->mark_evicted(evicted->worker, dispatch.wanted.parts, evicted->tokens);
       }
     }
   }
-  void end(Flight const& flight, SimProxy& proxy, bool first_seen, scheduling::Outcome outcome) {
-    proxy.balancer->ended(flight.assignment, first_seen, outcome, kernel_.now());
+  void end(Dispatch const& dispatch, SimProxy& proxy, bool first_seen, scheduling::Outcome outcome) {
+    proxy.balancer->ended(dispatch.assignment, first_seen, outcome, kernel_.now());
   }
-  /// The same furrow tries another worker, or the caller another furrow.
-  void again(std::shared_ptr<Flight> const& flight) {
-    flight->query->avoid.push_back(flight->assignment.worker);
-    if (home(*flight) == nullptr || kernel_.chance(0.2)) {
-      elsewhere(flight->query);
+  /// Either the same proxy retries at another worker, or the caller retries at another proxy.
+  void retry(std::shared_ptr<Dispatch> const& dispatch) {
+    dispatch->query->avoid.push_back(dispatch->assignment.worker);
+    if (find_proxy(*dispatch) == nullptr || kernel_.chance(0.2)) {
+      retry_elsewhere(dispatch->query);
     } else {
-      enter(flight->query, flight->proxy);
+      enter(dispatch->query, dispatch->proxy);
     }
   }
 
-  // --- what befalls them ---
+  // --- faults ---
 
   void rotate() {
     kernel_.after(kernel_.between(4000000, 9000000), [this] {
@@ -444,38 +449,38 @@
     });
   }
 
-  void befall() {
+  void inject_fault() {
     kernel_.after(kernel_.between(200000, 900000), [this] {
       ++report_.faults;
       SimWorker& worker = workers_[kernel_.below(workers_.size())];
       std::size_t const index = kernel_.below(proxies_.size());
       std::string what;
       switch (kernel_.below(8)) {
-        case 0:  // a furrow is lost and starts anew, without secrets or record
+        case 0:  // a proxy restarts, without secrets and cache estimate
           what = proxies_[index].name + " restarts";
           proxies_[index].up = false;
           kernel_.after(kernel_.between(10000, 2000000), [this, index] { start(index); });
           break;
         case 1:
-        case 2: {  // a worker dies and comes back cold, as another one at its address in half the cases
+        case 2: {  // a worker crashes and comes back cold, in half the cases with another id at its address
           what = worker.id + " dies";
           bool const renamed = kernel_.chance(0.5);
           worker.up = false;
-          ++worker.life;
+          ++worker.start_id;
           worker.running = 0;
           std::string const address = worker.address;
           kernel_.after(kernel_.between(100000, 3000000), [this, address, renamed] { revive(address, renamed); });
           break;
         }
-        case 3:  // new weights, or those of before; what it keeps stays
+        case 3:  // new weights, or earlier ones; its cache stays
           worker.weights = "w" + std::to_string(1 + kernel_.below(3));
           what = worker.id + " has weights " + worker.weights;
           break;
-        case 4:  // its memory is lost and nobody told
+        case 4:  // its cache is lost and no proxy is notified
           worker.cache.clear();
           what = worker.id + " lost its memory";
           break;
-        case 5:  // workers_ never grows, so that it stays where it is
+        case 5:  // workers_ never grows, so that the reference stays valid
           worker.draining = true;
           what = worker.id + " drains";
           kernel_.after(kernel_.between(500000, 4000000), [&worker] { worker.draining = false; });
@@ -487,13 +492,13 @@
           kernel_.after(kernel_.between(500000, 3000000), [this, hall] { evacuated_.erase(hall); });
           break;
         }
-        default: {  // a region is lost whole
+        default: {  // a whole region is lost
           std::string const region = worker.region;
           what = region + " is lost";
           for (SimWorker& other : workers_) {
             if (other.region == region && other.up) {
               other.up = false;
-              ++other.life;
+              ++other.start_id;
               other.running = 0;
               std::string const address = other.address;
               kernel_.after(kernel_.between(1000000, 3000000), [this, address] { revive(address, false); });
@@ -509,7 +514,7 @@
         }
       }
       kernel_.trace(what);
-      befall();
+      inject_fault();
     });
   }
 
@@ -517,7 +522,7 @@
     for (SimWorker& worker : workers_) {
       if (worker.address == address && !worker.up) {
         worker.up = true;
-        if (!renamed || kernel_.chance(0.7)) {  // some memories outlive the worker's name
+        if (!renamed || kernel_.chance(0.7)) {  // some caches outlive the worker's id
           worker.cache.clear();
         }
         worker.cold_until = kernel_.now() + common::seconds(2);
@@ -541,7 +546,7 @@
 }  // namespace
 
 IsolationReport run_isolation(IsolationOptions const& options) {
-  return World(options).run();
+  return IsolationSimulation(options).run();
 }
 
 }  // namespace finchlink::simulator
--- a/source/simulator/relay/relay.cpp
+++ b/source/simulator/relay/relay.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-/// The bounds that the runs are checked against; none is a site's own.
+/// The bounds that the runs are checked against; they are not taken from a deployment's settings.
 constexpr double retry_ratio = 0.2;
 constexpr common::Span retry_window = common::seconds(10);
 constexpr double cold_overshoot = 1.5;
@@ -30,51 +30,55 @@
 constexpr common::Span list_lag = common::milliseconds(800);
 constexpr std::size_t halls = 6;
 
-enum class Illness { none, errors, reset, mute, slow, shed };
-struct Sickness {
-  Illness kind = Illness::none;
-  double part = 0;           ///< of its queries
-  std::string callers_zone;  ///< only for these; empty: for all
+/// How a faulty worker treats a query.
+enum class FaultMode { none, errors, reset, mute, slow, shed };
+/// A fault that affects a part of a worker's queries.
+struct PartialFault {
+  FaultMode kind = FaultMode::none;
+  double part = 0;           ///< affected part of its queries
+  std::string callers_zone;  ///< zone of the affected callers; empty: all
 };
 
-/// A worker as it truly is.
-struct Life {
+/// The true state of a worker.
+struct SimWorker {
   std::string id;
   std::string address;
   std::string service;
   std::size_t hall = 0;
   bool model = false;
   bool up = true;
-  bool dark = false;
+  bool unreachable = false;
   bool full = false;
-  std::uint64_t run = 0;  ///< grows when what runs there is lost
+  std::uint64_t run = 0;  ///< increases when its running queries are lost
   common::Moment cold_until = 0;
-  common::Moment drains_at = 0;  ///< 0: not; shown on the list from then on
-  Sickness sick;
+  common::Moment drains_at = 0;  ///< 0: not draining; shown on the list from then on
+  PartialFault fault;
   double garble = 0;
   std::size_t running = 0;
   std::vector<common::Moment> cold_arrivals;
 };
 
-/// What the platform's list showed at a moment.
-struct Image {
+/// The content of the platform's worker list at a moment.
+struct ListSnapshot {
   common::Moment at = 0;
   std::vector<scheduling::WorkerSpec> specs;
 };
 
+/// A simulated proxy.
 struct Proxy {
   std::string name;
   std::size_t hall = 0;
-  std::uint64_t life = 1;
+  std::uint64_t start_id = 1;  ///< increases with each restart
   scheduling::LoadBalancer balancer;
   std::map<std::string, scheduling::RetryQuota> retry_quota;
   std::set<std::string> evacuated;
 };
 
-struct Flight {
+/// A query at its proxy.
+struct SimQuery {
   std::string id;
   std::size_t proxy = 0;
-  std::uint64_t life = 0;  ///< of its furrow
+  std::uint64_t start_id = 0;  ///< of its proxy
   schema::Lane route;
   std::optional<scheduling::QueryStateMachine> state_machine;
   scheduling::PlacementRequest wanted;
@@ -82,30 +86,30 @@
   std::string service;
   common::Moment arrived = 0;
   common::Moment deadline = 0;
-  std::uint64_t dispatch = 0;  ///< grows: what belongs to an earlier one is not heard
-  std::uint64_t watch = 0;     ///< the same for its silence alarm
-  scheduling::StallDetector silence;
+  std::uint64_t dispatch = 0;     ///< increases: events of an earlier dispatch are ignored
+  std::uint64_t stall_timer = 0;  ///< the same for its stall timer
+  scheduling::StallDetector stall_detector;
   int connects = 0;
-  std::uint64_t runs = 0;  ///< that workers began, in truth
+  std::uint64_t runs = 0;  ///< runs that workers really began
   std::uint64_t arrivals = 0;
-  std::uint64_t passed_on = 0;  ///< events that the caller has
+  std::uint64_t passed_on = 0;  ///< events that the caller received
   bool first_seen = false;
-  bool occupied = false;  ///< a place is taken in the grove
+  bool occupied = false;  ///< its assignment is counted in the load balancer
   bool reserved = false;
   bool slow = false;
   bool refused = false;
 };
-using FlightPointer = std::shared_ptr<Flight>;
+using QueryPointer = std::shared_ptr<SimQuery>;
 
-/// An arrival at a service: the first of its query or a further one.
+/// An arrival at a service: the first one of its query or a further one.
 struct Arrival {
   common::Moment at = 0;
   bool further = false;
 };
 
-class World {
+class RelaySimulation {
  public:
-  explicit World(RelayOptions const& options)
+  explicit RelaySimulation(RelayOptions const& options)
       : options_(options), kernel_(options.seed), route_table_(routing_config()) {
     kernel_.print_trace(options.print);
   }
@@ -176,37 +180,37 @@
 
   // --- workers and the list ---
 
-  Life& start(std::string const& service, std::size_t hall, std::string const& address, bool cold) {
-    std::unique_ptr<Life> life = std::make_unique<Life>();
-    life->id = service + "-" + std::to_string(++last_id_);
-    life->address = address.empty() ? "10.0." + std::to_string(hall) + "." + std::to_string(last_id_) : address;
-    life->service = service;
-    life->hall = hall;
-    life->model = service == "pool";
-    life->cold_until = cold ? kernel_.now() + warm_up : 0;
-    Life& entry = *life;
+  SimWorker& start(std::string const& service, std::size_t hall, std::string const& address, bool cold) {
+    std::unique_ptr<SimWorker> worker = std::make_unique<SimWorker>();
+    worker->id = service + "-" + std::to_string(++last_id_);
+    worker->address = address.empty() ? "10.0." + std::to_string(hall) + "." + std::to_string(last_id_) : address;
+    worker->service = service;
+    worker->hall = hall;
+    worker->model = service == "pool";
+    worker->cold_until = cold ? kernel_.now() + warm_up : 0;
+    SimWorker& entry = *worker;
     by_address_[entry.address] = &entry;
-    lives_.push_back(std::move(life));
+    workers_.push_back(std::move(worker));
     return entry;
   }
 
   std::vector<scheduling::WorkerSpec> listed() const {
     std::vector<scheduling::WorkerSpec> specs;
-    for (std::unique_ptr<Life> const& life : lives_) {
-      if (!life->up && gone_.count(life->id) > 0) {
+    for (std::unique_ptr<SimWorker> const& worker : workers_) {
+      if (!worker->up && gone_.count(worker->id) > 0) {
         continue;
       }
       scheduling::WorkerSpec spec;
-      spec.id = life->id;
-      spec.address = life->address;
-      spec.service = life->service;
-      spec.hall = zone_name(life->hall);
-      spec.region = region_of(life->hall);
-      spec.model = life->model;
-      spec.draining = life->drains_at > 0;
-      spec.capacity = life->model ? 48 : 6;
+      spec.id = worker->id;
+      spec.address = worker->address;
+      spec.service = worker->service;
+      spec.hall = zone_name(worker->hall);
+      spec.region = region_of(worker->hall);
+      spec.model = worker->model;
+      spec.draining = worker->drains_at > 0;
+      spec.capacity = worker->model ? 48 : 6;
       spec.connections = 400;
-      spec.cold_until = life->cold_until;
+      spec.cold_until = worker->cold_until;
       spec.cold_rate = options_.cold_rate;
       spec.kept_tokens = 300000;
       specs.push_back(spec);
@@ -215,23 +219,23 @@
   }
 
   void publish() {
-    images_.push_back(Image{kernel_.now(), listed()});
-    while (images_.size() > 60) {
-      images_.erase(images_.begin());
+    list_snapshots_.push_back(ListSnapshot{kernel_.now(), listed()});
+    while (list_snapshots_.size() > 60) {
+      list_snapshots_.erase(list_snapshots_.begin());
     }
     kernel_.after(common::milliseconds(100), [this] { publish(); });
   }
 
-  /// A furrow hears of workers and evacuations; news are up to some 1.5 s old.
-  void hear(std::size_t index) {
+  /// A proxy receives workers and evacuations; updates are up to about 1.5 s old.
+  void receive_updates(std::size_t index) {
     Proxy& proxy = *proxies_[index];
     common::Moment const shown = kernel_.now() - list_lag;
-    Image const* image = &images_.front();
-    for (Image const& entry : images_) {
-      image = entry.at <= shown ? &entry : image;
+    ListSnapshot const* snapshot = &list_snapshots_.front();
+    for (ListSnapshot const& entry : list_snapshots_) {
+      snapshot = entry.at <= shown ? &entry : snapshot;
     }
     proxy.evacuated = evacuated_;
-    std::vector<scheduling::WorkerSpec> specs = image->specs;
+    std::vector<scheduling::WorkerSpec> specs = snapshot->specs;
     for (scheduling::WorkerSpec& spec : specs) {
       spec.draining = spec.draining && options_.drop_drained;
       spec.evacuated = options_.drop_evacuated && proxy.evacuated.count(spec.hall) > 0;
@@ -248,17 +252,17 @@
       terms.proxies.push_back(entry->name);
     }
     proxy.balancer.update(specs, terms, kernel_.now());
-    check_resting(proxy, specs);
+    check_ejected(proxy, specs);
     kernel_.after(kernel_.between(common::milliseconds(250), common::milliseconds(700)),
-                  [this, index, life = proxy.life] {
-                    if (proxies_[index]->life == life) {
-                      hear(index);
+                  [this, index, start_id = proxy.start_id] {
+                    if (proxies_[index]->start_id == start_id) {
+                      receive_updates(index);
                     }
                   });
   }
 
-  /// Never all of a pool rest, and no more than a part.
-  void check_resting(Proxy const& proxy, std::vector<scheduling::WorkerSpec> const& specs) {
+  /// Checks that a proxy never ejects more than a part of a pool.
+  void check_ejected(Proxy const& proxy, std::vector<scheduling::WorkerSpec> const& specs) {
     std::map<std::string, std::pair<std::size_t, std::size_t>> pools;
     for (scheduling::WorkerSpec const& spec : specs) {
       if (spec.draining || spec.evacuated) {
@@ -273,7 +277,7 @@
         continue;
       }
       double const part = static_cast<double>(pool.second.second) / static_cast<double>(pool.second.first);
-      report_.worst_resting = std::max(report_.worst_resting, part);
+      report_.worst_ejected = std::max(report_.worst_ejected, part);
       if (part > constants::ejection_share + 1e-9) {
         violation("for " + proxy.name + " " + std::to_string(pool.second.second) + " of " +
                   std::to_string(pool.second.first) + " of " + pool.first + " rest");
@@ -298,162 +302,164 @@
       proxies_.back()->balancer = scheduling::LoadBalancer(options_.balancer);
     }
     for (std::size_t index = 0; index < options_.proxies; ++index) {
-      hear(index);
+      receive_updates(index);
       kernel_.after(static_cast<common::Span>(kernel_.exponential(1e6)), [this, index] { arrive(index); });
     }
     RelayFaults const& faults = options_.faults;
-    repeat(faults.grey, [this] { grow_ill(); });
-    repeat(faults.lying, [this] { fail_all(); });
+    repeat(faults.grey, [this] { begin_partial_fault(); });
+    repeat(faults.lying, [this] { begin_black_hole(); });
     repeat(faults.flap, [this] { begin_flapping(); });
     repeat(faults.garble, [this] { garble(); });
     repeat(faults.crash, [this] { crash(); });
-    repeat(faults.dark, [this] { go_dark(); });
-    repeat(faults.full, [this] { fill(); });
+    repeat(faults.unreachable, [this] { become_unreachable(); });
+    repeat(faults.full, [this] { saturate(); });
     repeat(faults.drain, [this] { drain(); });
     repeat(faults.evacuate, [this] { evacuate(); });
     repeat(faults.restart, [this] { restart(); });
   }
 
-  // --- troubles ---
+  // --- faults ---
 
   void repeat(double mean, std::function<void()> const& event) {
     if (mean <= 0) {
       return;
     }
     kernel_.after(static_cast<common::Span>(kernel_.exponential(mean * 1e6)), [this, mean, event] {
-      ++report_.troubles;
+      ++report_.faults;
       event();
       repeat(mean, event);
     });
   }
-  /// One that is up and not leaving; none: nullptr.
-  Life* draw_life() {
-    std::vector<Life*> well;
-    for (std::unique_ptr<Life> const& life : lives_) {
-      if (life->up && life->drains_at == 0) {
-        well.push_back(life.get());
+  /// Draws a worker that is up and not leaving; nullptr if there is none.
+  SimWorker* draw_worker() {
+    std::vector<SimWorker*> healthy;
+    for (std::unique_ptr<SimWorker> const& worker : workers_) {
+      if (worker->up && worker->drains_at == 0) {
+        healthy.push_back(worker.get());
       }
     }
-    return well.empty() ? nullptr : well[kernel_.below(well.size())];
+    return healthy.empty() ? nullptr : healthy[kernel_.below(healthy.size())];
   }
-  void for_a_while(Life& life, common::Span span, std::function<void(Life&)> const& change,
-                   std::function<void(Life&)> const& end) {
-    change(life);
-    kernel_.after(span, [&life, end] { end(life); });
+  void apply_for(SimWorker& worker, common::Span span, std::function<void(SimWorker&)> const& change,
+                 std::function<void(SimWorker&)> const& end) {
+    change(worker);
+    kernel_.after(span, [&worker, end] { end(worker); });
   }
-  void grow_ill() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
-      static constexpr Illness kinds[] = {Illness::errors, Illness::reset, Illness::mute, Illness::slow, Illness::shed};
-      Sickness sick{kinds[kernel_.below(5)], 0.3 + 0.4 * kernel_.uniform(),
-                    kernel_.chance(0.4) ? zone_name(kernel_.below(halls)) : ""};
-      kernel_.trace("ill " + life->id);
-      for_a_while(
-          *life, common::seconds(6), [sick](Life& entry) { entry.sick = sick; },
-          [](Life& entry) { entry.sick = Sickness{}; });
+  void begin_partial_fault() {
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
+      static constexpr FaultMode kinds[] = {FaultMode::errors, FaultMode::reset, FaultMode::mute, FaultMode::slow,
+                                            FaultMode::shed};
+      PartialFault fault{kinds[kernel_.below(5)], 0.3 + 0.4 * kernel_.uniform(),
+                         kernel_.chance(0.4) ? zone_name(kernel_.below(halls)) : ""};
+      kernel_.trace("ill " + worker->id);
+      apply_for(
+          *worker, common::seconds(6), [fault](SimWorker& entry) { entry.fault = fault; },
+          [](SimWorker& entry) { entry.fault = PartialFault{}; });
     }
   }
-  void fail_all() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
-      Illness const kind = kernel_.chance(0.5) ? Illness::errors : Illness::reset;
-      kernel_.trace("lies " + life->id);
-      for_a_while(
-          *life, common::seconds(6),
-          [kind](Life& entry) {
-            entry.sick = Sickness{kind, 1, ""};
+  void begin_black_hole() {
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
+      FaultMode const kind = kernel_.chance(0.5) ? FaultMode::errors : FaultMode::reset;
+      kernel_.trace("lies " + worker->id);
+      apply_for(
+          *worker, common::seconds(6),
+          [kind](SimWorker& entry) {
+            entry.fault = PartialFault{kind, 1, ""};
           },
-          [](Life& entry) { entry.sick = Sickness{}; });
+          [](SimWorker& entry) { entry.fault = PartialFault{}; });
     }
   }
   void begin_flapping() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
-      kernel_.trace("flaps " + life->id);
-      flap(*life, 8);
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
+      kernel_.trace("flaps " + worker->id);
+      flap(*worker, 8);
     }
   }
-  /// It keeps its id: only its process hangs and returns, as behind a bad link.
-  void flap(Life& life, int turns) {
-    life.dark = turns % 2 == 0 && turns > 0;
-    ++life.run;
-    life.running = 0;
+  /// The worker keeps its id: its process only hangs and returns, as behind a bad link.
+  void flap(SimWorker& worker, int turns) {
+    worker.unreachable = turns % 2 == 0 && turns > 0;
+    ++worker.run;
+    worker.running = 0;
     if (turns > 0) {
-      kernel_.after(common::milliseconds(700), [this, &life, turns] { flap(life, turns - 1); });
+      kernel_.after(common::milliseconds(700), [this, &worker, turns] { flap(worker, turns - 1); });
     }
   }
   void garble() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
       double const part = 0.03 + 0.2 * kernel_.uniform();
-      for_a_while(
-          *life, common::seconds(5), [part](Life& entry) { entry.garble = part; },
-          [](Life& entry) { entry.garble = 0; });
+      apply_for(
+          *worker, common::seconds(5), [part](SimWorker& entry) { entry.garble = part; },
+          [](SimWorker& entry) { entry.garble = 0; });
     }
   }
-  void end(Life& life) {
-    life.up = false;
-    ++life.run;
-    life.running = 0;
-    if (by_address_[life.address] == &life) {
-      by_address_.erase(life.address);
+  void end(SimWorker& worker) {
+    worker.up = false;
+    ++worker.run;
+    worker.running = 0;
+    if (by_address_[worker.address] == &worker) {
+      by_address_.erase(worker.address);
     }
-    // What crashed stays on the list for some seconds.
-    kernel_.after(common::seconds(3), [this, &life] { gone_.insert(life.id); });
+    // A crashed worker stays on the list for some seconds.
+    kernel_.after(common::seconds(3), [this, &worker] { gone_.insert(worker.id); });
   }
   void crash() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
-      kernel_.trace("crashes " + life->id);
-      end(*life);
-      std::string const address = life->address;
-      // Its address goes to the next of its kind, or to another service's worker.
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
+      kernel_.trace("crashes " + worker->id);
+      end(*worker);
+      std::string const address = worker->address;
+      // Its address goes to its replacement, or to a worker of another service.
       bool const other = kernel_.chance(0.5);
-      kernel_.after(kernel_.between(common::milliseconds(500), common::seconds(4)), [this, life, address, other] {
+      kernel_.after(kernel_.between(common::milliseconds(500), common::seconds(4)), [this, worker, address, other] {
         if (other && by_address_.count(address) == 0) {
-          (void)start(life->service == "pool" ? "web" : "pool", life->hall, address, true);
+          (void)start(worker->service == "pool" ? "web" : "pool", worker->hall, address, true);
         }
-        (void)start(life->service, life->hall, by_address_.count(address) == 0 ? address : "", true);
+        (void)start(worker->service, worker->hall, by_address_.count(address) == 0 ? address : "", true);
       });
     }
   }
-  void go_dark() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
-      kernel_.trace("dark " + life->id);
-      for_a_while(
-          *life, common::seconds(4),
-          [](Life& entry) {
-            entry.dark = true;
+  void become_unreachable() {
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
+      kernel_.trace("dark " + worker->id);
+      apply_for(
+          *worker, common::seconds(4),
+          [](SimWorker& entry) {
+            entry.unreachable = true;
             ++entry.run;
             entry.running = 0;
           },
-          [](Life& entry) { entry.dark = false; });
+          [](SimWorker& entry) { entry.unreachable = false; });
     }
   }
-  void fill() {
-    Life* const life = draw_life();
-    if (life != nullptr) {
-      for_a_while(
-          *life, common::seconds(3), [](Life& entry) { entry.full = true; }, [](Life& entry) { entry.full = false; });
+  void saturate() {
+    SimWorker* const worker = draw_worker();
+    if (worker != nullptr) {
+      apply_for(
+          *worker, common::seconds(3), [](SimWorker& entry) { entry.full = true; },
+          [](SimWorker& entry) { entry.full = false; });
     }
   }
   void drain() {
-    Life* const life = draw_life();
-    if (life == nullptr) {
+    SimWorker* const worker = draw_worker();
+    if (worker == nullptr) {
       return;
     }
-    kernel_.trace("drains " + life->id);
-    (void)start(life->service, life->hall, "", true);
-    life->drains_at = kernel_.now();
-    kernel_.after(drain_bound + common::seconds(2), [this, life] {
-      std::string const address = life->address;
-      end(*life);
-      gone_.insert(life->id);
-      // Another service's worker may take its address.
-      kernel_.after(common::seconds(2), [this, life, address] {
+    kernel_.trace("drains " + worker->id);
+    (void)start(worker->service, worker->hall, "", true);
+    worker->drains_at = kernel_.now();
+    kernel_.after(drain_bound + common::seconds(2), [this, worker] {
+      std::string const address = worker->address;
+      end(*worker);
+      gone_.insert(worker->id);
+      // A worker of another service may take its address.
+      kernel_.after(common::seconds(2), [this, worker, address] {
         if (by_address_.count(address) == 0) {
-          (void)start(life->service == "pool" ? "web" : "pool", life->hall, address, true);
+          (void)start(worker->service == "pool" ? "web" : "pool", worker->hall, address, true);
         }
       });
     });
@@ -469,9 +475,9 @@
     kernel_.after(kernel_.between(common::seconds(6), common::seconds(9)), [this, hall] {
       evacuated_.erase(zone_name(hall));
       evacuated_at_.erase(hall);
-      for (std::unique_ptr<Life> const& life : lives_) {
-        if (life->hall == hall && life->up) {  // the list tells a little later
-          life->cold_until = kernel_.now() + warm_up;
+      for (std::unique_ptr<SimWorker> const& worker : workers_) {
+        if (worker->hall == hall && worker->up) {  // the list shows it a little later
+          worker->cold_until = kernel_.now() + warm_up;
         }
       }
     });
@@ -480,26 +486,26 @@
     std::size_t const index = kernel_.below(proxies_.size());
     Proxy& proxy = *proxies_[index];
     kernel_.trace("restarts " + proxy.name);
-    ++proxy.life;
+    ++proxy.start_id;
     proxy.balancer = scheduling::LoadBalancer(options_.balancer);
     proxy.retry_quota.clear();
     proxy.evacuated.clear();
-    kernel_.after(common::milliseconds(500), [this, index, life = proxy.life] {
-      if (proxies_[index]->life == life) {
-        hear(index);
+    kernel_.after(common::milliseconds(500), [this, index, start_id = proxy.start_id] {
+      if (proxies_[index]->start_id == start_id) {
+        receive_updates(index);
         arrive(index);
       }
     });
   }
 
-  // --- queries, as data_plane/relay has them ---
+  // --- queries, handled as in data_plane/relay ---
 
   void arrive(std::size_t index) {
     Proxy& proxy = *proxies_[index];
     kernel_.after(
         static_cast<common::Span>(kernel_.exponential(1e6 * static_cast<double>(options_.proxies) / options_.rate)),
-        [this, index, life = proxy.life] {
-          if (proxies_[index]->life == life) {
+        [this, index, start_id = proxy.start_id] {
+          if (proxies_[index]->start_id == start_id) {
             arrive(index);
           }
         });
@@ -510,18 +516,18 @@
                              : which < 0.9  ? "paid"
                                             : "at-home";
     schema::Lane const* const route = route_table_.find("relay.example", "/" + name + "/x");
-    FlightPointer const flight = std::make_shared<Flight>();
-    flight->id = "q" + std::to_string(++last_query_);
-    flight->proxy = index;
-    flight->life = proxy.life;
-    flight->route = *route;
-    flight->arrived = kernel_.now();
-    flight->deadline = kernel_.now() + common::milliseconds(static_cast<std::int64_t>(route->deadline_ms));
+    QueryPointer const query = std::make_shared<SimQuery>();
+    query->id = "q" + std::to_string(++last_query_);
+    query->proxy = index;
+    query->start_id = proxy.start_id;
+    query->route = *route;
+    query->arrived = kernel_.now();
+    query->deadline = kernel_.now() + common::milliseconds(static_cast<std::int64_t>(route->deadline_ms));
     if (route->stream) {
       bool const long_prompt = name == "once";
-      flight->wanted.tokens = long_prompt ? 6000 : 300;
-      flight->wanted.outputs = 40;
-      flight->wanted.parts = {
+      query->wanted.tokens = long_prompt ? 6000 : 300;
+      query->wanted.outputs = 40;
+      query->wanted.parts = {
           scheduling::PromptPart{1 + kernel_.below(long_prompt ? 20 : 200), long_prompt ? 4000.0 : 100.0},
           scheduling::PromptPart{1000000 + last_query_, long_prompt ? 2000.0 : 200.0}};
     }
@@ -530,413 +536,418 @@
     terms.repeatable = route->repeatable || terms.resumable || !options_.dispatch_once;
     terms.stream = route->stream;
     terms.max_dispatches = options_.dispatch_once ? static_cast<int>(route->dispatches) : 2;
-    flight->state_machine.emplace(terms, [this, flight = flight.get()](common::Moment) { return spend(*flight); });
+    query->state_machine.emplace(terms, [this, query = query.get()](common::Moment) { return spend(*query); });
     ++report_.sent;
-    perform(flight, flight->state_machine->begin());
-    kernel_.at(flight->deadline, [this, flight] {
-      if (live(*flight)) {
-        leave(*flight, scheduling::Outcome::failure);
-        feed(flight, scheduling::DeadlinePassed{});
+    perform(query, query->state_machine->begin());
+    kernel_.at(query->deadline, [this, query] {
+      if (live(*query)) {
+        release_assignment(*query, scheduling::Outcome::failure);
+        advance_query(query, scheduling::DeadlinePassed{});
       }
     });
   }
 
-  [[nodiscard]] bool repeatable(Flight const& flight) const {
-    return flight.route.repeatable || (flight.route.stream && flight.route.resumable);
+  [[nodiscard]] bool repeatable(SimQuery const& query) const {
+    return query.route.repeatable || (query.route.stream && query.route.resumable);
   }
-  [[nodiscard]] bool live(Flight const& flight) const {
-    return proxies_[flight.proxy]->life == flight.life && !flight.state_machine->settled();
+  [[nodiscard]] bool live(SimQuery const& query) const {
+    return proxies_[query.proxy]->start_id == query.start_id && !query.state_machine->settled();
   }
-  [[nodiscard]] Proxy& proxy_of(Flight const& flight) { return *proxies_[flight.proxy]; }
-  scheduling::RetryQuota& retry_quota(Flight const& flight) {
-    scheduling::RetryQuota& retry_quota = proxy_of(flight).retry_quota[flight.service];
+  [[nodiscard]] Proxy& proxy_of(SimQuery const& query) { return *proxies_[query.proxy]; }
+  scheduling::RetryQuota& retry_quota(SimQuery const& query) {
+    scheduling::RetryQuota& retry_quota = proxy_of(query).retry_quota[query.service];
     retry_quota.set_limits(retry_ratio, options_.retry_slack, static_cast<double>(proxies_.size()));
     return retry_quota;
   }
-  bool spend(Flight& flight) {
-    bool const good = flight.reserved || !options_.retry_quota || retry_quota(flight).take();
-    flight.reserved = false;
+  bool spend(SimQuery& query) {
+    bool const good = query.reserved || !options_.retry_quota || retry_quota(query).take();
+    query.reserved = false;
     report_.retries += good ? 1 : 0;
     return good;
   }
 
-  void feed(FlightPointer const& flight, scheduling::QueryMessage const& message) {
-    perform(flight, flight->state_machine->advance(message, kernel_.now()));
+  void advance_query(QueryPointer const& query, scheduling::QueryMessage const& message) {
+    perform(query, query->state_machine->advance(message, kernel_.now()));
   }
-  void perform(FlightPointer const& flight, std::vector<scheduling::QueryAction> const& actions) {
+  void perform(QueryPointer const& query, std::vector<scheduling::QueryAction> const& actions) {
     for (scheduling::QueryAction const& action : actions) {
-      std::visit([this, &flight](auto const& entry) { act(flight, entry); }, action);
+      std::visit([this, &query](auto const& entry) { act(query, entry); }, action);
     }
   }
-  void act(FlightPointer const& flight, scheduling::Place const&) { seek(flight, 0); }
-  void act(FlightPointer const& flight, scheduling::ForwardToRegion const&) { feed(flight, scheduling::NoCapacity{}); }
-  void act(FlightPointer const& flight, scheduling::RedirectHome const&) { refuse(*flight); }
-  void act(FlightPointer const&, scheduling::SendEvent const&) {}
-  void act(FlightPointer const&, scheduling::SendResponse const&) { ++report_.good; }
-  void act(FlightPointer const& flight, scheduling::RejectQuery const&) { refuse(*flight); }
-  void act(FlightPointer const& flight, scheduling::FailUncertain const&) {
+  void act(QueryPointer const& query, scheduling::Place const&) { place_query(query, 0); }
+  void act(QueryPointer const& query, scheduling::ForwardToRegion const&) {
+    advance_query(query, scheduling::NoCapacity{});
+  }
+  void act(QueryPointer const& query, scheduling::RedirectHome const&) { refuse(*query); }
+  void act(QueryPointer const&, scheduling::SendEvent const&) {}
+  void act(QueryPointer const&, scheduling::SendResponse const&) { ++report_.good; }
+  void act(QueryPointer const& query, scheduling::RejectQuery const&) { refuse(*query); }
+  void act(QueryPointer const& query, scheduling::FailUncertain const&) {
     if (options_.honest_refusal) {
-      ++report_.apologies;
+      ++report_.failed_uncertain;
     } else {
-      refuse(*flight);
+      refuse(*query);
     }
   }
-  void act(FlightPointer const&, scheduling::EndWithError const&) { ++report_.broken; }
-  void act(FlightPointer const&, scheduling::CancelDispatch const&) {}
-  void refuse(Flight& flight) {
+  void act(QueryPointer const&, scheduling::EndWithError const&) { ++report_.broken; }
+  void act(QueryPointer const&, scheduling::CancelDispatch const&) {}
+  void refuse(SimQuery& query) {
     ++report_.refused;
-    flight.refused = true;
-    if (flight.runs > 0) {
-      violation(flight.id + " (" + flight.route.name + ") was refused though it ran");
+    query.refused = true;
+    if (query.runs > 0) {
+      violation(query.id + " (" + query.route.name + ") was refused though it ran");
     }
   }
 
-  /// The place in the grove is given back, with what was seen.
-  void leave(Flight& flight, scheduling::Outcome outcome) {
-    ++flight.dispatch;
-    ++flight.watch;
-    if (flight.occupied) {
-      flight.occupied = false;
-      proxy_of(flight).balancer.ended(flight.assignment, flight.first_seen, outcome, kernel_.now());
-      flight.wanted.avoid.push_back(flight.assignment.worker);
+  /// Releases the assignment in the load balancer and records the outcome.
+  void release_assignment(SimQuery& query, scheduling::Outcome outcome) {
+    ++query.dispatch;
+    ++query.stall_timer;
+    if (query.occupied) {
+      query.occupied = false;
+      proxy_of(query).balancer.ended(query.assignment, query.first_seen, outcome, kernel_.now());
+      query.wanted.avoid.push_back(query.assignment.worker);
     }
   }
 
-  void seek(FlightPointer const& flight, common::Moment until) {
-    if (!live(*flight)) {
+  void place_query(QueryPointer const& query, common::Moment until) {
+    if (!live(*query)) {
       return;
     }
     if (until == 0) {
       common::Span const hold = common::milliseconds(
-          static_cast<std::int64_t>(flight->route.set_point_ms * constants::placement_wait_fraction));
+          static_cast<std::int64_t>(query->route.set_point_ms * constants::placement_wait_fraction));
       common::Span const again =
-          flight->passed_on > 0 ? common::milliseconds(static_cast<std::int64_t>(flight->route.gap_set_point_ms / 2))
-          : flight->state_machine->dispatches() > 0 ? constants::placement_retry_pause
-                                                    : 0;
-      until = std::max(flight->arrived + hold, kernel_.now() + again);
+          query->passed_on > 0 ? common::milliseconds(static_cast<std::int64_t>(query->route.gap_set_point_ms / 2))
+          : query->state_machine->dispatches() > 0 ? constants::placement_retry_pause
+                                                   : 0;
+      until = std::max(query->arrived + hold, kernel_.now() + again);
     }
-    Proxy& proxy = proxy_of(*flight);
-    flight->wanted.shares = flight->route.shares;
-    flight->wanted.homes = options_.keep_homes ? flight->route.home_regions : std::vector<std::string>{};
-    flight->wanted.single_dispatch = !repeatable(*flight);
-    flight->wanted.draw = kernel_.uniform();
+    Proxy& proxy = proxy_of(*query);
+    query->wanted.shares = query->route.shares;
+    query->wanted.homes = options_.keep_homes ? query->route.home_regions : std::vector<std::string>{};
+    query->wanted.single_dispatch = !repeatable(*query);
+    query->wanted.draw = kernel_.uniform();
     std::variant<scheduling::Assignment, scheduling::NoAssignment> const found =
-        proxy.balancer.choose(flight->wanted, kernel_.now());
+        proxy.balancer.choose(query->wanted, kernel_.now());
     scheduling::Assignment const* const assignment = std::get_if<scheduling::Assignment>(&found);
     if (assignment == nullptr) {
       if (kernel_.now() >= until) {
-        feed(flight, scheduling::NoCapacity{});
+        advance_query(query, scheduling::NoCapacity{});
       } else {
-        kernel_.after(constants::placement_retry_pause, [this, flight, until] { seek(flight, until); });
+        kernel_.after(constants::placement_retry_pause, [this, query, until] { place_query(query, until); });
       }
       return;
     }
-    flight->assignment = *assignment;
-    flight->occupied = true;
-    flight->first_seen = false;
-    if (flight->service.empty()) {
-      flight->service = flight->route.shares.front().service;
-      retry_quota(*flight).arrived();
-      firsts_[flight->service].push_back(kernel_.now());
+    query->assignment = *assignment;
+    query->occupied = true;
+    query->first_seen = false;
+    if (query->service.empty()) {
+      query->service = query->route.shares.front().service;
+      retry_quota(*query).arrived();
+      first_arrivals_[query->service].push_back(kernel_.now());
     }
-    feed(flight, scheduling::Placed{assignment->worker});
-    reach(flight);
+    advance_query(query, scheduling::Placed{assignment->worker});
+    connect(query);
   }
 
-  [[nodiscard]] common::Span hop(Flight const& flight) const {
-    return flight.assignment.in_own_region ? common::milliseconds(1) : common::milliseconds(40);
+  [[nodiscard]] common::Span hop(SimQuery const& query) const {
+    return query.assignment.in_own_region ? common::milliseconds(1) : common::milliseconds(40);
   }
-  [[nodiscard]] Life* at_address(std::string const& address) const {
-    std::map<std::string, Life*>::const_iterator const found = by_address_.find(address);
+  [[nodiscard]] SimWorker* at_address(std::string const& address) const {
+    std::map<std::string, SimWorker*>::const_iterator const found = by_address_.find(address);
     return found == by_address_.end() ? nullptr : found->second;
   }
 
-  void reach(FlightPointer const& flight) {
-    std::uint64_t const dispatch = flight->dispatch;
-    Life const* const life = at_address(flight->assignment.address);
-    bool const dark = life != nullptr && life->dark;
-    common::Span const takes = dark ? (flight->assignment.in_own_region ? constants::relay_connect_deadline_in_region
-                                                                        : constants::relay_connect_deadline)
-                                    : 2 * hop(*flight);
-    bool const reached = life != nullptr && !dark;
-    kernel_.after(takes, [this, flight, dispatch, reached] {
-      if (!live(*flight) || flight->dispatch != dispatch) {
+  void connect(QueryPointer const& query) {
+    std::uint64_t const dispatch = query->dispatch;
+    SimWorker const* const worker = at_address(query->assignment.address);
+    bool const unreachable = worker != nullptr && worker->unreachable;
+    common::Span const takes = unreachable
+                                   ? (query->assignment.in_own_region ? constants::relay_connect_deadline_in_region
+                                                                      : constants::relay_connect_deadline)
+                                   : 2 * hop(*query);
+    bool const reached = worker != nullptr && !unreachable;
+    kernel_.after(takes, [this, query, dispatch, reached] {
+      if (!live(*query) || query->dispatch != dispatch) {
         return;
       }
       if (!reached) {
-        leave(*flight, scheduling::Outcome::unreachable);
-        ++flight->connects;
-        if (flight->connects < constants::max_connects) {
-          feed(flight, scheduling::PlacementWithdrawn{});
+        release_assignment(*query, scheduling::Outcome::unreachable);
+        ++query->connects;
+        if (query->connects < constants::max_connects) {
+          advance_query(query, scheduling::PlacementWithdrawn{});
         } else {
-          feed(flight, scheduling::ConnectFailure{});
+          advance_query(query, scheduling::ConnectFailure{});
         }
         return;
       }
-      if (!proxy_of(*flight).balancer.usable(flight->assignment.worker)) {
-        leave(*flight, scheduling::Outcome::abandoned);
-        feed(flight, scheduling::PlacementWithdrawn{});
+      if (!proxy_of(*query).balancer.usable(query->assignment.worker)) {
+        release_assignment(*query, scheduling::Outcome::abandoned);
+        advance_query(query, scheduling::PlacementWithdrawn{});
         return;
       }
-      feed(flight, scheduling::Connected{});
-      watch(flight, flight->route.set_point_ms);
-      kernel_.after(hop(*flight), [this, flight, dispatch] { come(flight, dispatch); });
+      advance_query(query, scheduling::Connected{});
+      start_stall_timer(query, query->route.set_point_ms);
+      kernel_.after(hop(*query), [this, query, dispatch] { arrive_at_worker(query, dispatch); });
     });
   }
 
-  void watch(FlightPointer const& flight, double set_point_ms) {
-    scheduling::StallTerms const terms{set_point_ms, flight->assignment.predicted_seconds, flight->wanted.tokens,
-                                       flight->assignment.in_own_region};
-    ++flight->watch;
-    act(flight, flight->silence.begin(terms, kernel_.now()));
+  void start_stall_timer(QueryPointer const& query, double set_point_ms) {
+    scheduling::StallTerms const terms{set_point_ms, query->assignment.predicted_seconds, query->wanted.tokens,
+                                       query->assignment.in_own_region};
+    ++query->stall_timer;
+    act(query, query->stall_detector.begin(terms, kernel_.now()));
   }
-  void act(FlightPointer const& flight, scheduling::WaitUntil const& wait) { ring_at(flight, wait.due); }
-  void act(FlightPointer const& flight, scheduling::ProbeWorker const& probe) {
-    if (!may_ask_another(*flight)) {
+  void act(QueryPointer const& query, scheduling::WaitUntil const& wait) { schedule_stall_timer(query, wait.due); }
+  void act(QueryPointer const& query, scheduling::ProbeWorker const& probe) {
+    if (!can_redispatch(*query)) {
       return;
     }
-    ring_at(flight, probe.due);
-    Life const* const life = at_address(flight->assignment.address);
-    if (life != nullptr && life->dark) {
+    schedule_stall_timer(query, probe.due);
+    SimWorker const* const worker = at_address(query->assignment.address);
+    if (worker != nullptr && worker->unreachable) {
       return;
     }
-    std::uint64_t const serial = flight->watch;
-    kernel_.after(2 * hop(*flight), [this, flight, serial, taken = life != nullptr] {
-      if (live(*flight) && flight->watch == serial) {
-        perform(flight, flight->silence.probe_finished(taken, kernel_.now()));
+    std::uint64_t const serial = query->stall_timer;
+    kernel_.after(2 * hop(*query), [this, query, serial, taken = worker != nullptr] {
+      if (live(*query) && query->stall_timer == serial) {
+        perform(query, query->stall_detector.probe_finished(taken, kernel_.now()));
       }
     });
   }
-  void act(FlightPointer const& flight, scheduling::GiveUp const&) {
-    if (!may_ask_another(*flight)) {
+  void act(QueryPointer const& query, scheduling::GiveUp const&) {
+    if (!can_redispatch(*query)) {
       return;
     }
-    flight->reserved = options_.retry_quota && retry_quota(*flight).take();
-    bool const slow = proxy_of(*flight).balancer.heard_at(flight->assignment.worker) >= flight->silence.since();
-    leave(*flight, slow ? scheduling::Outcome::abandoned : scheduling::Outcome::failure);
-    feed(flight, scheduling::WorkerFailure{"silent"});
+    query->reserved = options_.retry_quota && retry_quota(*query).take();
+    bool const slow = proxy_of(*query).balancer.heard_at(query->assignment.worker) >= query->stall_detector.since();
+    release_assignment(*query, slow ? scheduling::Outcome::abandoned : scheduling::Outcome::failure);
+    advance_query(query, scheduling::WorkerFailure{"silent"});
   }
-  void perform(FlightPointer const& flight, scheduling::StallAction const& action) {
-    std::visit([this, &flight](auto const& entry) { act(flight, entry); }, action);
+  void perform(QueryPointer const& query, scheduling::StallAction const& action) {
+    std::visit([this, &query](auto const& entry) { act(query, entry); }, action);
   }
-  void ring_at(FlightPointer const& flight, common::Moment due) {
-    std::uint64_t const serial = flight->watch;
-    kernel_.after(due - kernel_.now(), [this, flight, serial] {
-      if (live(*flight) && flight->watch == serial) {
-        perform(flight, flight->silence.timer_fired(proxy_of(*flight).balancer.heard_at(flight->assignment.worker),
-                                                    kernel_.now()));
+  void schedule_stall_timer(QueryPointer const& query, common::Moment due) {
+    std::uint64_t const serial = query->stall_timer;
+    kernel_.after(due - kernel_.now(), [this, query, serial] {
+      if (live(*query) && query->stall_timer == serial) {
+        perform(query, query->stall_detector.timer_fired(proxy_of(*query).balancer.heard_at(query->assignment.worker),
+                                                         kernel_.now()));
       }
     });
   }
-  [[nodiscard]] bool may_ask_another(Flight const& flight) {
-    scheduling::PlacementRequest elsewhere = flight.wanted;
-    elsewhere.avoid.push_back(flight.assignment.worker);
-    return repeatable(flight) && flight.state_machine->dispatches() < static_cast<int>(flight.route.dispatches) &&
-           (!options_.retry_quota || retry_quota(flight).available()) &&
-           proxy_of(flight).balancer.alternative(elsewhere, kernel_.now());
+  [[nodiscard]] bool can_redispatch(SimQuery const& query) {
+    scheduling::PlacementRequest elsewhere = query.wanted;
+    elsewhere.avoid.push_back(query.assignment.worker);
+    return repeatable(query) && query.state_machine->dispatches() < static_cast<int>(query.route.dispatches) &&
+           (!options_.retry_quota || retry_quota(query).available()) &&
+           proxy_of(query).balancer.alternative(elsewhere, kernel_.now());
   }
 
   // --- at the worker ---
 
-  void answer(FlightPointer const& flight, std::uint64_t dispatch, common::Span after,
+  void answer(QueryPointer const& query, std::uint64_t dispatch, common::Span after,
               std::function<void()> const& what) {
-    kernel_.after(after + hop(*flight), [this, flight, dispatch, what] {
-      if (live(*flight) && flight->dispatch == dispatch) {
+    kernel_.after(after + hop(*query), [this, query, dispatch, what] {
+      if (live(*query) && query->dispatch == dispatch) {
         what();
       }
     });
   }
-  void failure(FlightPointer const& flight, std::uint64_t dispatch, common::Span after) {
-    ++report_.met_ill;
-    answer(flight, dispatch, after, [this, flight] {
-      leave(*flight, scheduling::Outcome::failure);
-      feed(flight, scheduling::WorkerFailure{"cut"});
+  void failure(QueryPointer const& query, std::uint64_t dispatch, common::Span after) {
+    ++report_.faulty_dispatches;
+    answer(query, dispatch, after, [this, query] {
+      release_assignment(*query, scheduling::Outcome::failure);
+      advance_query(query, scheduling::WorkerFailure{"cut"});
     });
   }
-  void turn_away(FlightPointer const& flight, std::uint64_t dispatch, scheduling::Outcome outcome) {
-    answer(flight, dispatch, 0, [this, flight, outcome] {
-      leave(*flight, outcome);
-      feed(flight, scheduling::WorkerRefused{});
+  void reject(QueryPointer const& query, std::uint64_t dispatch, scheduling::Outcome outcome) {
+    answer(query, dispatch, 0, [this, query, outcome] {
+      release_assignment(*query, outcome);
+      advance_query(query, scheduling::WorkerRefused{});
     });
   }
 
-  void come(FlightPointer const& flight, std::uint64_t dispatch) {
-    Life* const life = at_address(flight->assignment.address);
-    // Bytes are on their way even when the furrow has given up meanwhile.
-    if (life == nullptr || life->dark) {
-      if (life == nullptr) {
-        failure(flight, dispatch, 0);
+  void arrive_at_worker(QueryPointer const& query, std::uint64_t dispatch) {
+    SimWorker* const worker = at_address(query->assignment.address);
+    // Bytes in query arrive even when the proxy has given up meanwhile.
+    if (worker == nullptr || worker->unreachable) {
+      if (worker == nullptr) {
+        failure(query, dispatch, 0);
       }
       return;
     }
-    ++flight->arrivals;
-    arrivals_[flight->service].push_back(Arrival{kernel_.now(), flight->arrivals > 1});
-    if (life->id != flight->assignment.worker && options_.name_worker) {
+    ++query->arrivals;
+    arrivals_[query->service].push_back(Arrival{kernel_.now(), query->arrivals > 1});
+    if (worker->id != query->assignment.worker && options_.name_worker) {
       ++report_.misdirected;
-      turn_away(flight, dispatch, scheduling::Outcome::misdirected);
+      reject(query, dispatch, scheduling::Outcome::misdirected);
       return;
     }
-    check_arrival(*flight, *life);
-    if (life->full || (life->sick.kind == Illness::shed && ill_for(*life, *flight)) ||
-        life->running >= (life->model ? 96u : 30u)) {
-      ++report_.turned_away;
-      turn_away(flight, dispatch, scheduling::Outcome::refused);
+    check_arrival(*query, *worker);
+    if (worker->full || (worker->fault.kind == FaultMode::shed && is_affected(*worker, *query)) ||
+        worker->running >= (worker->model ? 96u : 30u)) {
+      ++report_.rejected_by_workers;
+      reject(query, dispatch, scheduling::Outcome::refused);
       return;
     }
-    ++flight->runs;
-    if (flight->runs > 1 && !repeatable(*flight)) {
-      violation(flight->id + " (" + flight->route.name + ") ran twice");
+    ++query->runs;
+    if (query->runs > 1 && !repeatable(*query)) {
+      violation(query->id + " (" + query->route.name + ") ran twice");
     }
-    if (flight->refused) {
-      violation(flight->id + " (" + flight->route.name + ") ran though it was refused");
+    if (query->refused) {
+      violation(query->id + " (" + query->route.name + ") ran though it was refused");
     }
-    double pace = 1 + static_cast<double>(life->running) / (life->model ? 48.0 : 6.0);
-    if (ill_for(*life, *flight)) {
-      if (life->sick.kind == Illness::errors || life->sick.kind == Illness::reset) {
-        failure(flight, dispatch, life->sick.kind == Illness::errors ? common::milliseconds(5) : 0);
+    double pace = 1 + static_cast<double>(worker->running) / (worker->model ? 48.0 : 6.0);
+    if (is_affected(*worker, *query)) {
+      if (worker->fault.kind == FaultMode::errors || worker->fault.kind == FaultMode::reset) {
+        failure(query, dispatch, worker->fault.kind == FaultMode::errors ? common::milliseconds(5) : 0);
         return;
       }
-      if (life->sick.kind == Illness::mute) {
-        ++report_.met_ill;
+      if (worker->fault.kind == FaultMode::mute) {
+        ++report_.faulty_dispatches;
         return;
       }
-      pace *= life->sick.kind == Illness::slow ? 8 : 1;
+      pace *= worker->fault.kind == FaultMode::slow ? 8 : 1;
     }
-    bool const spoilt = kernel_.chance(life->garble);
-    ++life->running;
-    std::uint64_t const run = life->run;
-    if (!flight->route.stream) {
+    bool const corrupted = kernel_.chance(worker->garble);
+    ++worker->running;
+    std::uint64_t const run = worker->run;
+    if (!query->route.stream) {
       common::Span const work = static_cast<common::Span>(pace * (20e3 + kernel_.exponential(40e3)));
-      kernel_.after(
-          work, [this, flight, dispatch, life, run, spoilt] { finish_whole(flight, dispatch, *life, run, spoilt); });
+      kernel_.after(work, [this, query, dispatch, worker, run, corrupted] {
+        finish_whole(query, dispatch, *worker, run, corrupted);
+      });
       return;
     }
-    common::Span const work = static_cast<common::Span>(pace * (20e3 + flight->assignment.uncached * 20));
-    std::uint64_t const cut_at = spoilt ? 1 + kernel_.below(5) : 0;
-    kernel_.after(work, [this, flight, dispatch, life, run, cut_at, pace] {
-      next_event(flight, dispatch, *life, run, 6, cut_at, pace);
+    common::Span const work = static_cast<common::Span>(pace * (20e3 + query->assignment.uncached * 20));
+    std::uint64_t const cut_at = corrupted ? 1 + kernel_.below(5) : 0;
+    kernel_.after(work, [this, query, dispatch, worker, run, cut_at, pace] {
+      next_event(query, dispatch, *worker, run, 6, cut_at, pace);
     });
   }
 
-  [[nodiscard]] bool ill_for(Life& life, Flight const& flight) {
-    if (life.sick.kind == Illness::none ||
-        (!life.sick.callers_zone.empty() && zone_name(proxies_[flight.proxy]->hall) != life.sick.callers_zone)) {
+  [[nodiscard]] bool is_affected(SimWorker& worker, SimQuery const& query) {
+    if (worker.fault.kind == FaultMode::none ||
+        (!worker.fault.callers_zone.empty() && zone_name(proxies_[query.proxy]->hall) != worker.fault.callers_zone)) {
       return false;
     }
-    return kernel_.chance(life.sick.part);
+    return kernel_.chance(worker.fault.part);
   }
 
-  /// What ran there was lost with the worker, or goes dark with it.
-  bool lost(FlightPointer const& flight, std::uint64_t dispatch, Life& life, std::uint64_t run) {
-    if (life.run == run) {
+  /// Returns whether the run was lost with its worker; the proxy notices it unless the worker is unreachable.
+  bool is_run_lost(QueryPointer const& query, std::uint64_t dispatch, SimWorker& worker, std::uint64_t run) {
+    if (worker.run == run) {
       return false;
     }
-    if (!life.dark) {
-      failure(flight, dispatch, 0);
+    if (!worker.unreachable) {
+      failure(query, dispatch, 0);
     }
     return true;
   }
 
-  void tell(Flight& flight, Life const& life) {
-    double const slots = life.model ? 48 : 6;
-    double const running = static_cast<double>(life.running);
-    proxy_of(flight).balancer.report_load(flight.assignment.worker, std::min(running, slots),
-                                          std::max(0.0, running - slots), slots, kernel_.now());
+  void report_worker_load(SimQuery& query, SimWorker const& worker) {
+    double const slots = worker.model ? 48 : 6;
+    double const running = static_cast<double>(worker.running);
+    proxy_of(query).balancer.report_load(query.assignment.worker, std::min(running, slots),
+                                         std::max(0.0, running - slots), slots, kernel_.now());
   }
 
-  void finish_whole(FlightPointer const& flight, std::uint64_t dispatch, Life& life, std::uint64_t run, bool spoilt) {
-    if (lost(flight, dispatch, life, run)) {
+  void finish_whole(QueryPointer const& query, std::uint64_t dispatch, SimWorker& worker, std::uint64_t run,
+                    bool corrupted) {
+    if (is_run_lost(query, dispatch, worker, run)) {
       return;
     }
-    --life.running;
-    if (spoilt) {
-      failure(flight, dispatch, 0);
+    --worker.running;
+    if (corrupted) {
+      failure(query, dispatch, 0);
       return;
     }
-    answer(flight, dispatch, 0, [this, flight, &life] {
-      tell(*flight, life);
-      flight->first_seen = true;
-      leave(*flight, scheduling::Outcome::success);
-      feed(flight, scheduling::WholeResponse{});
+    answer(query, dispatch, 0, [this, query, &worker] {
+      report_worker_load(*query, worker);
+      query->first_seen = true;
+      release_assignment(*query, scheduling::Outcome::success);
+      advance_query(query, scheduling::WholeResponse{});
     });
   }
 
-  void next_event(FlightPointer const& flight, std::uint64_t dispatch, Life& life, std::uint64_t run,
+  void next_event(QueryPointer const& query, std::uint64_t dispatch, SimWorker& worker, std::uint64_t run,
                   std::uint64_t left, std::uint64_t cut_at, double pace) {
-    if (lost(flight, dispatch, life, run)) {
+    if (is_run_lost(query, dispatch, worker, run)) {
       return;
     }
-    if (left == 0 || flight->dispatch != dispatch || !live(*flight)) {  // most drop what nobody waits for
-      --life.running;
+    if (left == 0 || query->dispatch != dispatch || !live(*query)) {  // workers drop a query that nobody waits for
+      --worker.running;
       return;
     }
     if (cut_at == left) {
-      --life.running;
-      failure(flight, dispatch, 0);
+      --worker.running;
+      failure(query, dispatch, 0);
       return;
     }
     bool const last = left == 1;
-    answer(flight, dispatch, 0, [this, flight, &life, last] {
-      Proxy& proxy = proxy_of(*flight);
-      proxy.balancer.heard(flight->assignment.worker, kernel_.now());
-      if (!flight->first_seen) {
-        flight->first_seen = true;
-        report_.resumed += flight->passed_on > 0 ? 1 : 0;
-        tell(*flight, life);
-        proxy.balancer.first_token(flight->assignment, flight->wanted.parts,
-                                   static_cast<double>(kernel_.now() - flight->silence.since()) / 1e6);
+    answer(query, dispatch, 0, [this, query, &worker, last] {
+      Proxy& proxy = proxy_of(*query);
+      proxy.balancer.heard(query->assignment.worker, kernel_.now());
+      if (!query->first_seen) {
+        query->first_seen = true;
+        report_.resumed += query->passed_on > 0 ? 1 : 0;
+        report_worker_load(*query, worker);
+        proxy.balancer.first_token(query->assignment, query->wanted.parts,
+                                   static_cast<double>(kernel_.now() - query->stall_detector.since()) / 1e6);
       }
-      ++flight->passed_on;
-      watch(flight, flight->route.gap_set_point_ms);
-      feed(flight, scheduling::Event{flight->state_machine->last_event() + 1, false});
+      ++query->passed_on;
+      start_stall_timer(query, query->route.gap_set_point_ms);
+      advance_query(query, scheduling::Event{query->state_machine->last_event() + 1, false});
       if (last) {
-        leave(*flight, scheduling::Outcome::success);
-        feed(flight, scheduling::WholeResponse{});
+        release_assignment(*query, scheduling::Outcome::success);
+        advance_query(query, scheduling::WholeResponse{});
         ++report_.good;
       }
     });
-    kernel_.after(static_cast<common::Span>(pace * 20e3), [this, flight, dispatch, &life, run, left, cut_at, pace] {
-      next_event(flight, dispatch, life, run, left - 1, cut_at, pace);
+    kernel_.after(static_cast<common::Span>(pace * 20e3), [this, query, dispatch, &worker, run, left, cut_at, pace] {
+      next_event(query, dispatch, worker, run, left - 1, cut_at, pace);
     });
   }
 
-  // --- what must never happen ---
+  // --- checks ---
 
-  void check_arrival(Flight const& flight, Life& life) {
+  void check_arrival(SimQuery const& query, SimWorker& worker) {
     common::Moment const now = kernel_.now();
-    if (life.service != flight.service) {
-      violation(flight.id + " came to a worker of another service");
+    if (worker.service != query.service) {
+      violation(query.id + " came to a worker of another service");
     }
-    if (life.drains_at > 0) {
-      report_.worst_drain = std::max(report_.worst_drain, now - life.drains_at);
-      if (now - life.drains_at > drain_bound) {
-        violation(life.id + " got a query " + std::to_string((now - life.drains_at) / 1000) +
+    if (worker.drains_at > 0) {
+      report_.worst_drain = std::max(report_.worst_drain, now - worker.drains_at);
+      if (now - worker.drains_at > drain_bound) {
+        violation(worker.id + " got a query " + std::to_string((now - worker.drains_at) / 1000) +
                   " ms after it was draining");
       }
     }
-    std::map<std::size_t, common::Moment>::const_iterator const evacuated = evacuated_at_.find(life.hall);
+    std::map<std::size_t, common::Moment>::const_iterator const evacuated = evacuated_at_.find(worker.hall);
     if (evacuated != evacuated_at_.end() && now - evacuated->second > evacuate_bound) {
-      violation(life.id + " got a query in an evacuated hall");
+      violation(worker.id + " got a query in an evacuated hall");
     }
-    if (!flight.route.home_regions.empty() && flight.route.home_regions.front() != region_of(life.hall)) {
-      violation(flight.id + " came to a worker outside its homes");
+    if (!query.route.home_regions.empty() && query.route.home_regions.front() != region_of(worker.hall)) {
+      violation(query.id + " came to a worker outside its homes");
     }
-    if (now < life.cold_until) {
-      std::vector<common::Moment>& arrivals = life.cold_arrivals;
+    if (now < worker.cold_until) {
+      std::vector<common::Moment>& arrivals = worker.cold_arrivals;
       arrivals.push_back(now);
       std::erase_if(arrivals, [now](common::Moment moment) { return now - moment >= common::seconds(1); });
       double const most = options_.cold_rate * cold_overshoot + cold_slack;
       report_.worst_cold = std::max(report_.worst_cold, static_cast<double>(arrivals.size()) / most);
       if (static_cast<double>(arrivals.size()) > most) {
-        violation(life.id + " was flooded while cold: " + std::to_string(arrivals.size()) + " queries in a second");
+        violation(worker.id + " was flooded while cold: " + std::to_string(arrivals.size()) + " queries in a second");
       }
     }
   }
 
-  /// Over any window, summed over all furrows.
+  /// Checks the retries over any window, summed over all proxies.
   void check_retries() {
     for (std::pair<std::string const, std::vector<Arrival>> const& service : arrivals_) {
-      std::vector<common::Moment> const& firsts = firsts_[service.first];
+      std::vector<common::Moment> const& firsts = first_arrivals_[service.first];
       std::vector<common::Moment> further;
       for (Arrival const& arrival : service.second) {
         if (arrival.further) {
@@ -969,14 +980,14 @@
   Kernel kernel_;
   scheduling::RouteTable route_table_;
   RelayReport report_;
-  std::vector<std::unique_ptr<Life>> lives_;
-  std::map<std::string, Life*> by_address_;
-  std::set<std::string> gone_;  ///< off the list
-  std::vector<Image> images_;
+  std::vector<std::unique_ptr<SimWorker>> workers_;
+  std::map<std::string, SimWorker*> by_address_;
+  std::set<std::string> gone_;  ///< ids that left the list
+  std::vector<ListSnapshot> list_snapshots_;
   std::vector<std::unique_ptr<Proxy>> proxies_;
   std::set<std::string> evacuated_;
   std::map<std::size_t, common::Moment> evacuated_at_;
-  std::map<std::string, std::vector<common::Moment>> firsts_;
+  std::map<std::string, std::vector<common::Moment>> first_arrivals_;
   std::map<std::string, std::vector<Arrival>> arrivals_;
   std::uint64_t last_id_ = 0;
   std::uint64_t last_query_ = 0;
@@ -990,7 +1001,7 @@
   all["relay-flap"].flap = 2;
   all["relay-garble"].garble = 0.5;
   all["relay-crash"].crash = 1;
-  all["relay-crash"].dark = 2;
+  all["relay-crash"].unreachable = 2;
   all["relay-full"].full = 0.15;
   all["relay-planned"].drain = 1.5;
   all["relay-planned"].evacuate = 5;
@@ -1000,12 +1011,12 @@
   storm.flap = 5;
   storm.garble = 2;
   storm.crash = 2;
-  storm.dark = 4;
+  storm.unreachable = 4;
   storm.full = 2;
   storm.drain = 3;
   storm.evacuate = 8;
   storm.restart = 5;
-  // Most of the workers are ill at once: the least bad serve.
+  // Most workers are faulty at once: the least faulty ones have to serve.
   all["relay-plague"].lying = 0.15;
   all["relay-plague"].grey = 0.2;
   return all;
@@ -1014,7 +1025,7 @@
 }  // namespace
 
 RelayReport run_relay(RelayOptions const& options) {
-  return World(options).run();
+  return RelaySimulation(options).run();
 }
 
 std::optional<RelayFaults> relay_scenario(std::string const& name) {
--- a/source/tests/simulator/operators_test.cpp
+++ b/source/tests/simulator/operators_test.cpp
@@ -22,14 +22,14 @@
   return simulator::run_control(options);
 }
 
-/// Orders that are read by nodes without a majority, given up at once and taken back.
+/// Commands that reach nodes without a majority, and that are given up at once and reverted.
 void split_often(simulator::ControlOptions& options) {
   options.faults.split = 2;
   options.orders.impatient = 1;
-  options.orders.close_unheard = 1;
+  options.orders.close_unnoticed = 1;
 }
 
-/// With a guard off some seed must break, by a word of the checker.
+/// Returns whether, with a safety rule off, some seed gives a violation whose text contains `word`.
 bool breaks(std::string const& scenario, std::uint64_t seeds, std::string const& word, Change const& off) {
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     simulator::ControlReport const report = run(scenario, seed, 3, off);
@@ -42,7 +42,7 @@
   return false;
 }
 
-TEST(Operators, OneOrderExplainsAllThatTheyAreTold) {
+TEST(Operators, ResponsesAreLinearizable) {
   simulator::OperatorCounts sum;
   for (std::string const scenario : {"calm", "kills", "freezes", "splits", "wipes", "storm"}) {
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -56,7 +56,7 @@
       sum.caller_gone += report.orders.caller_gone;
     }
   }
-  // Each end was met, or the test is about nothing.
+  // Each outcome occurred; otherwise the test would check nothing.
   EXPECT_GT(sum.acknowledged, 0u);
   EXPECT_GT(sum.acknowledged_again, 0u);
   EXPECT_GT(sum.refused, 0u);
@@ -65,7 +65,7 @@
   EXPECT_GT(sum.caller_gone, 0u);
 }
 
-TEST(Operators, AllGuardsOnHoldWhereEachOfThemIsNeeded) {
+TEST(Operators, NoViolationWithAllSafetyRulesWhereEachIsNeeded) {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     simulator::ControlReport const report = run("splits", seed, 3, split_often);
     EXPECT_TRUE(report.violations.empty()) << "seed " << seed << ": " << report.violations.front();
@@ -78,21 +78,21 @@
     options.orders.evacuation.fenced = false;
   }));
 }
-TEST(Operators, OrdersThatFindNothingToDoFenceAsWell) {
+TEST(Operators, CommandsWithoutEffectAlsoFence) {
   EXPECT_TRUE(breaks("splits", 30, "abandoned order about zone", [](simulator::ControlOptions& options) {
     split_often(options);
     options.orders.evacuation.orders_counted = false;
   }));
 }
-TEST(Operators, NothingIsDoneForCallersThatHaveGone) {
+TEST(Operators, NoChangeForDisconnectedCallers) {
   EXPECT_TRUE(breaks("freezes", 30, "abandoned order about zone",
                      [](simulator::ControlOptions& options) { options.orders.evacuation.caller_watched = false; }));
 }
-TEST(Operators, TakenChangesAreKnownByTheirMarks) {
+TEST(Operators, RepeatedChangesAreRecognizedByTheirMarks) {
   EXPECT_TRUE(breaks("calm", 8, "refused a change that was taken",
                      [](simulator::ControlOptions& options) { options.orders.marks.found = false; }));
 }
-TEST(Operators, DroppedMarksAreNoRefusal) {
+TEST(Operators, DroppedMarksDoNotCauseRefusal) {
   EXPECT_TRUE(breaks("calm", 8, "refused a change that was taken",
                      [](simulator::ControlOptions& options) { options.orders.marks.forgotten_known = false; }));
 }
--- a/source/tests/simulator/prompt_isolation_test.cpp
+++ b/source/tests/simulator/prompt_isolation_test.cpp
@@ -12,7 +12,7 @@
   return run;
 }
 
-TEST(AlmanacWalls, NoHitCrossesAndSteadyTenantsReuseTheirOwn) {
+TEST(IsolationSimulation, NoCrossTenantHitsAndSteadyTenantsHitTheirOwnParts) {
   std::uint64_t own = 0;
   std::uint64_t evicted = 0;
   std::uint64_t moved = 0;
@@ -32,7 +32,7 @@
     rotations += report.rotations;
     faults += report.faults;
   }
-  // What the walls are to stand really came about.
+  // The conditions that isolation has to withstand really occurred.
   EXPECT_GT(own, 1000u);
   EXPECT_GT(evicted, 100u);
   EXPECT_GT(moved, 1000u);
@@ -41,18 +41,18 @@
   EXPECT_GT(faults, 300u);
 }
 
-TEST(AlmanacWalls, WithoutTheTenantInTheKeyHitsCross) {
+TEST(IsolationSimulation, WithoutTheTenantInTheKeyHitsCrossTenants) {
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     simulator::IsolationOptions run = run_of(seed);
     run.guards.tenant_in_key = false;
     simulator::IsolationReport const report = simulator::run_isolation(run);
     EXPECT_GT(report.crossed_hits, 1000u) << "seed " << seed;
-    EXPECT_GT(report.named, 0u) << "seed " << seed;
+    EXPECT_GT(report.detected, 0u) << "seed " << seed;
     EXPECT_FALSE(report.violations.empty());
   }
 }
 
-TEST(AlmanacWalls, WithoutTheVersionWhatOtherWeightsComputedIsRead) {
+TEST(IsolationSimulation, WithoutTheVersionEntriesOfOtherWeightsAreHit) {
   std::uint64_t old_hits = 0;
   for (std::uint64_t seed = 1; seed <= 3; ++seed) {
     simulator::IsolationOptions run = run_of(seed);
@@ -62,7 +62,7 @@
   EXPECT_GT(old_hits, 50u);
 }
 
-TEST(AlmanacWalls, TheSameSeedGivesTheSameTrace) {
+TEST(IsolationSimulation, TheSameSeedGivesTheSameTrace) {
   EXPECT_EQ(simulator::run_isolation(run_of(7)).trace_hash, simulator::run_isolation(run_of(7)).trace_hash);
   EXPECT_NE(simulator::run_isolation(run_of(7)).trace_hash, simulator::run_isolation(run_of(8)).trace_hash);
 }
--- a/source/tests/simulator/relay_test.cpp
+++ b/source/tests/simulator/relay_test.cpp
@@ -16,24 +16,25 @@
   return entry;
 }
 
-TEST(AlmanacRelay, HoldsUnderEveryMixOfTroubles) {
+TEST(RelaySimulation, HoldsUnderEveryMixOfFaults) {
   for (std::string const& scenario : simulator::relay_scenarios()) {
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
       simulator::RelayReport const report = simulator::run_relay(options(scenario, seed));
       EXPECT_TRUE(report.violations.empty()) << scenario << " seed " << seed << ": " << report.violations.front();
       EXPECT_GT(report.good, report.sent / 3) << scenario << " seed " << seed;
-      EXPECT_EQ(report.troubles == 0, scenario == "relay-calm") << scenario << " seed " << seed;
+      EXPECT_EQ(report.faults == 0, scenario == "relay-calm") << scenario << " seed " << seed;
     }
   }
 }
 
-TEST(AlmanacRelay, SameSeedSameTrace) {
+TEST(RelaySimulation, SameSeedSameTrace) {
   simulator::RelayReport const first = simulator::run_relay(options("relay-storm", 7));
   simulator::RelayReport const again = simulator::run_relay(options("relay-storm", 7));
   EXPECT_EQ(first.trace_hash, again.trace_hash);
   EXPECT_EQ(first.events, again.events);
 }
 
+/// A safety rule, and the violation that a scenario gives without it.
 struct Needed {
   std::string guard;
   std::string scenario;
@@ -43,7 +44,7 @@
   double retry_slack = 64;
 };
 
-TEST(AlmanacRelay, EachGuardIsNeeded) {
+TEST(RelaySimulation, EachSafetyRuleIsNeeded) {
   for (Needed const& needed : {Needed{"dispatch_once", "relay-grey", "ran twice"},
                                Needed{"honest_refusal", "relay-grey", "refused though it ran"},
                                Needed{"rights", "relay-full", "retries of", 120, 45, 8},
