--- a/source/hollow_nodes/main.cpp
+++ b/source/hollow_nodes/main.cpp
@@ -70,7 +70,7 @@
     hollow_proxies.back()->start(
         common::milliseconds(static_cast<std::int64_t>(config.ask_hold_ms * index / config.furrows)));
   }
-  common::note_traffic_on_signal(context);
+  common::log_traffic_on_signal(context);
   boost::asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&context](boost::system::error_code const&, int) { context.stop(); });
   context.run();
